--- a/crates/foxwheel-node/src/attempt.rs
+++ b/crates/foxwheel-node/src/attempt.rs
@@ -20,7 +20,7 @@
 use crate::load_table::InFlight;
 use crate::node::Node;
 use crate::request_content::RequestContent;
-use crate::server_fate::{self, BrokenRun};
+use crate::server_probe::{self, CutOffRequest};
 
 /// Silence of a server on all requests of this process after which it is sent nothing new:
 /// engines take a step every few milliseconds.
@@ -42,9 +42,9 @@
     /// How long it is expected to wait for a slot there.
     pub expected_wait: Duration,
     /// When to stop waiting.
-    pub give_up_at: Instant,
+    pub deadline: Instant,
     /// When to stop waiting for the head of the answer and try elsewhere; none waits on.
-    pub head_by: Option<Instant>,
+    pub head_deadline: Option<Instant>,
 }
 
 /// Why an attempt gave no usable answer.
@@ -55,12 +55,12 @@
     /// The reason, for the log.
     pub reason: String,
     /// The server's own whole failure, if it answered one.
-    pub answer: Option<WholeAnswer>,
+    pub answer: Option<FullResponse>,
 }
 
 /// A server's whole answer.
 #[derive(Debug)]
-pub struct WholeAnswer {
+pub struct FullResponse {
     /// Its head.
     pub head: response::Parts,
     /// Its body.
@@ -70,11 +70,11 @@
 /// An answer whose head came and whose body is on its way. Dropping it closes the
 /// connection, so that the server stops working on it.
 #[derive(Debug)]
-pub struct OpenAnswer {
+pub struct OpenResponse {
     /// The answer's head.
     pub head: response::Parts,
     /// The decoded head.
-    pub says: AnswerHead,
+    pub decoded_head: AnswerHead,
     /// The server.
     pub server: ServerKey,
     node: Arc<Node>,
@@ -88,13 +88,13 @@
 
 /// What came next of a body.
 #[derive(Debug)]
-pub enum Piece {
+pub enum BodyFrame {
     /// Bytes.
     Data(Bytes),
     /// The body ended whole.
     End,
     /// The connection broke or the wait ended first.
-    Broken(String),
+    CutOff(String),
 }
 
 /// Sends `request` and waits for the head of an answer that belongs to it.
@@ -102,7 +102,7 @@
     node: &Arc<Node>,
     target: Target,
     request: Request<RequestBody>,
-) -> Result<OpenAnswer, Failure> {
+) -> Result<OpenResponse, Failure> {
     let server = target.slot.server();
     let Some(addr) = node.usable_addr(server, Instant::now()) else {
         return Err(Failure::left());
@@ -123,8 +123,8 @@
         Ok::<_, ExchangeError>(Some((lease.connection, response)))
     };
     let wait_until = target
-        .head_by
-        .map_or(target.give_up_at, |at| at.min(target.give_up_at));
+        .head_deadline
+        .map_or(target.deadline, |at| at.min(target.deadline));
     let patience = SUSPECT_SILENCE + target.expected_wait;
     let exchanged = bounded(node, server, patience, wait_until, exchange).await;
     if !matches!(exchanged, Some(Ok(_))) {
@@ -137,7 +137,7 @@
         Some(Err(e)) => {
             note_broken(node, server, &e, is_new);
             if matches!(e, ExchangeError::Broken { .. }) {
-                let run = BrokenRun {
+                let run = CutOffRequest {
                     server: server.clone(),
                     request_id: target.request_id,
                     content: target.content,
@@ -160,8 +160,8 @@
         }
     };
     let (head, body) = response.into_parts();
-    let says = online::decode_answer(&head, &target.request_id);
-    if says.foreign || says.encoded {
+    let decoded_head = online::decode_answer(&head, &target.request_id);
+    if decoded_head.foreign || decoded_head.encoded {
         node.loads.note_outcome(server, true, Instant::now());
         return Err(Failure::new(
             AttemptOutcome::Unknown,
@@ -170,16 +170,17 @@
     }
     let now = Instant::now();
     node.loads.progress(server, now);
-    if says.another_instance {
+    if decoded_head.another_instance {
         node.note_gone(server);
     }
-    if says.status.is_success() || says.status == StatusCode::INTERNAL_SERVER_ERROR {
-        let failed = !says.status.is_success();
+    if decoded_head.status.is_success() || decoded_head.status == StatusCode::INTERNAL_SERVER_ERROR
+    {
+        let failed = !decoded_head.status.is_success();
         node.loads.note_outcome(server, failed, now);
     }
-    Ok(OpenAnswer {
+    Ok(OpenResponse {
         head,
-        says,
+        decoded_head,
         server: server.clone(),
         node: Arc::clone(node),
         request_id: target.request_id,
@@ -191,33 +192,33 @@
     })
 }
 
-impl OpenAnswer {
-    /// The next piece of the body, waited for until `give_up_at`.
-    pub async fn next_piece(&mut self, give_up_at: Instant) -> Piece {
+impl OpenResponse {
+    /// The next piece of the body, waited for until `deadline`.
+    pub async fn next_frame(&mut self, deadline: Instant) -> BodyFrame {
         loop {
             let frame = self.body.frame();
-            let next = bounded(&self.node, &self.server, SUSPECT_SILENCE, give_up_at, frame).await;
+            let next = bounded(&self.node, &self.server, SUSPECT_SILENCE, deadline, frame).await;
             return match next {
-                Some(None) => Piece::End,
+                Some(None) => BodyFrame::End,
                 Some(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) => {
                         self.node.loads.progress(&self.server, Instant::now());
-                        Piece::Data(data)
+                        BodyFrame::Data(data)
                     }
                     // Trailers concern the connection only.
                     Err(_) => continue,
                 },
                 Some(Some(Err(e))) => {
                     look_at_server(&self.node, self.broken_run()).await;
-                    Piece::Broken(WithCauses(&e).to_string())
+                    BodyFrame::CutOff(WithCauses(&e).to_string())
                 }
-                None => Piece::Broken("silent for too long".to_owned()),
+                None => BodyFrame::CutOff("silent for too long".to_owned()),
             };
         }
     }
 
-    fn broken_run(&self) -> BrokenRun {
-        BrokenRun {
+    fn broken_run(&self) -> CutOffRequest {
+        CutOffRequest {
             server: self.server.clone(),
             request_id: self.request_id.clone(),
             content: Arc::clone(&self.content),
@@ -226,14 +227,14 @@
         }
     }
 
-    /// The whole body, waited for until `give_up_at`.
-    pub async fn collect(&mut self, give_up_at: Instant) -> Result<Bytes, String> {
+    /// The whole body, waited for until `deadline`.
+    pub async fn read_full_body(&mut self, deadline: Instant) -> Result<Bytes, String> {
         let mut whole = bytes::BytesMut::new();
         loop {
-            match self.next_piece(give_up_at).await {
-                Piece::Data(data) => whole.extend_from_slice(&data),
-                Piece::End => return Ok(whole.freeze()),
-                Piece::Broken(reason) => return Err(reason),
+            match self.next_frame(deadline).await {
+                BodyFrame::Data(data) => whole.extend_from_slice(&data),
+                BodyFrame::End => return Ok(whole.freeze()),
+                BodyFrame::CutOff(reason) => return Err(reason),
             }
         }
     }
@@ -241,7 +242,7 @@
     /// Gives the connection back after a body that ended whole.
     pub fn finish(self) {
         let Self {
-            says,
+            decoded_head,
             server,
             node,
             connection,
@@ -250,11 +251,12 @@
             ..
         } = self;
         drop(slot);
-        if says.status.is_success() && !says.not_run {
-            node.note_success(&content, &server);
+        if decoded_head.status.is_success() && !decoded_head.not_run {
+            node.record_success(&content, &server);
         }
-        if !says.closes {
-            node.pool.put(&server, connection, says.idle_timeout);
+        if !decoded_head.closes {
+            node.pool
+                .put(&server, connection, decoded_head.idle_timeout);
         }
     }
 }
@@ -275,18 +277,18 @@
     }
 }
 
-/// Waits for `work` until `give_up_at`; meanwhile a server that stays silent for `patience`
+/// Waits for `work` until `deadline`; meanwhile a server that stays silent for `patience`
 /// is sent nothing new.
 async fn bounded<T>(
     node: &Node,
     server: &ServerKey,
     patience: Duration,
-    give_up_at: Instant,
+    deadline: Instant,
     work: impl std::future::Future<Output = T>,
 ) -> Option<T> {
     tokio::pin!(work);
     let suspect_at = Instant::now() + patience;
-    if suspect_at < give_up_at {
+    if suspect_at < deadline {
         tokio::select! {
             biased;
             done = &mut work => return Some(done),
@@ -299,7 +301,7 @@
     tokio::select! {
         biased;
         done = &mut work => Some(done),
-        () = tokio::time::sleep_until(TokioInstant::from_std(give_up_at)) => None,
+        () = tokio::time::sleep_until(TokioInstant::from_std(deadline)) => None,
     }
 }
 
@@ -318,8 +320,8 @@
 
 /// Has the server looked at that broke an answer off, before the request goes on elsewhere:
 /// one that crashes servers would otherwise reach the next ones faster than it is found out.
-async fn look_at_server(node: &Arc<Node>, run: BrokenRun) {
-    let look = server_fate::look(Arc::clone(node), run);
+async fn look_at_server(node: &Arc<Node>, run: CutOffRequest) {
+    let look = server_probe::look(Arc::clone(node), run);
     // Looked for to the end, also when the caller leaves meanwhile; without a finding in time
     // the request goes on.
     let _ = tokio::time::timeout(FINDING_PATIENCE, tokio::spawn(look)).await;
--- a/crates/foxwheel-node/src/batch_front.rs
+++ b/crates/foxwheel-node/src/batch_front.rs
@@ -21,7 +21,7 @@
 use crate::ledger_keeper;
 use crate::node::Node;
 use crate::peer_calls::{BodyAnswer, NextAsked, PeerError, ReadAnswer, ReadSpec};
-use crate::replies::{self, Reply};
+use crate::responses::{self, CallerResponse};
 use crate::settings::Role;
 
 /// Longest time for storing a submission; the caller waits about four seconds.
@@ -66,9 +66,14 @@
     }
 
     /// Takes a submission to `route`.
-    pub async fn submit(&self, caller: &CallerRequest, route: &Route, body: Bytes) -> Reply {
+    pub async fn submit(
+        &self,
+        caller: &CallerRequest,
+        route: &Route,
+        body: Bytes,
+    ) -> CallerResponse {
         if !is_valid_id(&caller.id) {
-            return replies::problem(
+            return responses::text(
                 StatusCode::BAD_REQUEST,
                 "the job's id is missing or not valid",
             );
@@ -77,7 +82,7 @@
             Ok(items) => items,
             Err(e) => {
                 log::warn!(request_id = caller.id, error:% = e; "submission not valid");
-                return replies::problem(StatusCode::BAD_REQUEST, &e.to_string());
+                return responses::text(StatusCode::BAD_REQUEST, &e.to_string());
             }
         };
         let job = JobSpec {
@@ -95,7 +100,7 @@
             Ok(Admission::OverQuota) => {
                 log::warn!(request_id = job.id, route = route.name, quota_tokens = route.quota_tokens, tokens = job.tokens(), took_ms; "job refused: over quota");
                 self.node.metrics.incr(Counter::JobOverQuota);
-                replies::not_run(StatusCode::TOO_MANY_REQUESTS, QUOTA_RETRY_AFTER)
+                responses::not_run(StatusCode::TOO_MANY_REQUESTS, QUOTA_RETRY_AFTER)
             }
             Ok(admission) => {
                 log::info!(request_id = job.id, route = route.name, admission:? = admission, tokens = job.tokens(), took_ms; "job accepted");
@@ -106,20 +111,20 @@
                 if admission == Admission::Accepted {
                     self.hand_over(job);
                 }
-                replies::status(StatusCode::ACCEPTED)
+                responses::empty(StatusCode::ACCEPTED)
             }
             Err(NotAccepted::Never(e)) => {
                 log::warn!(request_id = job.id, error:% = e, took_ms; "job refused");
                 match e {
                     JobStoreError::ItemTooLarge { .. } => {
-                        replies::problem(StatusCode::PAYLOAD_TOO_LARGE, &e.to_string())
+                        responses::text(StatusCode::PAYLOAD_TOO_LARGE, &e.to_string())
                     }
-                    _ => replies::not_run(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER),
+                    _ => responses::not_run(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER),
                 }
             }
             Err(NotAccepted::Perhaps(e)) => {
                 log::warn!(request_id = job.id, error:% = e, took_ms; "job may be accepted or not");
-                replies::status(StatusCode::BAD_GATEWAY)
+                responses::empty(StatusCode::BAD_GATEWAY)
             }
         }
     }
@@ -198,7 +203,7 @@
     }
 
     /// Serves a call on a job.
-    pub async fn call(&self, call: JobCall) -> Reply {
+    pub async fn call(&self, call: JobCall) -> CallerResponse {
         match call {
             JobCall::Read { job, from, wait } => self.read(job, from, wait).await,
             JobCall::Body { job, item } => self.body(job, item).await,
@@ -206,9 +211,9 @@
         }
     }
 
-    async fn read(&self, job: JobId, from: usize, wait: Duration) -> Reply {
+    async fn read(&self, job: JobId, from: usize, wait: Duration) -> CallerResponse {
         if !is_valid_id(&job) {
-            return replies::status(StatusCode::NOT_FOUND);
+            return responses::empty(StatusCode::NOT_FOUND);
         }
         let workers = self.node.peers.workers(Instant::now());
         let read = ReadSpec {
@@ -230,21 +235,21 @@
             ReadAnswer::Results {
                 item_count,
                 results,
-            } => replies::json(batch_api::encode_read(item_count, from, &results)),
+            } => responses::json(batch_api::encode_read(item_count, from, &results)),
             ReadAnswer::NoSuchJob => {
                 log::warn!(request_id = job; "read of an unknown job");
-                replies::status(StatusCode::NOT_FOUND)
+                responses::empty(StatusCode::NOT_FOUND)
             }
             ReadAnswer::Unsure | ReadAnswer::Elsewhere(_) => {
                 log::warn!(request_id = job; "job not readable now");
-                replies::not_run(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER)
+                responses::not_run(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER)
             }
         }
     }
 
-    async fn body(&self, job: JobId, item: ItemId) -> Reply {
+    async fn body(&self, job: JobId, item: ItemId) -> CallerResponse {
         if !is_valid_id(&job) {
-            return replies::status(StatusCode::NOT_FOUND);
+            return responses::empty(StatusCode::NOT_FOUND);
         }
         let mut asking = Asking::new(self.workers_for(&job));
         while let Some(addr) = asking.next() {
@@ -258,21 +263,21 @@
         };
         match answer {
             BodyAnswer::Body(body) => {
-                let mut reply = replies::status(StatusCode::OK);
-                *reply.body_mut() = replies::whole(body);
+                let mut reply = responses::empty(StatusCode::OK);
+                *reply.body_mut() = responses::full_body(body);
                 reply
             }
-            BodyAnswer::NoSuchItem => replies::status(StatusCode::NOT_FOUND),
+            BodyAnswer::NoSuchItem => responses::empty(StatusCode::NOT_FOUND),
             BodyAnswer::Unsure | BodyAnswer::Elsewhere(_) => {
                 log::warn!(request_id = item, job; "item not readable now");
-                replies::not_run(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER)
+                responses::not_run(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER)
             }
         }
     }
 
-    async fn end(&self, job: JobId) -> Reply {
+    async fn end(&self, job: JobId) -> CallerResponse {
         if !is_valid_id(&job) {
-            return replies::status(StatusCode::NOT_FOUND);
+            return responses::empty(StatusCode::NOT_FOUND);
         }
         let now_unix = Duration::from_millis(time::unix_ms());
         let deadline = Instant::now() + END_TIME;
@@ -284,24 +289,24 @@
             Ok(LedgerAnswer::Standing(JobStanding::Closed)) => {
                 log::info!(request_id = job; "job ended by its caller");
                 self.tell_ended(&job);
-                replies::status(StatusCode::OK)
+                responses::empty(StatusCode::OK)
             }
             Ok(_) => self.end_unknown(&job).await,
             Err(e) => {
                 log::warn!(request_id = job, error:% = e; "end of the job not recorded");
-                replies::status(StatusCode::BAD_GATEWAY)
+                responses::empty(StatusCode::BAD_GATEWAY)
             }
         }
     }
 
     /// An end of a job that is not in the ledger: it was pruned long after it ended, or
     /// never was accepted.
-    async fn end_unknown(&self, job: &JobId) -> Reply {
+    async fn end_unknown(&self, job: &JobId) -> CallerResponse {
         let deadline = Instant::now() + LOAD_TIME;
         match self.store.load_job(job, deadline).await {
-            Ok(Some(_)) => replies::status(StatusCode::OK),
-            Ok(None) => replies::status(StatusCode::NOT_FOUND),
-            Err(_) => replies::not_run(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER),
+            Ok(Some(_)) => responses::empty(StatusCode::OK),
+            Ok(None) => responses::empty(StatusCode::NOT_FOUND),
+            Err(_) => responses::not_run(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER),
         }
     }
 
--- a/crates/foxwheel-node/src/event_stream.rs
+++ b/crates/foxwheel-node/src/event_stream.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether bytes of an event that is not whole yet are left.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
--- a/crates/foxwheel-node/src/followers.rs
+++ b/crates/foxwheel-node/src/followers.rs
@@ -64,7 +64,7 @@
             expire(&node),
             catch_up::run(&node),
             catch_up::ask_peers(&node),
-            request_quarantine::follow_peers(&node),
+            request_quarantine::sync_crash_reports(&node),
             quarantine_store::run(&node),
             probe(&node),
         )
--- a/crates/foxwheel-node/src/front.rs
+++ b/crates/foxwheel-node/src/front.rs
@@ -27,7 +27,7 @@
 use crate::node::Node;
 use crate::online;
 use crate::online_request::OnlineRequest;
-use crate::replies::{self, Reply};
+use crate::responses::{self, CallerResponse};
 
 /// Kept open beyond the operator's idle limit, so that a request sent just before it never
 /// meets a closed connection.
@@ -173,7 +173,7 @@
 }
 
 impl Front {
-    async fn answer(&self, request: Request<Incoming>) -> Reply {
+    async fn answer(&self, request: Request<Incoming>) -> CallerResponse {
         let received_at = Instant::now();
         let mut reply = self.route(request, received_at).await;
         if self.node.is_leaving() {
@@ -190,13 +190,13 @@
         caller: &wire::CallerRequest,
         reason: RefusalReason,
         after: Duration,
-    ) -> Reply {
+    ) -> CallerResponse {
         log::warn!(request_id = caller.id, reason = reason.text(); "request refused");
         self.node.metrics.incr(Counter::Refused(reason));
-        replies::not_run(StatusCode::SERVICE_UNAVAILABLE, after)
+        responses::not_run(StatusCode::SERVICE_UNAVAILABLE, after)
     }
 
-    async fn route(&self, request: Request<Incoming>, received_at: Instant) -> Reply {
+    async fn route(&self, request: Request<Incoming>, received_at: Instant) -> CallerResponse {
         let (head, body) = request.into_parts();
         let caller = wire::decode_request(&head);
         if self.stop.refuse.is_cancelled() {
@@ -207,26 +207,26 @@
         };
         if head_bytes(&head) > config.limits.header_bytes {
             log::warn!(request_id = caller.id, bytes = head_bytes(&head); "request refused: head too large");
-            return replies::status(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
+            return responses::empty(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
         }
         if let Some(call) = job_call(&config, &head, &caller) {
             return self.batch.call(call).await;
         }
         let Some(route) = config.match_route(&caller.host, &caller.path).cloned() else {
             log::warn!(request_id = caller.id, host = caller.host, path = caller.path, version = config.version; "no route");
-            return replies::status(StatusCode::NOT_FOUND);
+            return responses::empty(StatusCode::NOT_FOUND);
         };
         let time_limit = caller.time_limit.unwrap_or(route.timeout);
         let body = match read_body(body, &config.limits, time_limit).await {
             Ok(body) => body,
             Err(status) => {
                 log::warn!(request_id = caller.id, status = status.as_u16(); "request refused: body not read");
-                return replies::status(status);
+                return responses::empty(status);
             }
         };
         if route.kind == RouteKind::Batch {
             if head.method != Method::POST {
-                return replies::status(StatusCode::METHOD_NOT_ALLOWED);
+                return responses::empty(StatusCode::METHOD_NOT_ALLOWED);
             }
             return self.batch.submit(&caller, &route, body).await;
         }
@@ -281,7 +281,7 @@
     let was_ready = Arc::new(was_ready);
     serve_small(addr, move |path| {
         if path != foxwheel_platform::READINESS_PATH {
-            return replies::status(StatusCode::NOT_FOUND);
+            return responses::empty(StatusCode::NOT_FOUND);
         }
         let ready = node.is_informed() && !node.is_leaving();
         let before = was_ready.swap(ready, std::sync::atomic::Ordering::Relaxed);
@@ -289,7 +289,7 @@
             let version = node.config().map(|config| config.version);
             log::info!(ready, version, leaving = node.is_leaving(); "readiness changed");
         }
-        replies::status(match ready {
+        responses::empty(match ready {
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
         })
@@ -300,8 +300,8 @@
 /// Serves the process's counters and histograms at `/metrics` on `addr`.
 pub async fn serve_metrics(node: Arc<Node>, addr: SocketAddr) -> std::io::Result<()> {
     serve_small(addr, move |path| match path {
-        "/metrics" => replies::problem(StatusCode::OK, &node.metrics.render()),
-        _ => replies::status(StatusCode::NOT_FOUND),
+        "/metrics" => responses::text(StatusCode::OK, &node.metrics.render()),
+        _ => responses::empty(StatusCode::NOT_FOUND),
     })
     .await
 }
@@ -309,7 +309,7 @@
 /// Serves plain GETs whose answers are at hand.
 async fn serve_small(
     addr: SocketAddr,
-    answer: impl Fn(&str) -> Reply + Clone + Send + Sync + 'static,
+    answer: impl Fn(&str) -> CallerResponse + Clone + Send + Sync + 'static,
 ) -> std::io::Result<()> {
     let listener = TcpListener::bind(addr).await?;
     tokio::spawn(async move {
--- a/crates/foxwheel-node/src/item_run.rs
+++ b/crates/foxwheel-node/src/item_run.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, StatusCode};
 use tokio_util::sync::CancellationToken;
 
-use crate::attempt::{self, OpenAnswer, Piece, Target};
+use crate::attempt::{self, BodyFrame, OpenResponse, Target};
 use crate::event_stream::EventSplitter;
 use crate::load_table::InFlight;
 use crate::node::Node;
@@ -100,7 +100,7 @@
     };
     let body = Bytes::from(item.body.clone());
     let content = RequestContent::new(Method::POST.as_str(), host, &item.path, body);
-    if !node.admits_item(&content, Instant::now()) {
+    if !node.can_run_item(&content, Instant::now()) {
         // It waits for a trial, or until its route lets it be given up.
         return (RunEnd::Quarantined, "servers crashed under it".to_owned());
     }
@@ -109,8 +109,8 @@
         request_id: item.id.clone(),
         content: Arc::new(content),
         expected_wait: EXPECTED_WAIT,
-        give_up_at: Instant::now() + FIRST_EVENT_PATIENCE,
-        head_by: None,
+        deadline: Instant::now() + FIRST_EVENT_PATIENCE,
+        head_deadline: None,
     };
     match attempt::send(node, target, request).await {
         Ok(answer) => read_answer(answer, output).await,
@@ -123,41 +123,41 @@
     }
 }
 
-async fn read_answer(mut answer: OpenAnswer, output: &SharedOutput) -> (RunEnd, String) {
-    let status = answer.says.status;
-    if status.is_success() && !answer.says.not_run {
+async fn read_answer(mut answer: OpenResponse, output: &SharedOutput) -> (RunEnd, String) {
+    let status = answer.decoded_head.status;
+    if status.is_success() && !answer.decoded_head.not_run {
         return read_events(answer, output).await;
     }
     let end = match status {
-        _ if answer.says.not_run => RunEnd::NotRun,
+        _ if answer.decoded_head.not_run => RunEnd::NotRun,
         StatusCode::UNPROCESSABLE_ENTITY => RunEnd::Impossible,
         StatusCode::INTERNAL_SERVER_ERROR => RunEnd::Failed,
         _ => RunEnd::Broken,
     };
-    let whole = answer.collect(Instant::now() + EVENT_PATIENCE).await;
+    let whole = answer.read_full_body(Instant::now() + EVENT_PATIENCE).await;
     if whole.is_ok() {
         answer.finish();
     }
     (end, format!("server answered {}", status.as_u16()))
 }
 
-async fn read_events(mut answer: OpenAnswer, output: &SharedOutput) -> (RunEnd, String) {
+async fn read_events(mut answer: OpenResponse, output: &SharedOutput) -> (RunEnd, String) {
     let mut splitter = EventSplitter::default();
     let mut patience = FIRST_EVENT_PATIENCE;
     loop {
-        match answer.next_piece(Instant::now() + patience).await {
-            Piece::Data(data) => splitter.push(&data),
-            Piece::End if splitter.has_rest() => {
+        match answer.next_frame(Instant::now() + patience).await {
+            BodyFrame::Data(data) => splitter.push(&data),
+            BodyFrame::End if splitter.has_partial_event() => {
                 return (RunEnd::Broken, "ended within an event".to_owned())
             }
-            Piece::End if last_event_id(output).is_none() => {
+            BodyFrame::End if last_event_id(output).is_none() => {
                 return (RunEnd::Broken, "ended without an event".to_owned())
             }
-            Piece::End => {
+            BodyFrame::End => {
                 answer.finish();
                 return (RunEnd::Whole, String::new());
             }
-            Piece::Broken(reason) => return (RunEnd::Broken, reason),
+            BodyFrame::CutOff(reason) => return (RunEnd::Broken, reason),
         }
         patience = EVENT_PATIENCE;
         while let Some(event) = splitter.next_event() {
--- a/crates/foxwheel-node/src/ledger_follower.rs
+++ b/crates/foxwheel-node/src/ledger_follower.rs
@@ -114,7 +114,7 @@
             Ok(removed) => log::info!(removed; "old checkpoints removed"),
             Err(e) => log::warn!(error:% = e; "old checkpoints not removed"),
         }
-        if let Err(e) = quarantine_store::prune(node).await {
+        if let Err(e) = quarantine_store::delete_expired(node).await {
             log::warn!(error:% = e; "old quarantines not removed");
         }
     }
--- a/crates/foxwheel-node/src/node.rs
+++ b/crates/foxwheel-node/src/node.rs
@@ -28,7 +28,7 @@
 use crate::peer_calls::{KnownState, PeerCalls};
 use crate::peer_messages::Contact;
 use crate::peers::Peers;
-use crate::service_pace::ServicePaces;
+use crate::service_hold_times::ServiceHoldTimes;
 use crate::settings::{NodeSettings, Role};
 use crate::store_access::StoreAccess;
 
@@ -57,7 +57,7 @@
     /// This process's load on each backend server.
     pub loads: Arc<LoadTable>,
     /// How fast the slots of each service are freed.
-    pub paces: ServicePaces,
+    pub paces: ServiceHoldTimes,
     /// Woken to send a heartbeat at once.
     pub load_alarm: Notify,
     /// The other processes.
@@ -110,7 +110,7 @@
             directory: Mutex::default(),
             server_index: Mutex::default(),
             loads: Arc::default(),
-            paces: ServicePaces::default(),
+            paces: ServiceHoldTimes::default(),
             load_alarm: Notify::new(),
             peers: Peers::new(settings.availability_zone.clone(), settings.role),
             speakers: Mutex::default(),
--- a/crates/foxwheel-node/src/online.rs
+++ b/crates/foxwheel-node/src/online.rs
@@ -11,14 +11,14 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::{Response, StatusCode};
 
-use crate::attempt::{OpenAnswer, WholeAnswer};
+use crate::attempt::{FullResponse, OpenResponse};
 use crate::node::Node;
 use crate::online_request::{OnlineRequest, Refusal, LEAST_TIME_LEFT};
 use crate::relay;
-use crate::replies::{self, Reply};
+use crate::responses::{self, CallerResponse};
 
 /// Serves a request to its end.
-pub async fn serve(node: Arc<Node>, mut request: OnlineRequest) -> Reply {
+pub async fn serve(node: Arc<Node>, mut request: OnlineRequest) -> CallerResponse {
     let opened = request.open(&node).await;
     let answered = match opened {
         Ok(answer) if request.route.kind == RouteKind::Stream => {
@@ -42,7 +42,7 @@
             }
             refusal_reply(
                 refusal,
-                Instant::now() + LEAST_TIME_LEFT >= request.answer_by,
+                Instant::now() + LEAST_TIME_LEFT >= request.response_deadline,
             )
         }
     }
@@ -55,7 +55,7 @@
     }
 }
 
-fn stream_reply(node: Arc<Node>, request: OnlineRequest, answer: OpenAnswer) -> Reply {
+fn stream_reply(node: Arc<Node>, request: OnlineRequest, answer: OpenResponse) -> CallerResponse {
     let status = answer.head.status;
     let mut headers = online::caller_headers(&answer.head.headers);
     // The rest may come from another server: its length is not known.
@@ -71,21 +71,21 @@
 async fn whole_reply(
     node: &Arc<Node>,
     request: &mut OnlineRequest,
-    mut answer: OpenAnswer,
-) -> Result<Reply, Refusal> {
+    mut answer: OpenResponse,
+) -> Result<CallerResponse, Refusal> {
     loop {
         let server = answer.server.clone();
-        match answer.collect(request.answer_by).await {
+        match answer.read_full_body(request.response_deadline).await {
             Ok(body) => {
                 let head = answer.head.clone();
                 answer.finish();
                 let age = request.received_at.elapsed();
-                node.paces.note_hold(&request.service, age);
+                node.paces.record_hold_time(&request.service, age);
                 let age_ms = age.as_millis() as u64;
                 let (in_flight, slots) = request.seen_load();
                 let on_time = request.is_on_time();
                 log::info!(request_id = request.caller.id, server = server.id, in_flight, slots, age_ms, on_time; "request served");
-                return Ok(pass_on(WholeAnswer { head, body }));
+                return Ok(pass_on(FullResponse { head, body }));
             }
             Err(reason) => {
                 drop(answer);
@@ -104,24 +104,24 @@
     }
 }
 
-fn pass_on(answer: WholeAnswer) -> Reply {
-    let mut reply = Response::new(replies::whole(answer.body));
+fn pass_on(answer: FullResponse) -> CallerResponse {
+    let mut reply = Response::new(responses::full_body(answer.body));
     *reply.status_mut() = answer.head.status;
     *reply.headers_mut() = online::caller_headers(&answer.head.headers);
     reply.headers_mut().remove(hyper::header::CONTENT_LENGTH);
     reply
 }
 
-fn refusal_reply(refusal: Refusal, timed_out: bool) -> Reply {
+fn refusal_reply(refusal: Refusal, timed_out: bool) -> CallerResponse {
     match refusal {
         Refusal::NotRun { retry_after, .. } => {
-            replies::not_run(StatusCode::SERVICE_UNAVAILABLE, retry_after)
+            responses::not_run(StatusCode::SERVICE_UNAVAILABLE, retry_after)
         }
         Refusal::Failed {
             answer: Some(answer),
             ..
         } => pass_on(answer),
-        Refusal::Failed { .. } if timed_out => replies::status(StatusCode::GATEWAY_TIMEOUT),
-        Refusal::Failed { .. } => replies::status(StatusCode::BAD_GATEWAY),
+        Refusal::Failed { .. } if timed_out => responses::empty(StatusCode::GATEWAY_TIMEOUT),
+        Refusal::Failed { .. } => responses::empty(StatusCode::BAD_GATEWAY),
     }
 }
--- a/crates/foxwheel-node/src/online_request.rs
+++ b/crates/foxwheel-node/src/online_request.rs
@@ -14,7 +14,7 @@
 use foxwheel_policy::routes::{Route, RouteKind};
 use hyper::http::request;
 
-use crate::attempt::{self, Failure, OpenAnswer, Target, WholeAnswer};
+use crate::attempt::{self, Failure, FullResponse, OpenResponse, Target};
 use crate::load_table::{InFlight, WorkClass};
 use crate::node::Node;
 use crate::request_content::RequestContent;
@@ -50,9 +50,9 @@
     /// The last event that the caller has or was sent.
     pub last_event_id: Option<u64>,
     /// When the caller stops waiting.
-    pub caller_gives_up_at: Instant,
+    pub caller_deadline: Instant,
     /// When the operator wants it answered.
-    pub answer_by: Instant,
+    pub response_deadline: Instant,
     /// When its head was read.
     pub received_at: Instant,
     /// What was known of the server that was chosen last, when it was chosen.
@@ -101,8 +101,8 @@
         Self {
             attempts: Attempts::new(route.is_repeatable(), route.max_attempts),
             last_event_id: caller.last_event_id,
-            caller_gives_up_at: received_at + time_limit,
-            answer_by: received_at + time_limit.min(route.timeout),
+            caller_deadline: received_at + time_limit,
+            response_deadline: received_at + time_limit.min(route.timeout),
             tried: Vec::new(),
             choice: None,
             caller,
@@ -125,23 +125,23 @@
         &mut self,
         node: &Arc<Node>,
         broken: &ServerKey,
-    ) -> Option<OpenAnswer> {
+    ) -> Option<OpenResponse> {
         self.tried.push(broken.clone());
         // The operator's time limit ends with the first event; the caller's does not.
-        self.answer_by = self.caller_gives_up_at;
+        self.response_deadline = self.caller_deadline;
         let opened = self.open(node).await;
         opened.inspect_err(|refusal| self.log_refusal(refusal)).ok()
     }
 
     /// Tries servers until one gives a success whose body may be passed on.
-    pub async fn open(&mut self, node: &Arc<Node>) -> Result<OpenAnswer, Refusal> {
+    pub async fn open(&mut self, node: &Arc<Node>) -> Result<OpenResponse, Refusal> {
         loop {
             let now = Instant::now();
-            if let Some(left) = node.quarantined_for(&self.content, now) {
+            if let Some(left) = node.quarantine_time_left(&self.content, now) {
                 // Each further run would crash one more server under other callers' requests.
                 return Err(self.refusal(RefusalReason::Quarantined, left));
             }
-            if now + LEAST_TIME_LEFT >= self.answer_by {
+            if now + LEAST_TIME_LEFT >= self.response_deadline {
                 return Err(self.refusal(RefusalReason::TimeIsUp, TIME_UP_RETRY_AFTER));
             }
             let slot = match self.place(node).await {
@@ -182,7 +182,7 @@
     }
 
     async fn place(&mut self, node: &Node) -> Placed {
-        let wait_until = (Instant::now() + SLOT_WAIT).min(self.answer_by);
+        let wait_until = (Instant::now() + SLOT_WAIT).min(self.response_deadline);
         loop {
             let now = Instant::now();
             let mut candidates = node.candidates(&self.service, &self.tried, now);
@@ -220,11 +220,11 @@
         }
     }
 
-    async fn attempt(&self, node: &Arc<Node>, slot: InFlight) -> Result<OpenAnswer, Failure> {
+    async fn attempt(&self, node: &Arc<Node>, slot: InFlight) -> Result<OpenResponse, Failure> {
         let now = Instant::now();
         let limit = match self.route.kind {
-            RouteKind::Stream => self.caller_gives_up_at,
-            _ => self.answer_by,
+            RouteKind::Stream => self.caller_deadline,
+            _ => self.response_deadline,
         };
         let attempt = Attempt {
             server: &slot.server().id,
@@ -239,12 +239,12 @@
             request_id: self.caller.id.clone(),
             content: Arc::clone(&self.content),
             expected_wait: self.choice.map_or(Duration::ZERO, |one| one.expected_wait),
-            give_up_at: self.answer_by,
-            head_by: again.then(|| now + HEAD_PATIENCE),
+            deadline: self.response_deadline,
+            head_deadline: again.then(|| now + HEAD_PATIENCE),
         };
         let mut answer = attempt::send(node, target, request).await?;
-        if answer.says.status.is_success() && !answer.says.not_run {
-            if answer.says.signed {
+        if answer.decoded_head.status.is_success() && !answer.decoded_head.not_run {
+            if answer.decoded_head.signed {
                 return Ok(answer);
             }
             return Err(Failure::new(
@@ -252,13 +252,13 @@
                 "success without a signature",
             ));
         }
-        if answer.says.not_run {
-            let reason = format!("rejected with {}", answer.says.status.as_u16());
-            let outcome = match answer.says.another_instance {
+        if answer.decoded_head.not_run {
+            let reason = format!("rejected with {}", answer.decoded_head.status.as_u16());
+            let outcome = match answer.decoded_head.another_instance {
                 true => AttemptOutcome::Gone,
                 false => AttemptOutcome::Rejected,
             };
-            if answer.collect(self.answer_by).await.is_ok() {
+            if answer.read_full_body(self.response_deadline).await.is_ok() {
                 answer.finish();
             }
             return Err(Failure::new(outcome, reason));
@@ -267,16 +267,16 @@
     }
 
     /// A failure that the server itself answered.
-    async fn server_failure(&self, mut answer: OpenAnswer) -> Failure {
-        let reason = format!("server answered {}", answer.says.status.as_u16());
-        match answer.collect(self.answer_by).await {
-            Ok(body) if answer.says.signed => {
+    async fn server_failure(&self, mut answer: OpenResponse) -> Failure {
+        let reason = format!("server answered {}", answer.decoded_head.status.as_u16());
+        match answer.read_full_body(self.response_deadline).await {
+            Ok(body) if answer.decoded_head.signed => {
                 let head = answer.head.clone();
                 answer.finish();
                 Failure {
                     outcome: AttemptOutcome::Failed,
                     reason,
-                    answer: Some(WholeAnswer { head, body }),
+                    answer: Some(FullResponse { head, body }),
                 }
             }
             _ => Failure::new(AttemptOutcome::Unknown, reason),
@@ -351,7 +351,7 @@
         /// Why, for the log.
         reason: String,
         /// The server's own failure.
-        answer: Option<WholeAnswer>,
+        answer: Option<FullResponse>,
     },
 }
 
--- a/crates/foxwheel-node/src/process.rs
+++ b/crates/foxwheel-node/src/process.rs
@@ -81,11 +81,11 @@
     let settings = &node.settings;
     log::info!(role:? = settings.role, zone = settings.availability_zone, incarnation = node.incarnation, version = env!("CARGO_PKG_VERSION"); "process started");
     let cancel = CancellationToken::new();
-    let addr = settings.bound(settings.peer_ports.0);
+    let addr = settings.bind_address(settings.peer_ports.0);
     let socket = UdpSocket::bind(addr).await?;
     peer_server::serve(Arc::clone(node), jobs, addr, cancel.clone()).await?;
     if let Some(port) = settings.metrics_port {
-        front::serve_metrics(Arc::clone(node), settings.bound(port)).await?;
+        front::serve_metrics(Arc::clone(node), settings.bind_address(port)).await?;
     }
     tokio::spawn(heartbeat::run(Arc::clone(node), socket, cancel.clone()));
     tokio::spawn(followers::run(Arc::clone(node), cancel.clone()));
--- a/crates/foxwheel-node/src/quarantine_store.rs
+++ b/crates/foxwheel-node/src/quarantine_store.rs
@@ -54,7 +54,7 @@
     let now_unix = Duration::from_millis(time::unix_ms());
     for object in &objects {
         match decode(object, now_unix) {
-            Ok(crashes) => node.take_crashes(&crashes, "store"),
+            Ok(crashes) => node.apply_crash_reports(&crashes, "store"),
             Err(e) => log::warn!(content = object.name, error:% = e; "saved crashes passed over"),
         }
     }
@@ -121,7 +121,7 @@
 }
 
 /// Removes what is too old to be remembered; answers how much.
-pub async fn prune(node: &Node) -> Result<usize, StoreError> {
+pub async fn delete_expired(node: &Node) -> Result<usize, StoreError> {
     let listing = node.store.list(KIND).await?;
     let now_unix = Duration::from_millis(time::unix_ms());
     let is_old = |object: &&Object| {
--- a/crates/foxwheel-node/src/relay.rs
+++ b/crates/foxwheel-node/src/relay.rs
@@ -8,11 +8,11 @@
 use futures::Stream;
 use hyper::body::Frame;
 
-use crate::attempt::{OpenAnswer, Piece};
+use crate::attempt::{BodyFrame, OpenResponse};
 use crate::event_stream::EventSplitter;
 use crate::node::Node;
 use crate::online_request::OnlineRequest;
-use crate::replies::RelayError;
+use crate::responses::RelayError;
 
 /// Silence between events after which a resumable stream goes on elsewhere: several times
 /// the longest pause that callers count as on time, far below where they give up.
@@ -22,7 +22,7 @@
 pub fn relay(
     node: Arc<Node>,
     mut request: OnlineRequest,
-    mut answer: OpenAnswer,
+    mut answer: OpenResponse,
 ) -> impl Stream<Item = Result<Frame<Bytes>, RelayError>> {
     async_stream::try_stream! {
         let mut splitter = EventSplitter::default();
@@ -31,16 +31,16 @@
         let mut first = None;
         loop {
             let resumable = request.route.is_repeatable();
-            let give_up_at = silence_limit(&request);
-            let piece = answer.next_piece(give_up_at).await;
-            if first.is_none() && matches!(piece, Piece::Data(_)) {
+            let deadline = silence_limit(&request);
+            let piece = answer.next_frame(deadline).await;
+            if first.is_none() && matches!(piece, BodyFrame::Data(_)) {
                 let age = request.received_at.elapsed();
                 node.metrics.time(Timer::FirstAnswer, age);
                 first = Some((age, request.is_on_time()));
             }
             match piece {
-                Piece::Data(data) if !resumable => yield Frame::data(data),
-                Piece::Data(data) => {
+                BodyFrame::Data(data) if !resumable => yield Frame::data(data),
+                BodyFrame::Data(data) => {
                     splitter.push(&data);
                     let whole = whole_events(&mut splitter, &mut request, &mut events);
                     if whole.is_err() {
@@ -51,20 +51,20 @@
                         yield Frame::data(whole);
                     }
                 }
-                Piece::End if !splitter.has_rest() => {
+                BodyFrame::End if !splitter.has_partial_event() => {
                     let (first_age, on_time) = first.unwrap_or_default();
                     request.count_served(&node, on_time);
-                    node.paces.note_hold(&request.service, started.elapsed());
+                    node.paces.record_hold_time(&request.service, started.elapsed());
                     let (in_flight, slots) = request.seen_load();
                     log::info!(request_id = request.caller.id, server = answer.server.id, in_flight, slots, events, on_time, first_ms = first_age.as_millis() as u64, took_ms = started.elapsed().as_millis() as u64; "stream complete");
                     answer.finish();
                     break;
                 }
-                Piece::End => {
+                BodyFrame::End => {
                     answer = resume(&node, &mut request, answer, "ended within an event").await?;
                     splitter.clear();
                 }
-                Piece::Broken(reason) => {
+                BodyFrame::CutOff(reason) => {
                     answer = resume(&node, &mut request, answer, &reason).await?;
                     splitter.clear();
                 }
@@ -77,11 +77,9 @@
 fn silence_limit(request: &OnlineRequest) -> Instant {
     let elsewhere = request.route.is_repeatable() && request.attempts.may_run_again();
     if elsewhere {
-        request
-            .caller_gives_up_at
-            .min(Instant::now() + RESUME_SILENCE)
+        request.caller_deadline.min(Instant::now() + RESUME_SILENCE)
     } else {
-        request.caller_gives_up_at
+        request.caller_deadline
     }
 }
 
@@ -114,9 +112,9 @@
 async fn resume(
     node: &Arc<Node>,
     request: &mut OnlineRequest,
-    broken: OpenAnswer,
+    broken: OpenResponse,
     reason: &str,
-) -> Result<OpenAnswer, RelayError> {
+) -> Result<OpenResponse, RelayError> {
     let server = broken.server.clone();
     // Closes the connection first, so that two servers never work on one request.
     drop(broken);
--- a/crates/foxwheel-node/src/request_quarantine.rs
+++ b/crates/foxwheel-node/src/request_quarantine.rs
@@ -25,8 +25,8 @@
 
 impl Node {
     /// For how long a request must not be run, if its content is quarantined.
-    pub fn quarantined_for(&self, content: &RequestContent, now: Instant) -> Option<Duration> {
-        if self.knows_no_crash() {
+    pub fn quarantine_time_left(&self, content: &RequestContent, now: Instant) -> Option<Duration> {
+        if self.has_no_crashes() {
             return None;
         }
         let content = content.fingerprint();
@@ -38,8 +38,8 @@
     }
 
     /// Whether a batch item with that content may run.
-    pub fn admits_item(&self, content: &RequestContent, now: Instant) -> bool {
-        if self.knows_no_crash() {
+    pub fn can_run_item(&self, content: &RequestContent, now: Instant) -> bool {
+        if self.has_no_crashes() {
             return true;
         }
         let content = content.fingerprint();
@@ -48,7 +48,7 @@
     }
 
     /// Takes note that a server crashed while a request with that content was there.
-    pub fn note_crash(&self, content: &ContentFingerprint, crash: SeenCrash) {
+    pub fn record_crash(&self, content: &ContentFingerprint, crash: SeenCrash) {
         let mut quarantine = self.quarantine.lock().expect("quarantine lock");
         let is_quarantined = quarantine.note_crash(content, crash, Instant::now());
         drop(quarantine);
@@ -61,7 +61,7 @@
     }
 
     /// Takes crashes that `source` knows of.
-    pub fn take_crashes(&self, reports: &[CrashReport], source: &str) {
+    pub fn apply_crash_reports(&self, reports: &[CrashReport], source: &str) {
         let mut quarantine = self.quarantine.lock().expect("quarantine lock");
         let is_news = quarantine.merge(reports, Instant::now());
         drop(quarantine);
@@ -73,8 +73,8 @@
     }
 
     /// Takes note that `server` answered a request with that content whole.
-    pub fn note_success(&self, content: &RequestContent, server: &ServerKey) {
-        if self.knows_no_crash() {
+    pub fn record_success(&self, content: &RequestContent, server: &ServerKey) {
+        if self.has_no_crashes() {
             return;
         }
         let Some(server) = self.listed_server(server) else {
@@ -91,7 +91,7 @@
     }
 
     /// Whether no crash is known: then no request needs a fingerprint.
-    fn knows_no_crash(&self) -> bool {
+    fn has_no_crashes(&self) -> bool {
         self.quarantine.lock().expect("quarantine lock").is_empty()
     }
 
@@ -102,7 +102,7 @@
 }
 
 /// Asks each process that tells of another state, once for each state.
-pub async fn follow_peers(node: &Node) {
+pub async fn sync_crash_reports(node: &Node) {
     // What each process was last asked for; sorted by address.
     let mut asked: Vec<(SocketAddr, QuarantineState)> = Vec::new();
     loop {
@@ -135,6 +135,6 @@
             return false;
         }
     };
-    node.take_crashes(&reports, &addr.to_string());
+    node.apply_crash_reports(&reports, &addr.to_string());
     true
 }
--- a/crates/foxwheel-node/src/replies.rs
+++ b/crates/foxwheel-node/src/responses.rs
@@ -22,28 +22,28 @@
 }
 
 /// Body of every answer to a caller.
-pub type ReplyBody = UnsyncBoxBody<Bytes, RelayError>;
+pub type CallerBody = UnsyncBoxBody<Bytes, RelayError>;
 
 /// An answer to a caller.
-pub type Reply = Response<ReplyBody>;
+pub type CallerResponse = Response<CallerBody>;
 
 /// A whole body.
-pub fn whole(bytes: impl Into<Bytes>) -> ReplyBody {
+pub fn full_body(bytes: impl Into<Bytes>) -> CallerBody {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
 }
 
 /// An answer without a body.
-pub fn status(status: StatusCode) -> Reply {
-    let mut reply = Response::new(whole(Bytes::new()));
+pub fn empty(status: StatusCode) -> CallerResponse {
+    let mut reply = Response::new(full_body(Bytes::new()));
     *reply.status_mut() = status;
     reply
 }
 
 /// An answer with a line of text that says what is wrong.
-pub fn problem(code: StatusCode, text: &str) -> Reply {
-    let mut reply = Response::new(whole(text.to_owned()));
+pub fn text(code: StatusCode, text: &str) -> CallerResponse {
+    let mut reply = Response::new(full_body(text.to_owned()));
     *reply.status_mut() = code;
     reply
         .headers_mut()
@@ -52,8 +52,8 @@
 }
 
 /// A JSON answer.
-pub fn json(bytes: Vec<u8>) -> Reply {
-    let mut reply = Response::new(whole(bytes));
+pub fn json(bytes: Vec<u8>) -> CallerResponse {
+    let mut reply = Response::new(full_body(bytes));
     reply
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -61,8 +61,8 @@
 }
 
 /// "Not run, come back after `retry_after`": only for a request that never will run.
-pub fn not_run(code: StatusCode, retry_after: Duration) -> Reply {
-    let mut reply = status(code);
+pub fn not_run(code: StatusCode, retry_after: Duration) -> CallerResponse {
+    let mut reply = empty(code);
     let seconds = format!("{:.3}", retry_after.as_secs_f64());
     if let Ok(value) = HeaderValue::from_str(&seconds) {
         reply.headers_mut().insert(RETRY_AFTER, value);
--- a/crates/foxwheel-node/src/server_fate.rs
+++ b/crates/foxwheel-node/src/server_probe.rs
@@ -22,7 +22,7 @@
 
 /// What became of a server whose answer broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ServerFate {
+pub enum ServerLiveness {
     /// Its process ended unasked: nothing listens at its address any more.
     Ended,
     /// Its address takes connections: only that one broke, or its server started again, for
@@ -36,7 +36,7 @@
 
 /// A request whose answer broke at a server.
 #[derive(Debug, Clone)]
-pub struct BrokenRun {
+pub struct CutOffRequest {
     /// The server.
     pub server: ServerKey,
     /// The request's id.
@@ -50,31 +50,31 @@
 }
 
 /// Looks at the server of `run`; a crash is held against the request's content.
-pub async fn look(node: Arc<Node>, run: BrokenRun) {
+pub async fn look(node: Arc<Node>, run: CutOffRequest) {
     let listed = node.listed_server(&run.server);
     let ready = listed.filter(|server| server.state == ServerState::Ready);
     let fate = match &ready {
         Some(server) => fate_of(server).await,
-        None => ServerFate::Leaving,
+        None => ServerLiveness::Leaving,
     };
     let content = run.content.fingerprint();
     log::info!(request_id = run.request_id, content, server = run.server.id, incarnation = run.server.incarnation, fate:? = fate; "answer broke");
-    if let Some(server) = ready.filter(|_| fate == ServerFate::Ended) {
+    if let Some(server) = ready.filter(|_| fate == ServerLiveness::Ended) {
         let crash = SeenCrash {
             server: zone_loads::fingerprint(&run.server),
             service: server.service,
             sent_at: run.sent_at,
             broke_at: run.broke_at,
         };
-        node.note_crash(content, crash);
+        node.record_crash(content, crash);
     }
 }
 
-async fn fate_of(server: &BackendServer) -> ServerFate {
+async fn fate_of(server: &BackendServer) -> ServerLiveness {
     tokio::time::sleep(LOOK_AFTER).await;
     match connection::listening(server.addr, LOOK_FOR).await {
-        Listening::Refuses => ServerFate::Ended,
-        Listening::Accepts => ServerFate::Lives,
-        Listening::NoAnswer => ServerFate::Unknown,
+        Listening::Refuses => ServerLiveness::Ended,
+        Listening::Accepts => ServerLiveness::Lives,
+        Listening::NoAnswer => ServerLiveness::Unknown,
     }
 }
--- a/crates/foxwheel-node/src/service_pace.rs
+++ b/crates/foxwheel-node/src/service_hold_times.rs
@@ -13,7 +13,7 @@
 
 /// The services that this front has sent requests to.
 #[derive(Debug, Default)]
-pub struct ServicePaces(Mutex<Vec<Pace>>);
+pub struct ServiceHoldTimes(Mutex<Vec<Pace>>);
 
 #[derive(Debug)]
 struct Pace {
@@ -22,9 +22,9 @@
     returns: ReturnTimes,
 }
 
-impl ServicePaces {
+impl ServiceHoldTimes {
     /// Takes note of a request of `service` that was served and held its slot for `held`.
-    pub fn note_hold(&self, service: &ServiceName, held: Duration) {
+    pub fn record_hold_time(&self, service: &ServiceName, held: Duration) {
         self.with(service, |pace| pace.hold_time.push_duration(held));
     }
 
--- a/crates/foxwheel-node/src/settings.rs
+++ b/crates/foxwheel-node/src/settings.rs
@@ -82,7 +82,7 @@
     }
 
     /// Where it listens on `port`.
-    pub fn bound(&self, port: u16) -> SocketAddr {
+    pub fn bind_address(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.bind_ip.unwrap_or(self.ip), port)
     }
 }
--- a/crates/foxwheel-node/tests/attempt.rs
+++ b/crates/foxwheel-node/tests/attempt.rs
@@ -51,8 +51,8 @@
         request_id: "late".to_owned(),
         content: Arc::new(RequestContent::new("POST", "h", "/a", Default::default())),
         expected_wait: Duration::ZERO,
-        give_up_at: Instant::now() + Duration::from_secs(5),
-        head_by: None,
+        deadline: Instant::now() + Duration::from_secs(5),
+        head_deadline: None,
     };
     let request = caller::request(Method::POST, "/plain/a", "late", &[], "");
     let (sent, _) = tokio::join!(attempt::send(&node, target, request), async {
--- a/crates/foxwheel-node/tests/untrusted_input.rs
+++ b/crates/foxwheel-node/tests/untrusted_input.rs
@@ -147,10 +147,10 @@
             rest = behind;
         }
         assert_eq!(got, expected);
-        assert_eq!(in_pieces.has_rest(), at_once.has_rest());
+        assert_eq!(in_pieces.has_partial_event(), at_once.has_partial_event());
         let given_out: usize = got.iter().map(|event| event.bytes.len()).sum();
         assert!(stream.len() >= given_out);
-        assert_eq!(stream.len() > given_out, at_once.has_rest());
+        assert_eq!(stream.len() > given_out, at_once.has_partial_event());
         Ok(())
     });
 }
