--- a/crates/foxwheel-node/src/attempt.rs
+++ b/crates/foxwheel-node/src/attempt.rs
@@ -162,21 +162,21 @@
     let (head, body) = response.into_parts();
     let decoded_head = online::decode_answer(&head, &target.request_id);
     if decoded_head.foreign || decoded_head.encoded {
-        node.loads.note_outcome(server, true, Instant::now());
+        node.loads.record_outcome(server, true, Instant::now());
         return Err(Failure::new(
             AttemptOutcome::Unknown,
             "answer is not the request's",
         ));
     }
     let now = Instant::now();
-    node.loads.progress(server, now);
+    node.loads.record_progress(server, now);
     if decoded_head.another_instance {
-        node.note_gone(server);
+        node.record_dead_instance(server);
     }
     if decoded_head.status.is_success() || decoded_head.status == StatusCode::INTERNAL_SERVER_ERROR
     {
         let failed = !decoded_head.status.is_success();
-        node.loads.note_outcome(server, failed, now);
+        node.loads.record_outcome(server, failed, now);
     }
     Ok(OpenResponse {
         head,
@@ -202,7 +202,9 @@
                 Some(None) => BodyFrame::End,
                 Some(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) => {
-                        self.node.loads.progress(&self.server, Instant::now());
+                        self.node
+                            .loads
+                            .record_progress(&self.server, Instant::now());
                         BodyFrame::Data(data)
                     }
                     // Trailers concern the connection only.
@@ -313,7 +315,7 @@
         ExchangeError::Connect { .. } => note_suspect(node, server, "no connection"),
         ExchangeError::NotSent { .. } if !is_new => {}
         ExchangeError::NotSent { .. } | ExchangeError::Broken { .. } => {
-            node.loads.note_outcome(server, true, Instant::now());
+            node.loads.record_outcome(server, true, Instant::now());
         }
     }
 }
@@ -328,7 +330,7 @@
 }
 
 fn note_suspect(node: &Node, server: &ServerKey, reason: &str) {
-    if node.loads.suspect(server, Instant::now()) {
+    if node.loads.mark_suspected(server, Instant::now()) {
         log::info!(server = server.id, reason; "backend server suspected");
     }
 }
--- a/crates/foxwheel-node/src/batch_front.rs
+++ b/crates/foxwheel-node/src/batch_front.rs
@@ -20,7 +20,7 @@
 use crate::job_store::{JobStore, JobStoreError};
 use crate::ledger_keeper;
 use crate::node::Node;
-use crate::peer_calls::{BodyAnswer, NextAsked, PeerError, ReadAnswer, ReadSpec};
+use crate::peer_calls::{ItemBodyResponse, NextPeer, PeerError, ResultsQuery, ResultsResponse};
 use crate::responses::{self, CallerResponse};
 use crate::settings::Role;
 
@@ -185,7 +185,7 @@
     /// job in the ledger.
     fn hand_over(&self, job: JobSpec) {
         let now = Instant::now();
-        let workers = self.node.peers.workers(now);
+        let workers = self.node.peers.live_workers(now);
         let Some(first) = ownership::first_choice(&job.id, &workers) else {
             log::warn!(request_id = job.id; "no live worker, the ledger keeps the job");
             return;
@@ -196,7 +196,7 @@
         let node = Arc::clone(&self.node);
         tokio::spawn(async move {
             let id = job.id.clone();
-            if let Err(e) = node.peer_calls.accepted(addr, job).await {
+            if let Err(e) = node.peer_calls.send_accepted_job(addr, job).await {
                 log::warn!(request_id = id, error:% = e; "job not handed over, the ledger keeps it");
             }
         });
@@ -215,8 +215,8 @@
         if !is_valid_id(&job) {
             return responses::empty(StatusCode::NOT_FOUND);
         }
-        let workers = self.node.peers.workers(Instant::now());
-        let read = ReadSpec {
+        let workers = self.node.peers.live_workers(Instant::now());
+        let read = ResultsQuery {
             from,
             max_bytes: batch_api::MAX_READ_BYTES,
             known_parts: ownership::known_parts(&job, &workers),
@@ -224,23 +224,27 @@
         };
         let mut asking = Asking::new(self.workers_for(&job));
         while let Some(addr) = asking.next() {
-            let answer = self.node.peer_calls.read(addr, job.clone(), read).await;
-            asking.take(answer, ReadAnswer::next_asked, &job);
+            let answer = self
+                .node
+                .peer_calls
+                .read_results(addr, job.clone(), read)
+                .await;
+            asking.take(answer, ResultsResponse::next_peer, &job);
         }
         let answer = match asking.settled {
             Some(answer) => answer,
             None => self.read_from_store(&job, from).await,
         };
         match answer {
-            ReadAnswer::Results {
+            ResultsResponse::Results {
                 item_count,
                 results,
             } => responses::json(batch_api::encode_read(item_count, from, &results)),
-            ReadAnswer::NoSuchJob => {
+            ResultsResponse::NoSuchJob => {
                 log::warn!(request_id = job; "read of an unknown job");
                 responses::empty(StatusCode::NOT_FOUND)
             }
-            ReadAnswer::Unsure | ReadAnswer::Elsewhere(_) => {
+            ResultsResponse::Unsure | ResultsResponse::Elsewhere(_) => {
                 log::warn!(request_id = job; "job not readable now");
                 responses::not_run(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER)
             }
@@ -254,21 +258,21 @@
         let mut asking = Asking::new(self.workers_for(&job));
         while let Some(addr) = asking.next() {
             let calls = &self.node.peer_calls;
-            let answer = calls.body(addr, job.clone(), item.clone()).await;
-            asking.take(answer, BodyAnswer::next_asked, &job);
+            let answer = calls.read_item_body(addr, job.clone(), item.clone()).await;
+            asking.take(answer, ItemBodyResponse::next_peer, &job);
         }
         let answer = match asking.settled {
             Some(answer) => answer,
             None => self.body_from_store(&job, &item).await,
         };
         match answer {
-            BodyAnswer::Body(body) => {
+            ItemBodyResponse::Body(body) => {
                 let mut reply = responses::empty(StatusCode::OK);
                 *reply.body_mut() = responses::full_body(body);
                 reply
             }
-            BodyAnswer::NoSuchItem => responses::empty(StatusCode::NOT_FOUND),
-            BodyAnswer::Unsure | BodyAnswer::Elsewhere(_) => {
+            ItemBodyResponse::NoSuchItem => responses::empty(StatusCode::NOT_FOUND),
+            ItemBodyResponse::Unsure | ItemBodyResponse::Elsewhere(_) => {
                 log::warn!(request_id = item, job; "item not readable now");
                 responses::not_run(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER)
             }
@@ -312,11 +316,11 @@
 
     /// Tells every worker: more than one may believe that it runs the job.
     fn tell_ended(&self, job: &JobId) {
-        for (_, addr) in self.node.peers.live(Role::Worker, Instant::now()) {
+        for (_, addr) in self.node.peers.live_processes(Role::Worker, Instant::now()) {
             let node = Arc::clone(&self.node);
             let job = job.clone();
             tokio::spawn(async move {
-                if let Err(e) = node.peer_calls.ended(addr, job.clone()).await {
+                if let Err(e) = node.peer_calls.send_ended_job(addr, job.clone()).await {
                     log::info!(request_id = job, error:% = e; "worker not told of the end, the ledger tells it");
                 }
             });
@@ -327,7 +331,7 @@
     /// hold it.
     fn workers_for(&self, job: &JobId) -> Vec<SocketAddr> {
         let now = Instant::now();
-        let workers = self.node.peers.workers(now);
+        let workers = self.node.peers.live_workers(now);
         let holders = workers.iter().filter(|worker| worker.holds(job));
         let mut hosts: Vec<&str> = holders.map(|worker| worker.node.as_str()).collect();
         if let Some(first) = ownership::first_choice(job, &workers) {
@@ -341,35 +345,37 @@
     }
 
     fn worker_addr(&self, host: &str, now: Instant) -> Option<SocketAddr> {
-        let live = self.node.peers.live(Role::Worker, now);
+        let live = self.node.peers.live_processes(Role::Worker, now);
         live.into_iter()
             .find(|(name, _)| name == host)
             .map(|(_, addr)| addr)
     }
 
-    async fn read_from_store(&self, job: &JobId, from: usize) -> ReadAnswer {
+    async fn read_from_store(&self, job: &JobId, from: usize) -> ResultsResponse {
         match self.progress_from_store(job).await {
-            Ok(Some(progress)) => ReadAnswer::Results {
+            Ok(Some(progress)) => ResultsResponse::Results {
                 item_count: progress.spec.items.len(),
                 results: progress.listed.into_iter().skip(from).collect(),
             },
-            Ok(None) => ReadAnswer::NoSuchJob,
+            Ok(None) => ResultsResponse::NoSuchJob,
             Err(e) => {
                 log::info!(request_id = job, error:% = e; "job not read from the store");
-                ReadAnswer::Unsure
+                ResultsResponse::Unsure
             }
         }
     }
 
-    async fn body_from_store(&self, job: &JobId, item: &ItemId) -> BodyAnswer {
+    async fn body_from_store(&self, job: &JobId, item: &ItemId) -> ItemBodyResponse {
         let deadline = Instant::now() + LOAD_TIME;
         match self.store.load_job(job, deadline).await {
             Ok(found) => found
                 .and_then(|job| job.items.into_iter().find(|spec| spec.id == *item))
-                .map_or(BodyAnswer::NoSuchItem, |spec| BodyAnswer::Body(spec.body)),
+                .map_or(ItemBodyResponse::NoSuchItem, |spec| {
+                    ItemBodyResponse::Body(spec.body)
+                }),
             Err(e) => {
                 log::info!(request_id = item, error:% = e; "item not read from the store");
-                BodyAnswer::Unsure
+                ItemBodyResponse::Unsure
             }
         }
     }
@@ -410,14 +416,14 @@
     fn take(
         &mut self,
         answer: Result<A, PeerError>,
-        next_asked: impl Fn(&A) -> NextAsked,
+        next_peer: impl Fn(&A) -> NextPeer,
         job: &JobId,
     ) {
         match answer {
-            Ok(answer) => match next_asked(&answer) {
-                NextAsked::Nobody => self.settled = Some(answer),
-                NextAsked::Worker(holder) => self.workers.push_front(holder),
-                NextAsked::Others => {}
+            Ok(answer) => match next_peer(&answer) {
+                NextPeer::Nobody => self.settled = Some(answer),
+                NextPeer::Worker(holder) => self.workers.push_front(holder),
+                NextPeer::Others => {}
             },
             Err(e) => log::info!(request_id = job, error:% = e; "worker did not answer a read"),
         }
--- a/crates/foxwheel-node/src/outbox.rs
+++ b/crates/foxwheel-node/src/datagram_sender.rs
@@ -11,12 +11,12 @@
 
 /// Where messages go out.
 #[derive(Clone)]
-pub struct Outbox {
+pub struct DatagramSender {
     node: Arc<Node>,
     socket: Arc<UdpSocket>,
 }
 
-impl Outbox {
+impl DatagramSender {
     /// Messages of `node` go out by `socket`.
     pub fn new(node: Arc<Node>, socket: Arc<UdpSocket>) -> Self {
         Self { node, socket }
--- a/crates/foxwheel-node/src/discovery.rs
+++ b/crates/foxwheel-node/src/discovery.rs
@@ -7,7 +7,7 @@
 use foxwheel_platform::store::{EncodedJson, Object, Write, Written};
 
 use crate::node::Node;
-use crate::peer_messages::Contact;
+use crate::peer_messages::PeerEndpoint;
 use crate::store_access::Backoff;
 
 /// How often the other processes' entries are read again.
@@ -19,7 +19,7 @@
 /// Reads where the other processes are. A process that starts later is heard by its
 /// heartbeats, so this is a start and a remedy, not a watch: a watch would wake every
 /// process for each one that starts.
-pub async fn find_processes(node: &Node) {
+pub async fn discover_processes(node: &Node) {
     let mut backoff = Backoff::default();
     loop {
         match node.store.list(NODES_KIND).await {
@@ -30,26 +30,26 @@
                 backoff = Backoff::default();
                 tokio::time::sleep(FIND_PROCESSES_EVERY).await;
             }
-            Err(_) => node.store.pause(backoff.pause()).await,
+            Err(_) => node.store.wait_before_retry(backoff.next_delay()).await,
         }
     }
 }
 
 fn note_process(node: &Node, object: &Object) {
     let own = node.settings.peer_address();
-    match serde_json::from_value::<Contact>(object.spec.clone()) {
-        Ok(contact) if contact.addr != own => node.peers.note_contact(&contact, Instant::now()),
+    match serde_json::from_value::<PeerEndpoint>(object.spec.clone()) {
+        Ok(contact) if contact.addr != own => node.peers.add_endpoint(&contact, Instant::now()),
         Ok(_) => {}
         Err(e) => log::warn!(host = object.name, error:% = e; "process entry not readable"),
     }
 }
 
 /// Announces this process once, so that the others send it heartbeats.
-pub async fn announce(node: &Node) {
+pub async fn announce_process(node: &Node) {
     let own = node.settings.peer_address();
     for seed in &node.settings.seeds {
         let addr = SocketAddr::new(seed.ip(), own.port());
-        node.peers.note_address(addr, own, Instant::now());
+        node.peers.add_address(addr, own, Instant::now());
     }
     let spec: EncodedJson = serde_json::json!(node.contact()).to_string();
     let kind = NODES_KIND.to_owned();
@@ -76,7 +76,7 @@
         };
         match written {
             Ok(Written::Done(_)) => return log::info!(addr:% = own; "process announced"),
-            Ok(_) | Err(_) => node.store.pause(backoff.pause()).await,
+            Ok(_) | Err(_) => node.store.wait_before_retry(backoff.next_delay()).await,
         }
     }
 }
--- a/crates/foxwheel-node/src/front.rs
+++ b/crates/foxwheel-node/src/front.rs
@@ -283,7 +283,7 @@
         if path != foxwheel_platform::READINESS_PATH {
             return responses::empty(StatusCode::NOT_FOUND);
         }
-        let ready = node.is_informed() && !node.is_leaving();
+        let ready = node.is_synced() && !node.is_leaving();
         let before = was_ready.swap(ready, std::sync::atomic::Ordering::Relaxed);
         if ready != before {
             let version = node.config().map(|config| config.version);
--- a/crates/foxwheel-node/src/heartbeat.rs
+++ b/crates/foxwheel-node/src/heartbeat.rs
@@ -17,15 +17,15 @@
 use tokio::net::UdpSocket;
 use tokio_util::sync::CancellationToken;
 
-use crate::contacts::Reach;
+use crate::datagram_sender::DatagramSender;
 use crate::load_table::ServerLoad;
 use crate::node::Node;
-use crate::other_zones::Via;
-use crate::outbox::Outbox;
+use crate::other_zones::SummarySource;
+use crate::peer_directory::HeartbeatScope;
 use crate::peer_messages::{
-    AgedSummary, Contact, GuestLoads, Heartbeat, Introduction, LoadChanges, PeerMessage,
+    AgedSummary, CrossZoneLoads, Heartbeat, Introduction, LoadChanges, PeerEndpoint, PeerMessage,
 };
-use crate::zone_speaker;
+use crate::zone_representative;
 
 /// Largest datagram that can be received.
 const MAX_DATAGRAM_BYTES: usize = 65_535;
@@ -42,16 +42,16 @@
 pub async fn run(node: Arc<Node>, socket: UdpSocket, cancel: CancellationToken) {
     let socket = Arc::new(socket);
     let sequence = Arc::new(AtomicU64::new(0));
-    let outbox = Outbox::new(Arc::clone(&node), Arc::clone(&socket));
-    let receiving = receive(outbox.clone(), socket, Arc::clone(&sequence));
+    let datagram_sender = DatagramSender::new(Arc::clone(&node), Arc::clone(&socket));
+    let receiving = receive(datagram_sender.clone(), socket, Arc::clone(&sequence));
     let sender = Sender {
-        outbox,
+        datagram_sender,
         node,
         sequence,
         heartbeats: 0,
         next_heartbeat_at: Instant::now(),
         changes: ChangeClock::new(load_reports::CHANGES_GAP),
-        guest_loads: ChangeClock::new(load_reports::GUEST_LOADS_GAP),
+        cross_zone_loads: ChangeClock::new(load_reports::GUEST_LOADS_GAP),
         visited: Vec::new(),
     };
     tokio::select! {
@@ -61,8 +61,12 @@
     }
 }
 
-async fn receive(outbox: Outbox, socket: Arc<UdpSocket>, sequence: Arc<AtomicU64>) {
-    let node = outbox.node();
+async fn receive(
+    datagram_sender: DatagramSender,
+    socket: Arc<UdpSocket>,
+    sequence: Arc<AtomicU64>,
+) {
+    let node = datagram_sender.node();
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let received = match socket.recv_from(&mut buffer).await {
@@ -76,50 +80,59 @@
         node.metrics.incr(Counter::PeerMessageHeard);
         node.metrics.add(Counter::PeerBytesHeard, received.len());
         match postcard::from_bytes::<PeerMessage>(received) {
-            Ok(message) => take(&outbox, message, &sequence).await,
+            Ok(message) => take(&datagram_sender, message, &sequence).await,
             Err(_) => node.metrics.incr(Counter::HeartbeatUnreadable),
         }
     }
 }
 
-async fn take(outbox: &Outbox, message: PeerMessage, sequence: &AtomicU64) {
-    let node = outbox.node();
+async fn take(datagram_sender: &DatagramSender, message: PeerMessage, sequence: &AtomicU64) {
+    let node = datagram_sender.node();
     let now = Instant::now();
     let own = node.settings.peer_address();
     match message {
-        PeerMessage::Heartbeat(beat) if node.peers.is_stranger(&beat) => {
-            return introduce(outbox, &beat).await;
+        PeerMessage::Heartbeat(beat) if node.peers.should_introduce(&beat) => {
+            return introduce(datagram_sender, &beat).await;
+        }
+        PeerMessage::Heartbeat(beat) => apply_heartbeat(node, beat, own, now),
+        PeerMessage::LoadChanges(changes) => node.peers.apply_load_changes(changes, now),
+        PeerMessage::GuestLoads(told) => {
+            zone_representative::apply_cross_zone_loads(datagram_sender, node, told, now).await
         }
-        PeerMessage::Heartbeat(beat) => hear(node, beat, own, now),
-        PeerMessage::LoadChanges(changes) => node.peers.take_changes(changes, now),
-        PeerMessage::GuestLoads(told) => zone_speaker::take_guest(outbox, node, told, now).await,
         PeerMessage::Summary(summary) => {
             hear_quarantine(node, summary.quarantine);
             let age = Duration::ZERO;
             let told = AgedSummary { age, summary };
-            node.peers.take_summary(told, Via::ThatZone, now);
+            node.peers.apply_summary(told, SummarySource::Direct, now);
         }
         PeerMessage::Summaries(summaries) => {
             for told in summaries {
-                node.peers.take_summary(told, Via::ThisZone, now);
+                node.peers
+                    .apply_summary(told, SummarySource::Forwarded, now);
             }
         }
         PeerMessage::SummaryWanted(asker) => {
-            return zone_speaker::answer(outbox, node, &asker, next_sequence(sequence)).await;
+            return zone_representative::answer(
+                datagram_sender,
+                node,
+                &asker,
+                next_sequence(sequence),
+            )
+            .await;
         }
-        PeerMessage::Introduction(told) => node.peers.take_introduction(&told, own, now),
+        PeerMessage::Introduction(told) => node.peers.apply_introduction(&told, own, now),
     }
-    node.peer_news.notify_waiters();
+    node.peer_update.notify_waiters();
 }
 
-fn hear(node: &Node, beat: Heartbeat, own: SocketAddr, now: Instant) {
+fn apply_heartbeat(node: &Node, beat: Heartbeat, own: SocketAddr, now: Instant) {
     let host = beat.host.clone();
     let (incarnation, leaving) = (beat.incarnation, beat.leaving);
-    if beat.follows && beat.knows.is_more_than(node.known_state()) {
-        node.follower_news.notify_one();
+    if beat.follows && beat.knows.is_newer_than(node.state_version()) {
+        node.watcher_update.notify_one();
     }
     hear_quarantine(node, beat.quarantine);
-    if node.peers.hear(beat, own, now) {
+    if node.peers.apply_heartbeat(beat, own, now) {
         log::info!(peer = host, incarnation, leaving; "peer is alive");
     }
 }
@@ -127,25 +140,25 @@
 /// Has the sender of a message asked, if it knows of other crashes of servers.
 fn hear_quarantine(node: &Node, told: QuarantineState) {
     if told != 0 && told != node.quarantine_state() {
-        node.quarantine_news.notify_one();
+        node.quarantine_update.notify_one();
     }
 }
 
 /// Answers a process of another zone that does not know who is here.
-async fn introduce(outbox: &Outbox, beat: &Heartbeat) {
-    let node = outbox.node();
-    let stranger = Contact {
+async fn introduce(datagram_sender: &DatagramSender, beat: &Heartbeat) {
+    let node = datagram_sender.node();
+    let stranger = PeerEndpoint {
         addr: beat.addr,
         zone: beat.zone.clone(),
         role: beat.role,
     };
-    node.peers.note_contact(&stranger, Instant::now());
+    node.peers.add_endpoint(&stranger, Instant::now());
     let introduction = Introduction {
         from: node.contact(),
-        others: node.peers.to_introduce(&beat.zone),
+        others: node.peers.endpoints_to_introduce(&beat.zone),
     };
     let message = PeerMessage::Introduction(introduction);
-    outbox.send(&message, &[beat.addr]).await;
+    datagram_sender.send(&message, &[beat.addr]).await;
 }
 
 /// Why a heartbeat is sent.
@@ -159,7 +172,7 @@
 
 /// What a process tells the others.
 struct Sender {
-    outbox: Outbox,
+    datagram_sender: DatagramSender,
     node: Arc<Node>,
     /// Number of the last message; answers to others are counted with it.
     sequence: Arc<AtomicU64>,
@@ -167,7 +180,7 @@
     heartbeats: u64,
     next_heartbeat_at: Instant,
     changes: ChangeClock,
-    guest_loads: ChangeClock,
+    cross_zone_loads: ChangeClock,
     /// Other zones to be told of the load on their servers; sorted.
     visited: Vec<Zone>,
 }
@@ -180,10 +193,10 @@
         loop {
             let heartbeat = tokio::select! {
                 _ = ticks.tick() => Some(Cause::Time),
-                () = node.load_alarm.notified() => Some(Cause::News),
-                () = node.loads.news.notified() => None,
+                () = node.urgent_heartbeat.notified() => Some(Cause::News),
+                () = node.loads.load_changed.notified() => None,
                 () = wait_until(self.changes.next_at()), if node.loads.has_changes() => None,
-                () = wait_until(self.guest_loads.next_at()), if !self.visited.is_empty() => None,
+                () = wait_until(self.cross_zone_loads.next_at()), if !self.visited.is_empty() => None,
             };
             let now = Instant::now();
             if let Some(cause) = heartbeat.filter(|_| now >= self.next_heartbeat_at) {
@@ -194,8 +207,8 @@
                 self.changes.note(now);
                 self.send_changes(now).await;
             }
-            if self.guest_loads.is_due(now) && !self.visited.is_empty() {
-                self.guest_loads.note(now);
+            if self.cross_zone_loads.is_due(now) && !self.visited.is_empty() {
+                self.cross_zone_loads.note(now);
                 self.send_guest_loads(now).await;
             }
         }
@@ -208,37 +221,44 @@
     /// Sends one heartbeat, and what goes out with every few of them; answers its size.
     async fn send_heartbeat(&mut self, cause: Cause, now: Instant) -> usize {
         self.heartbeats += 1;
-        self.node.pick_speakers(now);
+        self.node.select_representatives(now);
         let sequence = self.next_sequence();
         let mut beat = heartbeat(&self.node, sequence, now);
         let whole = self.heartbeats % PER_FULL_INTRODUCTION == 1;
-        beat.known = self.node.peers.heard(!whole, now);
+        beat.known = self.node.peers.live_addresses(!whole, now);
         beat.known.truncate(MAX_KNOWN);
-        let mut local = self.node.peers.recipients(Reach::OwnZone, now);
+        let mut local = self
+            .node
+            .peers
+            .heartbeat_recipients(HeartbeatScope::OwnZone, now);
         if cause == Cause::Time && !load_reports::is_zone_wide(self.heartbeats, local.len()) {
-            local = self.node.close_peers(now);
+            local = self.node.representatives_and_subscribers(now);
         }
         let message = PeerMessage::Heartbeat(beat.clone());
-        let bytes = self.outbox.send(&message, &local).await;
+        let bytes = self.datagram_sender.send(&message, &local).await;
         if self.heartbeats % load_reports::LOCAL_PER_REMOTE == 1 {
             beat.loads.clear();
-            let beyond = self.node.peers.recipients(Reach::Beyond, now);
+            let beyond = self
+                .node
+                .peers
+                .heartbeat_recipients(HeartbeatScope::OtherZones, now);
             let message = PeerMessage::Heartbeat(beat);
-            self.outbox.send(&message, &beyond).await;
+            self.datagram_sender.send(&message, &beyond).await;
             let loads = self.node.loads.snapshot();
             self.note_visited(&loads);
-            zone_speaker::ask_silent_zones(&self.outbox, &self.node, now).await;
+            zone_representative::ask_silent_zones(&self.datagram_sender, &self.node, now).await;
         }
-        let per_summary = match self.node.speaker_rank(now) {
+        let per_summary = match self.node.representative_rank(now) {
             Rank::First => Some(load_reports::LOCAL_PER_SUMMARY),
             Rank::Second => Some(load_reports::LOCAL_PER_SECOND_SUMMARY),
             Rank::Listener => None,
         };
         if per_summary.is_some_and(|per_summary| self.heartbeats % per_summary == 1) {
             let sequence = self.next_sequence();
-            zone_speaker::send_summary(&self.outbox, &self.node, sequence, now).await;
+            zone_representative::send_summary(&self.datagram_sender, &self.node, sequence, now)
+                .await;
         }
-        zone_speaker::pass_on_summaries(&self.outbox, &self.node, now).await;
+        zone_representative::pass_on_summaries(&self.datagram_sender, &self.node, now).await;
         bytes
     }
 
@@ -252,9 +272,12 @@
             sequence: self.next_sequence(),
             loads,
         };
-        let local = self.node.peers.recipients(Reach::OwnZone, now);
+        let local = self
+            .node
+            .peers
+            .heartbeat_recipients(HeartbeatScope::OwnZone, now);
         let message = PeerMessage::LoadChanges(changes);
-        self.outbox.send(&message, &local).await;
+        self.datagram_sender.send(&message, &local).await;
     }
 
     fn note_visited(&mut self, loads: &[ServerLoad]) {
@@ -272,7 +295,7 @@
     /// know of it.
     async fn send_guest_loads(&mut self, now: Instant) {
         let loads = self.node.loads.snapshot();
-        let zones = self.node.peers.other_zones(now);
+        let zones = self.node.peers.other_zone_recipients(now);
         for visited in std::mem::take(&mut self.visited) {
             let Some((_, speakers)) = zones.iter().find(|(zone, _)| *zone == visited) else {
                 continue;
@@ -280,7 +303,7 @@
             let sequence = self.next_sequence();
             let at_zone =
                 |load: &&ServerLoad| self.node.server_zone(&load.server).as_ref() == Some(&visited);
-            let told = GuestLoads {
+            let told = CrossZoneLoads {
                 host: self.node.settings.host.clone(),
                 zone: self.node.settings.availability_zone.clone(),
                 incarnation: self.node.incarnation,
@@ -288,7 +311,7 @@
                 passed_on: false,
                 loads: loads.iter().filter(at_zone).cloned().collect(),
             };
-            self.outbox
+            self.datagram_sender
                 .send(&PeerMessage::GuestLoads(told), speakers)
                 .await;
         }
@@ -315,13 +338,13 @@
         addr: node.settings.peer_address(),
         leaving: node.is_leaving(),
         store_reached: node.store.failing_for(now).is_none(),
-        follows: node.follows(now),
-        store_answered_ago: node.store.answered_ago(now),
-        knows: node.known_state(),
+        follows: node.is_watching_store(now),
+        store_answered_ago: node.store.time_since_response(now),
+        knows: node.state_version(),
         quarantine: node.quarantine_state(),
         speakers: node.speakers(),
         loads: node.loads.snapshot(),
-        gone: node.gone_servers(now),
+        gone: node.dead_instances(now),
         claims: node.claims(),
         waiting_items: node.waiting_items(),
         known: Vec::new(),
--- a/crates/foxwheel-node/src/job_store.rs
+++ b/crates/foxwheel-node/src/job_store.rs
@@ -325,7 +325,12 @@
                 Ok(Written::Conflict(_) | Written::Missing) => {}
                 Err(e) if Instant::now() >= deadline => return Err(e.into()),
                 // Done or not, the next look at the ledger tells.
-                Err(_) => self.node.store.pause(backoff.pause()).await,
+                Err(_) => {
+                    self.node
+                        .store
+                        .wait_before_retry(backoff.next_delay())
+                        .await
+                }
             }
             if Instant::now() >= deadline {
                 return Err(JobStoreError::Contended);
@@ -400,7 +405,10 @@
                     if !e.is_not_done() {
                         perhaps_done = Some(e);
                     }
-                    self.node.store.pause(backoff.pause()).await;
+                    self.node
+                        .store
+                        .wait_before_retry(backoff.next_delay())
+                        .await;
                 }
             }
         }
@@ -412,7 +420,7 @@
         name: &str,
         deadline: Instant,
     ) -> Result<Option<Object>, StoreError> {
-        store_relay::get_until(&self.node, kind, name, deadline).await
+        store_relay::get_with_retries(&self.node, kind, name, deadline).await
     }
 
     /// Splits items into chunks that fit into one value each; at least one chunk.
--- a/crates/foxwheel-node/src/ledger_follower.rs
+++ b/crates/foxwheel-node/src/ledger_follower.rs
@@ -94,7 +94,7 @@
     loop {
         tokio::time::sleep(REMEMBER_CLOSED).await;
         let first = {
-            let live = node.peers.live(Role::Worker, Instant::now());
+            let live = node.peers.live_processes(Role::Worker, Instant::now());
             live.first()
                 .is_none_or(|(host, _)| *host >= node.settings.host)
         };
--- a/crates/foxwheel-node/src/ledger_keeper.rs
+++ b/crates/foxwheel-node/src/ledger_keeper.rs
@@ -15,7 +15,7 @@
 
 use crate::job_store::{JobStore, JobStoreError};
 use crate::node::Node;
-use crate::peer_calls::Relayed;
+use crate::peer_calls::RelayedResult;
 use crate::settings::Role;
 
 /// Stands for the ledger where workers are ranked for a job.
@@ -24,7 +24,7 @@
 /// Longest time for one write of the ledger with all changes that wait.
 const WRITE_TIME: Duration = Duration::from_millis(1_200);
 
-type Waiting = (LedgerChange, oneshot::Sender<Relayed<LedgerAnswer>>);
+type Waiting = (LedgerChange, oneshot::Sender<RelayedResult<LedgerAnswer>>);
 
 /// Changes that wait at a worker.
 #[derive(Debug, Default)]
@@ -35,7 +35,7 @@
 
 impl LedgerKeeper {
     /// Makes `change` with the next write.
-    pub async fn change(&self, change: LedgerChange) -> Relayed<LedgerAnswer> {
+    pub async fn change(&self, change: LedgerChange) -> RelayedResult<LedgerAnswer> {
         let (answer, answered) = oneshot::channel();
         {
             let mut waiting = self.waiting.lock().expect("ledger keeper lock");
@@ -44,7 +44,7 @@
         self.wake.notify_one();
         answered
             .await
-            .unwrap_or_else(|_| Relayed::Unknown("the keeper stopped".to_owned()))
+            .unwrap_or_else(|_| RelayedResult::Unknown("the keeper stopped".to_owned()))
     }
 
     /// Writes changes for as long as the process lives.
@@ -72,13 +72,13 @@
         Ok(answers) => {
             for ((_, sender), answer) in batch.into_iter().zip(answers) {
                 // Whoever asked may have given up.
-                let _ = sender.send(Relayed::Settled(answer));
+                let _ = sender.send(RelayedResult::Settled(answer));
             }
         }
         Err(e) => {
             log::warn!(changes = batch.len(), error:% = e; "ledger not written");
             for (_, sender) in batch {
-                let _ = sender.send(Relayed::Unknown(e.to_string()));
+                let _ = sender.send(RelayedResult::Unknown(e.to_string()));
             }
         }
     }
@@ -94,7 +94,7 @@
     deadline: Instant,
 ) -> Result<LedgerAnswer, JobStoreError> {
     let now = Instant::now();
-    let workers = node.peers.workers(now);
+    let workers = node.peers.live_workers(now);
     let keeper = ownership::first_choice(LEDGER_RANK, &workers);
     let own_host = &node.settings.host;
     // A worker is not among its own peers: it is the keeper if it outranks them.
@@ -103,10 +103,10 @@
     let kept = match (own, keeper) {
         (Some(own), _) if is_own => Some(own.change(change.clone()).await),
         (_, Some(keeper)) => {
-            let live = node.peers.live(Role::Worker, now);
+            let live = node.peers.live_processes(Role::Worker, now);
             let found = live.iter().find(|(host, _)| *host == keeper.node);
             match found {
-                Some((_, addr)) if !node.peer_calls.failed_lately(*addr, now) => {
+                Some((_, addr)) if !node.peer_calls.has_failed_recently(*addr, now) => {
                     let asked = node.peer_calls.change_ledger(*addr, change.clone()).await;
                     asked
                         .inspect_err(|e| log::info!(error:% = e; "ledger keeper did not answer"))
@@ -117,7 +117,7 @@
         }
         _ => None,
     };
-    if let Some(Relayed::Settled(answer)) = kept {
+    if let Some(RelayedResult::Settled(answer)) = kept {
         return Ok(answer);
     }
     store
--- a/crates/foxwheel-node/src/lib.rs
+++ b/crates/foxwheel-node/src/lib.rs
@@ -6,13 +6,11 @@
 
 pub mod attempt;
 pub mod batch_front;
-pub mod catch_up;
-pub mod contacts;
+pub mod cross_zone_clients;
+pub mod datagram_sender;
 pub mod discovery;
 pub mod event_stream;
-pub mod followers;
 pub mod front;
-pub mod guests;
 pub mod heartbeat;
 pub mod item_run;
 pub mod job_store;
@@ -25,14 +23,15 @@
 pub mod online;
 pub mod online_request;
 pub mod other_zones;
-pub mod outbox;
 pub mod peer_calls;
+pub mod peer_directory;
 pub mod peer_messages;
 pub mod peer_server;
 pub mod peers;
 pub mod process;
 pub mod quarantine_store;
 pub mod relay;
+pub mod reported_loads;
 pub mod request_content;
 pub mod request_quarantine;
 pub mod responses;
@@ -41,12 +40,13 @@
 pub mod server_probe;
 pub mod service_hold_times;
 pub mod settings;
+pub mod state_sync;
 pub mod store_access;
 pub mod store_relay;
-pub mod told_loads;
+pub mod store_watch;
 pub mod worker;
 pub mod worker_jobs;
-pub mod zone_speaker;
+pub mod zone_representative;
 
 /// The crate's modules, for `use foxwheel_node::prelude::*`.
 pub mod prelude {
--- a/crates/foxwheel-node/src/load_table.rs
+++ b/crates/foxwheel-node/src/load_table.rs
@@ -41,9 +41,9 @@
     /// Servers whose load changed since the others were told; sorted.
     changed: Mutex<Vec<ServerKey>>,
     /// Woken when the load of a server changes.
-    pub news: Notify,
+    pub load_changed: Notify,
     /// Woken when a request ends and its slot is free.
-    pub freed: Notify,
+    pub slot_freed: Notify,
 }
 
 /// A request in flight; dropping it frees its slot.
@@ -90,14 +90,14 @@
     /// Batch items in flight.
     pub batch: u32,
     /// It has been silent or could not be connected to lately.
-    pub suspect: bool,
+    pub is_suspected: bool,
     /// The share of this process's requests that it is expected to fail.
     pub failure_rate: f64,
 }
 
 impl LoadTable {
     /// Counts a request as in flight at `server` until the answer is dropped.
-    pub fn begin(self: &Arc<Self>, server: &ServerKey, class: WorkClass) -> InFlight {
+    pub fn begin_request(self: &Arc<Self>, server: &ServerKey, class: WorkClass) -> InFlight {
         self.with(server, |entry| *entry.count(class) += 1);
         self.note_change(server);
         InFlight {
@@ -108,13 +108,13 @@
     }
 
     /// The load this process puts on `server`.
-    pub fn own(&self, server: &ServerKey, now: Instant) -> OwnLoad {
+    pub fn own_load(&self, server: &ServerKey, now: Instant) -> OwnLoad {
         let entries = self.entries.lock().expect("load lock");
         match entries.binary_search_by(|entry| entry.server.cmp(server)) {
             Ok(at) => OwnLoad {
                 online: entries[at].online,
                 batch: entries[at].batch,
-                suspect: entries[at].suspect_until.is_some_and(|until| now < until),
+                is_suspected: entries[at].suspect_until.is_some_and(|until| now < until),
                 failure_rate: entries[at].outcomes.failure_rate(now),
             },
             Err(_) => OwnLoad::default(),
@@ -166,11 +166,11 @@
                 changed.insert(at, server.clone());
             }
         }
-        self.news.notify_one();
+        self.load_changed.notify_one();
     }
 
     /// Avoids `server` for a while; answers whether that is new.
-    pub fn suspect(&self, server: &ServerKey, now: Instant) -> bool {
+    pub fn mark_suspected(&self, server: &ServerKey, now: Instant) -> bool {
         self.with(server, |entry| {
             let known = entry.suspect_until.is_some_and(|until| now < until);
             entry.suspect_until = Some(now + SUSPECT_FOR);
@@ -179,12 +179,12 @@
     }
 
     /// Takes note of a request that `server` served, or failed.
-    pub fn note_outcome(&self, server: &ServerKey, failed: bool, now: Instant) {
+    pub fn record_outcome(&self, server: &ServerKey, failed: bool, now: Instant) {
         self.with(server, |entry| entry.outcomes.note(failed, now));
     }
 
     /// `server` sent something: it is not avoided any more.
-    pub fn progress(&self, server: &ServerKey, now: Instant) {
+    pub fn record_progress(&self, server: &ServerKey, now: Instant) {
         self.with(server, |entry| {
             entry.suspect_until = None;
             entry.progress_at = Some(now);
@@ -202,7 +202,7 @@
     }
 
     /// Forgets servers that are gone.
-    pub fn forget(&self, gone: &[ServerId]) {
+    pub fn remove_servers(&self, gone: &[ServerId]) {
         let mut entries = self.entries.lock().expect("load lock");
         entries.retain(|entry| entry.online + entry.batch > 0 || !gone.contains(&entry.server.id));
     }
@@ -238,6 +238,6 @@
         self.table
             .with(&self.server, |entry| *entry.count(class) -= 1);
         self.table.note_change(&self.server);
-        self.table.freed.notify_one();
+        self.table.slot_freed.notify_one();
     }
 }
--- a/crates/foxwheel-node/src/node.rs
+++ b/crates/foxwheel-node/src/node.rs
@@ -25,8 +25,8 @@
 
 use crate::load_table::LoadTable;
 use crate::metrics::Metrics;
-use crate::peer_calls::{KnownState, PeerCalls};
-use crate::peer_messages::Contact;
+use crate::peer_calls::{PeerCalls, StoreStateVersion};
+use crate::peer_messages::PeerEndpoint;
 use crate::peers::Peers;
 use crate::service_hold_times::ServiceHoldTimes;
 use crate::settings::{NodeSettings, Role};
@@ -57,31 +57,31 @@
     /// This process's load on each backend server.
     pub loads: Arc<LoadTable>,
     /// How fast the slots of each service are freed.
-    pub paces: ServiceHoldTimes,
+    pub hold_times: ServiceHoldTimes,
     /// Woken to send a heartbeat at once.
-    pub load_alarm: Notify,
+    pub urgent_heartbeat: Notify,
     /// The other processes.
     pub peers: Peers,
     /// The processes of the zone that this one takes as speakers, first choice first.
     speakers: Mutex<Vec<NodeId>>,
     /// When another process last named this one as one of the zone's speakers.
-    relied_on_at: Mutex<Option<Instant>>,
+    had_subscribers_at: Mutex<Option<Instant>>,
     /// When what other processes told was last known to be all that the store has.
-    told_current_at: Mutex<Option<Instant>>,
+    peer_state_current_at: Mutex<Option<Instant>>,
     /// It follows the store's configuration, which answers.
     pub config_is_current: AtomicBool,
     /// It follows the store's list of servers, which answers.
     pub servers_are_current: AtomicBool,
     /// Woken when a process that follows the store tells that it knows more.
-    pub follower_news: Notify,
+    pub watcher_update: Notify,
     /// Requests under which servers crashed.
     pub quarantine: Mutex<Quarantine>,
     /// Woken when another process tells that it knows of other crashes.
-    pub quarantine_news: Notify,
+    pub quarantine_update: Notify,
     /// Woken when this process knows of more crashes.
     pub crashes_changed: Notify,
     /// Woken at every heartbeat heard.
-    pub peer_news: Notify,
+    pub peer_update: Notify,
     /// Calls to the other processes.
     pub peer_calls: PeerCalls,
     /// The platform's store.
@@ -110,19 +110,19 @@
             directory: Mutex::default(),
             server_index: Mutex::default(),
             loads: Arc::default(),
-            paces: ServiceHoldTimes::default(),
-            load_alarm: Notify::new(),
+            hold_times: ServiceHoldTimes::default(),
+            urgent_heartbeat: Notify::new(),
             peers: Peers::new(settings.availability_zone.clone(), settings.role),
             speakers: Mutex::default(),
-            relied_on_at: Mutex::default(),
-            told_current_at: Mutex::default(),
+            had_subscribers_at: Mutex::default(),
+            peer_state_current_at: Mutex::default(),
             config_is_current: AtomicBool::new(false),
             servers_are_current: AtomicBool::new(false),
-            follower_news: Notify::new(),
+            watcher_update: Notify::new(),
             quarantine: Mutex::default(),
-            quarantine_news: Notify::new(),
+            quarantine_update: Notify::new(),
             crashes_changed: Notify::new(),
-            peer_news: Notify::new(),
+            peer_update: Notify::new(),
             peer_calls: PeerCalls::default(),
             store: StoreAccess::new(settings.store_address, metrics.clone()),
             pool: Pool::new(SERVER_CONNECT_OPTIONS),
@@ -141,7 +141,7 @@
     }
 
     /// Puts `config` in force if it is newer; `source` is for the log.
-    pub fn put_in_force(&self, config: Config, source: &str) {
+    pub fn apply_config(&self, config: Config, source: &str) {
         let version = config.version;
         let routes = config.routes.len();
         let mut in_force = self.config.lock().expect("config lock");
@@ -149,7 +149,7 @@
         if in_force.offer(config) {
             log::info!(version, before, routes, source; "configuration in force");
             // Others of the zone may wait to hear of it.
-            self.load_alarm.notify_one();
+            self.urgent_heartbeat.notify_one();
         }
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Whether the process knows enough to serve.
-    pub fn is_informed(&self) -> bool {
+    pub fn is_synced(&self) -> bool {
         let knows_servers = {
             let directory = self.directory.lock().expect("directory lock");
             !directory.members().is_empty()
@@ -169,7 +169,12 @@
 
     /// Servers of `service` that may take work, without those named in `tried`: a sample of
     /// those of the own zone and of those that other zones told of.
-    pub fn candidates(&self, service: &str, tried: &[ServerKey], now: Instant) -> Vec<Candidate> {
+    pub fn online_candidates(
+        &self,
+        service: &str,
+        tried: &[ServerKey],
+        now: Instant,
+    ) -> Vec<Candidate> {
         self.sample(service, server_index::MOST_LOCAL, now)
             .iter()
             .filter(|key| !tried.contains(key))
@@ -195,7 +200,7 @@
                 continue;
             }
             let most = server_index::MOST_REMOTE;
-            let told = self.peers.told_servers(&group.zone, now);
+            let told = self.peers.summarized_servers(&group.zone, now);
             match told.filter(|_| group.len() > most) {
                 Some(told) => {
                     let servers = told.iter().filter_map(|one| group.by_fingerprint(*one));
@@ -221,7 +226,7 @@
     pub fn candidate(&self, key: &ServerKey, now: Instant) -> Option<Candidate> {
         let directory = self.directory.lock().expect("directory lock");
         let member = directory.usable_member(key, now)?;
-        let gone = self.peers.found_gone(key, now);
+        let gone = self.peers.is_reported_dead(key, now);
         (!gone).then(|| self.candidate_of(member, key.clone(), now))
     }
 
@@ -229,22 +234,22 @@
     pub fn usable_addr(&self, key: &ServerKey, now: Instant) -> Option<SocketAddr> {
         let directory = self.directory.lock().expect("directory lock");
         let member = directory.usable_member(key, now)?;
-        let gone = self.peers.found_gone(key, now);
+        let gone = self.peers.is_reported_dead(key, now);
         (!gone).then_some(member.server.addr)
     }
 
     fn candidate_of(&self, member: &membership::Member, key: ServerKey, now: Instant) -> Candidate {
         let server = &member.server;
-        let own = self.loads.own(&key, now);
+        let own = self.loads.own_load(&key, now);
         let own_requests = Requests {
             online: own.online,
             batch: own.batch,
         };
         let elsewhere =
             self.peers
-                .load_elsewhere(&server.zone, &key, server.slots, own_requests, now);
+                .other_zone_load(&server.zone, &key, server.slots, own_requests, now);
         let load = elsewhere.unwrap_or_else(|| {
-            let (online, batch) = self.peers.load(&key, now);
+            let (online, batch) = self.peers.in_flight(&key, now);
             Requests {
                 online: own.online + online,
                 batch: own.batch + batch,
@@ -259,7 +264,7 @@
             batch_in_flight: load.batch,
             own_batch: own.batch,
             lapsed: member.lapsed_until.is_some(),
-            suspect: own.suspect,
+            suspect: own.is_suspected,
             failure_rate: own.failure_rate,
             slot_keeper: false,
         }
@@ -269,8 +274,8 @@
     pub fn retry_after_full(&self, service: &ServiceName, now: Instant) -> Duration {
         let index = self.server_index();
         let slots = index.of_service(service).map(|group| group.slots).sum();
-        let fronts = self.peers.front_count(now) + 1;
-        self.paces.retry_after(service, slots, fronts, now)
+        let fronts = self.peers.other_front_count(now) + 1;
+        self.hold_times.retry_after(service, slots, fronts, now)
     }
 
     /// That start of a server as it is listed.
@@ -288,7 +293,7 @@
 
     /// Takes note that another start answered at a server's address: that start is gone for
     /// certain, here and at every peer.
-    pub fn note_gone(&self, server: &ServerKey) {
+    pub fn record_dead_instance(&self, server: &ServerKey) {
         let now = Instant::now();
         let is_news = {
             let mut directory = self.directory.lock().expect("directory lock");
@@ -296,19 +301,19 @@
         };
         if is_news {
             log::info!(server = server.id, incarnation = server.incarnation; "another start has the server's address");
-            self.load_alarm.notify_one();
+            self.urgent_heartbeat.notify_one();
         }
     }
 
     /// Starts of servers that this process found to be gone a short while ago; sorted.
-    pub fn gone_servers(&self, now: Instant) -> Vec<ServerKey> {
+    pub fn dead_instances(&self, now: Instant) -> Vec<ServerKey> {
         let directory = self.directory.lock().expect("directory lock");
         directory.gone(now)
     }
 
     /// This process, as others reach it.
-    pub fn contact(&self) -> Contact {
-        Contact {
+    pub fn contact(&self) -> PeerEndpoint {
+        PeerEndpoint {
             addr: self.settings.peer_address(),
             zone: self.settings.availability_zone.clone(),
             role: self.settings.role,
@@ -316,10 +321,10 @@
     }
 
     /// Names the processes of the zone that it takes as speakers from now on.
-    pub fn pick_speakers(&self, now: Instant) {
+    pub fn select_representatives(&self, now: Instant) {
         let mut members: Vec<Member> = self
             .peers
-            .of_own_zone(now)
+            .own_zone_peers(now)
             .into_iter()
             .map(|peer| peer.member)
             .collect();
@@ -331,8 +336,8 @@
             silent_for: Duration::ZERO,
         });
         let picked = speakers::pick(&members);
-        if self.is_relied_on(now) {
-            *self.relied_on_at.lock().expect("naming lock") = Some(now);
+        if self.has_subscribers(now) {
+            *self.had_subscribers_at.lock().expect("naming lock") = Some(now);
         }
         let mut known = self.speakers.lock().expect("speakers lock");
         if *known != picked {
@@ -347,32 +352,32 @@
     }
 
     /// Whether another process of the zone named this one as one of its speakers.
-    pub fn is_relied_on(&self, now: Instant) -> bool {
-        self.peers.is_named(&self.settings.host, now)
+    pub fn has_subscribers(&self, now: Instant) -> bool {
+        self.peers.is_representative(&self.settings.host, now)
     }
 
     /// Whether this process should follow the platform's store itself.
-    pub fn should_follow(&self, now: Instant) -> bool {
-        let relied_on_at = *self.relied_on_at.lock().expect("naming lock");
+    pub fn should_watch_store(&self, now: Instant) -> bool {
+        let had_subscribers_at = *self.had_subscribers_at.lock().expect("naming lock");
         let speakers = self.speakers.lock().expect("speakers lock");
         following::should_follow(Standing {
             names_itself: speakers.contains(&self.settings.host),
-            relied_on_ago: relied_on_at.map(|at| now.duration_since(at)),
-            told_ago: self.told_current_ago(now),
+            relied_on_ago: had_subscribers_at.map(|at| now.duration_since(at)),
+            told_ago: self.peer_state_age(now),
         })
     }
 
     /// The age of what this process knows of the store by others: how long ago the store last
     /// answered a process that follows it and has told nothing that is not known here.
-    fn told_current_ago(&self, now: Instant) -> Option<Duration> {
-        let told_at = self.peers.current_at(self.known_state());
-        let mut current_at = self.told_current_at.lock().expect("told state lock");
+    fn peer_state_age(&self, now: Instant) -> Option<Duration> {
+        let told_at = self.peers.state_current_at(self.state_version());
+        let mut current_at = self.peer_state_current_at.lock().expect("told state lock");
         *current_at = (*current_at).max(told_at);
         current_at.map(|at| now.saturating_duration_since(at))
     }
 
     /// Whether this process follows the platform's store, which answers.
-    pub fn follows(&self, now: Instant) -> bool {
+    pub fn is_watching_store(&self, now: Instant) -> bool {
         let both = [&self.config_is_current, &self.servers_are_current];
         let is_current = both.iter().all(|kind| kind.load(Ordering::Relaxed));
         is_current && self.store.failing_for(now).is_none()
@@ -380,41 +385,41 @@
 
     /// Whether this process follows the platform's store, or is told by one that does.
     pub fn is_current(&self, now: Instant) -> bool {
-        let told = self.told_current_ago(now);
-        self.follows(now) || told.is_some_and(|ago| ago < following::TOLD_NOTHING)
+        let told = self.peer_state_age(now);
+        self.is_watching_store(now) || told.is_some_and(|ago| ago < following::TOLD_NOTHING)
     }
 
     /// How new the configuration and the list of servers are that are known here.
-    pub fn known_state(&self) -> KnownState {
+    pub fn state_version(&self) -> StoreStateVersion {
         let config_version = self.config.lock().expect("config lock").version();
         let directory = self.directory.lock().expect("directory lock");
-        KnownState {
+        StoreStateVersion {
             config_version,
             servers_revision: directory.revision(),
         }
     }
 
     /// Addresses of the zone's processes that take this one for a speaker of `rank`.
-    pub fn audience(&self, rank: Rank, now: Instant) -> Vec<SocketAddr> {
+    pub fn subscribers(&self, rank: Rank, now: Instant) -> Vec<SocketAddr> {
         let own = &self.settings.host;
-        self.peers.local_addresses(now, |_, speakers| {
+        self.peers.own_zone_addresses(now, |_, speakers| {
             speakers::rank(own, std::iter::once(speakers)) == rank
         })
     }
 
     /// Addresses of the zone's processes that this one named as speakers, or that named it.
-    pub fn close_peers(&self, now: Instant) -> Vec<SocketAddr> {
+    pub fn representatives_and_subscribers(&self, now: Instant) -> Vec<SocketAddr> {
         let named = self.speakers();
         let own = &self.settings.host;
-        self.peers.local_addresses(now, |host, speakers| {
+        self.peers.own_zone_addresses(now, |host, speakers| {
             speakers.contains(own) || named.contains(host)
         })
     }
 
     /// What this process is taken for by the zone's processes and itself.
-    pub fn speaker_rank(&self, now: Instant) -> Rank {
+    pub fn representative_rank(&self, now: Instant) -> Rank {
         let own = self.speakers();
-        let local = self.peers.of_own_zone(now);
+        let local = self.peers.own_zone_peers(now);
         let named = local.iter().map(|peer| peer.speakers.as_slice());
         speakers::rank(&self.settings.host, named.chain([own.as_slice()]))
     }
@@ -440,7 +445,7 @@
     }
 
     /// Whether this process runs any job.
-    pub fn holds_jobs(&self) -> bool {
+    pub fn has_owned_jobs(&self) -> bool {
         let claims = self.claims.lock().expect("claims lock");
         claims
             .iter()
--- a/crates/foxwheel-node/src/online.rs
+++ b/crates/foxwheel-node/src/online.rs
@@ -80,7 +80,7 @@
                 let head = answer.head.clone();
                 answer.finish();
                 let age = request.received_at.elapsed();
-                node.paces.record_hold_time(&request.service, age);
+                node.hold_times.record_hold_time(&request.service, age);
                 let age_ms = age.as_millis() as u64;
                 let (in_flight, slots) = request.seen_load();
                 let on_time = request.is_on_time();
--- a/crates/foxwheel-node/src/online_request.rs
+++ b/crates/foxwheel-node/src/online_request.rs
@@ -185,10 +185,10 @@
         let wait_until = (Instant::now() + SLOT_WAIT).min(self.response_deadline);
         loop {
             let now = Instant::now();
-            let mut candidates = node.candidates(&self.service, &self.tried, now);
+            let mut candidates = node.online_candidates(&self.service, &self.tried, now);
             if candidates.is_empty() && self.attempts.count() > 0 {
                 // Every server was tried: the least loaded may do better now.
-                candidates = node.candidates(&self.service, &[], now);
+                candidates = node.online_candidates(&self.service, &[], now);
             }
             if candidates.is_empty() {
                 return Placed::NoServer;
@@ -202,15 +202,15 @@
                     slots: pick.slots,
                     expected_wait: placement::expected_wait(
                         pick,
-                        node.paces.hold_time(&self.service),
+                        node.hold_times.hold_time(&self.service),
                     ),
                 });
-                return Placed::At(node.loads.begin(&pick.key(), WorkClass::Online));
+                return Placed::At(node.loads.begin_request(&pick.key(), WorkClass::Online));
             }
             let freed = async {
                 tokio::select! {
-                    () = node.loads.freed.notified() => {}
-                    () = node.peer_news.notified() => {}
+                    () = node.loads.slot_freed.notified() => {}
+                    () = node.peer_update.notified() => {}
                 }
             };
             let until = tokio::time::Instant::from_std(wait_until);
--- a/crates/foxwheel-node/src/other_zones.rs
+++ b/crates/foxwheel-node/src/other_zones.rs
@@ -9,7 +9,7 @@
 use foxwheel_policy::quarantine::QuarantineState;
 use foxwheel_policy::zone_loads::{self, Requests, ServerFingerprint};
 
-use crate::peer_messages::{AgedSummary, WorkerNote, ZoneSummary};
+use crate::peer_messages::{AgedSummary, WorkerSummary, ZoneSummary};
 
 /// A zone's newest summary.
 #[derive(Debug)]
@@ -20,18 +20,18 @@
     /// It came from that zone and was not passed on to this one yet.
     is_news: bool,
     /// By which way it came.
-    via: Via,
+    via: SummarySource,
     /// When another process of this zone last passed on a summary of that zone.
     passed_on_at: Option<Instant>,
 }
 
 /// By which way a summary came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Via {
+pub enum SummarySource {
     /// From a speaker of the zone that it tells of.
-    ThatZone,
+    Direct,
     /// Passed on by a speaker of this zone.
-    ThisZone,
+    Forwarded,
 }
 
 /// The other zones.
@@ -43,7 +43,7 @@
 
 impl OtherZones {
     /// Takes a summary that is `age` old, unless a newer one of its zone is known.
-    pub fn take(&mut self, told: AgedSummary, via: Via, now: Instant) {
+    pub fn take(&mut self, told: AgedSummary, via: SummarySource, now: Instant) {
         let AgedSummary { age, summary } = told;
         let Some(told_at) = now.checked_sub(age) else {
             return;
@@ -51,7 +51,7 @@
         let found = self
             .zones
             .binary_search_by(|known| known.summary.zone.cmp(&summary.zone));
-        let mut passed_on_at = (via == Via::ThisZone).then_some(now);
+        let mut passed_on_at = (via == SummarySource::Forwarded).then_some(now);
         if let Ok(at) = found {
             let known = &mut self.zones[at];
             known.passed_on_at = passed_on_at.or(known.passed_on_at);
@@ -69,7 +69,7 @@
         let zone = OtherZone {
             summary,
             told_at,
-            is_news: via == Via::ThatZone,
+            is_news: via == SummarySource::Direct,
             via,
             passed_on_at,
         };
@@ -98,14 +98,14 @@
     }
 
     /// The servers that a speaker of `zone` told of, if one lives.
-    pub fn told_servers(&self, zone: &Zone, now: Instant) -> Option<Vec<ServerFingerprint>> {
+    pub fn summarized_servers(&self, zone: &Zone, now: Instant) -> Option<Vec<ServerFingerprint>> {
         let other = self.live(now).find(|other| other.summary.zone == *zone)?;
         let servers = other.summary.servers.iter();
         Some(servers.map(|(server, _)| *server).collect())
     }
 
     /// Whether a zone found that start of a server to be gone.
-    pub fn found_gone(&self, server: &ServerKey, now: Instant) -> bool {
+    pub fn is_reported_dead(&self, server: &ServerKey, now: Instant) -> bool {
         self.live(now)
             .any(|other| other.summary.gone.binary_search(server).is_ok())
     }
@@ -123,15 +123,17 @@
         &self,
         now: Instant,
     ) -> impl Iterator<Item = (SocketAddr, QuarantineState)> + '_ {
-        let direct = self.live(now).filter(|other| other.via == Via::ThatZone);
+        let direct = self
+            .live(now)
+            .filter(|other| other.via == SummarySource::Direct);
         direct.map(|other| (other.summary.addr, other.summary.quarantine))
     }
 
     /// Live workers of the other zones, and their zones.
-    pub fn workers(&self, now: Instant) -> impl Iterator<Item = (&Zone, &WorkerNote)> {
+    pub fn workers(&self, now: Instant) -> impl Iterator<Item = (&Zone, &WorkerSummary)> {
         self.live(now).flat_map(move |other| {
             let age = now.duration_since(other.told_at);
-            let lives = move |note: &&WorkerNote| age + note.silent_for < DEAD_AFTER;
+            let lives = move |note: &&WorkerSummary| age + note.silent_for < DEAD_AFTER;
             let workers = other.summary.workers.iter().filter(lives);
             workers.map(|note| (&other.summary.zone, note))
         })
@@ -145,9 +147,9 @@
 
     /// Live summaries to pass on to this zone: for its first speaker all of them if any came
     /// since the last call, for another one those that came and that nobody else passes on.
-    pub fn to_pass_on(&mut self, is_first: bool, now: Instant) -> Vec<AgedSummary> {
+    pub fn summaries_to_forward(&mut self, is_first: bool, now: Instant) -> Vec<AgedSummary> {
         let mut any_news = false;
-        let mut to_pass_on = Vec::new();
+        let mut summaries_to_forward = Vec::new();
         for other in &mut self.zones {
             let is_news = std::mem::take(&mut other.is_news);
             any_news |= is_news;
@@ -156,16 +158,16 @@
                 .is_none_or(|at| now.duration_since(at) >= PASS_ON_AFTER);
             let age = now.duration_since(other.told_at);
             if age < DEAD_AFTER && (is_first || (is_news && is_left_out)) {
-                to_pass_on.push(AgedSummary {
+                summaries_to_forward.push(AgedSummary {
                     age,
                     summary: other.summary.clone(),
                 });
             }
         }
         if !any_news {
-            to_pass_on.clear();
+            summaries_to_forward.clear();
         }
-        to_pass_on
+        summaries_to_forward
     }
 
     fn live(&self, now: Instant) -> impl Iterator<Item = &OtherZone> {
--- a/crates/foxwheel-node/src/peer_calls.rs
+++ b/crates/foxwheel-node/src/peer_calls.rs
@@ -35,23 +35,23 @@
 
 /// How new a process's knowledge of the platform is.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KnownState {
+pub struct StoreStateVersion {
     /// The version of the configuration in force there, or none before the first.
     pub config_version: Option<Version>,
     /// The store's revision that its list of servers shows, or none before the first.
     pub servers_revision: Option<u64>,
 }
 
-impl KnownState {
+impl StoreStateVersion {
     /// Whether one of both is newer than in `other`.
-    pub fn is_more_than(self, other: Self) -> bool {
+    pub fn is_newer_than(self, other: Self) -> bool {
         self.config_version > other.config_version || self.servers_revision > other.servers_revision
     }
 }
 
 /// What a process knows of the platform, beyond what the one that asks knows.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Knowledge {
+pub struct StoreState {
     /// It follows the store, which answers, or is told by a process that does.
     pub is_current: bool,
     /// The configuration in force there, if it is newer.
@@ -63,7 +63,7 @@
 /// Which results to read.
 #[serde_as]
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct ReadSpec {
+pub struct ResultsQuery {
     /// First position wanted.
     pub from: usize,
     /// Most bytes of results; one result is answered even if it is larger.
@@ -78,7 +78,7 @@
 
 /// A worker's answer to a read of results.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ReadAnswer {
+pub enum ResultsResponse {
     /// Results from the wanted position on; empty if there are none yet.
     Results {
         /// Items of the job.
@@ -96,7 +96,7 @@
 
 /// A worker's answer to a read of an item's body.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum BodyAnswer {
+pub enum ItemBodyResponse {
     /// The body.
     Body(Vec<u8>),
     /// The worker at this address runs the job.
@@ -109,7 +109,7 @@
 
 /// What a worker's answer means for whom to ask next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NextAsked {
+pub enum NextPeer {
     /// Nobody: the answer settles the question.
     Nobody,
     /// The worker at this address.
@@ -118,31 +118,31 @@
     Others,
 }
 
-impl ReadAnswer {
+impl ResultsResponse {
     /// Whom to ask after this answer.
-    pub fn next_asked(&self) -> NextAsked {
+    pub fn next_peer(&self) -> NextPeer {
         match self {
-            Self::Results { .. } | Self::NoSuchJob => NextAsked::Nobody,
-            Self::Elsewhere(holder) => NextAsked::Worker(*holder),
-            Self::Unsure => NextAsked::Others,
+            Self::Results { .. } | Self::NoSuchJob => NextPeer::Nobody,
+            Self::Elsewhere(holder) => NextPeer::Worker(*holder),
+            Self::Unsure => NextPeer::Others,
         }
     }
 }
 
-impl BodyAnswer {
+impl ItemBodyResponse {
     /// Whom to ask after this answer.
-    pub fn next_asked(&self) -> NextAsked {
+    pub fn next_peer(&self) -> NextPeer {
         match self {
-            Self::Body(_) | Self::NoSuchItem => NextAsked::Nobody,
-            Self::Elsewhere(holder) => NextAsked::Worker(*holder),
-            Self::Unsure => NextAsked::Others,
+            Self::Body(_) | Self::NoSuchItem => NextPeer::Nobody,
+            Self::Elsewhere(holder) => NextPeer::Worker(*holder),
+            Self::Unsure => NextPeer::Others,
         }
     }
 }
 
 /// What came of a call to the store that a peer made for another process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Relayed<T> {
+pub enum RelayedResult<T> {
     /// The store answered.
     Settled(T),
     /// The store did not act.
@@ -156,23 +156,23 @@
 #[tarpc::service]
 pub trait PeerService {
     /// What the peer knows of the platform that a process which knows `known` does not.
-    async fn knowledge(known: KnownState) -> Knowledge;
+    async fn knowledge(known: StoreStateVersion) -> StoreState;
     /// Tells a worker of a job that was just accepted.
     async fn accepted(job: JobSpec);
     /// Tells a worker that a job was ended.
     async fn ended(job: JobId);
     /// Reads results.
-    async fn read(job: JobId, read: ReadSpec) -> ReadAnswer;
+    async fn read(job: JobId, read: ResultsQuery) -> ResultsResponse;
     /// Reads the body of an item.
-    async fn body(job: JobId, item: ItemId) -> BodyAnswer;
+    async fn body(job: JobId, item: ItemId) -> ItemBodyResponse;
     /// Makes a change of the ledger.
-    async fn change_ledger(change: LedgerChange) -> Relayed<LedgerAnswer>;
+    async fn change_ledger(change: LedgerChange) -> RelayedResult<LedgerAnswer>;
     /// The crashes of servers that the peer knows of.
     async fn crashes() -> Vec<CrashReport>;
     /// Performs a write for a process that the store turns away.
-    async fn store_write(write: Write) -> Relayed<Written>;
+    async fn store_write(write: Write) -> RelayedResult<Written>;
     /// Reads an object for a process that the store turns away.
-    async fn store_get(kind: String, name: String) -> Relayed<Option<Object>>;
+    async fn store_get(kind: String, name: String) -> RelayedResult<Option<Object>>;
 }
 
 /// Why a call to a peer got no answer.
@@ -205,7 +205,7 @@
 
 impl PeerCalls {
     /// Whether a call to the peer at `addr` failed a short while ago and none succeeded since.
-    pub fn failed_lately(&self, addr: SocketAddr, now: Instant) -> bool {
+    pub fn has_failed_recently(&self, addr: SocketAddr, now: Instant) -> bool {
         let failed = self.failed.lock().expect("failed peers lock");
         let found = failed.binary_search_by_key(&addr, |(addr, _)| *addr);
         found.is_ok_and(|at| now.duration_since(failed[at].1) < AVOID_FAILED_FOR)
@@ -221,37 +221,37 @@
     }
 
     /// What the peer at `addr` knows of the platform beyond `known`.
-    pub async fn knowledge(
+    pub async fn fetch_state(
         &self,
         addr: SocketAddr,
-        known: KnownState,
-    ) -> Result<Knowledge, PeerError> {
+        known: StoreStateVersion,
+    ) -> Result<StoreState, PeerError> {
         let client = self.client(addr).await?;
         let answer = client.knowledge(context_for(CALL_TIMEOUT), known).await;
         self.checked("ask for knowledge", addr, answer)
     }
 
     /// Tells the worker at `addr` of an accepted job.
-    pub async fn accepted(&self, addr: SocketAddr, job: JobSpec) -> Result<(), PeerError> {
+    pub async fn send_accepted_job(&self, addr: SocketAddr, job: JobSpec) -> Result<(), PeerError> {
         let client = self.client(addr).await?;
         let answer = client.accepted(context_for(CALL_TIMEOUT), job).await;
         self.checked("hand over job", addr, answer)
     }
 
     /// Tells the worker at `addr` that a job was ended.
-    pub async fn ended(&self, addr: SocketAddr, job: JobId) -> Result<(), PeerError> {
+    pub async fn send_ended_job(&self, addr: SocketAddr, job: JobId) -> Result<(), PeerError> {
         let client = self.client(addr).await?;
         let answer = client.ended(context_for(CALL_TIMEOUT), job).await;
         self.checked("tell of ended job", addr, answer)
     }
 
     /// Reads results from the worker at `addr`.
-    pub async fn read(
+    pub async fn read_results(
         &self,
         addr: SocketAddr,
         job: JobId,
-        read: ReadSpec,
-    ) -> Result<ReadAnswer, PeerError> {
+        read: ResultsQuery,
+    ) -> Result<ResultsResponse, PeerError> {
         let client = self.client(addr).await?;
         let context = context_for(read.wait + CALL_TIMEOUT);
         let answer = client.read(context, job, read).await;
@@ -259,12 +259,12 @@
     }
 
     /// Reads an item's body from the worker at `addr`.
-    pub async fn body(
+    pub async fn read_item_body(
         &self,
         addr: SocketAddr,
         job: JobId,
         item: ItemId,
-    ) -> Result<BodyAnswer, PeerError> {
+    ) -> Result<ItemBodyResponse, PeerError> {
         let client = self.client(addr).await?;
         let answer = client.body(context_for(CALL_TIMEOUT), job, item).await;
         self.checked("read item body", addr, answer)
@@ -275,7 +275,7 @@
         &self,
         addr: SocketAddr,
         change: LedgerChange,
-    ) -> Result<Relayed<LedgerAnswer>, PeerError> {
+    ) -> Result<RelayedResult<LedgerAnswer>, PeerError> {
         let client = self.client(addr).await?;
         let context = context_for(ledger::KEEPER_PATIENCE);
         let answer = client.change_ledger(context, change).await;
@@ -283,7 +283,7 @@
     }
 
     /// The crashes of servers that the peer at `addr` knows of.
-    pub async fn crashes(&self, addr: SocketAddr) -> Result<Vec<CrashReport>, PeerError> {
+    pub async fn fetch_crashes(&self, addr: SocketAddr) -> Result<Vec<CrashReport>, PeerError> {
         let client = self.client(addr).await?;
         let answer = client.crashes(context_for(CALL_TIMEOUT)).await;
         self.checked("ask for crashes", addr, answer)
@@ -294,7 +294,7 @@
         &self,
         addr: SocketAddr,
         write: Write,
-    ) -> Result<Relayed<Written>, PeerError> {
+    ) -> Result<RelayedResult<Written>, PeerError> {
         let client = self.client(addr).await?;
         let answer = client.store_write(context_for(STORE_TIMEOUT), write).await;
         self.checked("write through peer", addr, answer)
@@ -306,7 +306,7 @@
         addr: SocketAddr,
         kind: String,
         name: String,
-    ) -> Result<Relayed<Option<Object>>, PeerError> {
+    ) -> Result<RelayedResult<Option<Object>>, PeerError> {
         let client = self.client(addr).await?;
         let answer = client
             .store_get(context_for(STORE_TIMEOUT), kind, name)
--- a/crates/foxwheel-node/src/contacts.rs
+++ b/crates/foxwheel-node/src/peer_directory.rs
@@ -6,7 +6,7 @@
 
 use foxwheel_core::ids::Zone;
 
-use crate::peer_messages::Contact;
+use crate::peer_messages::PeerEndpoint;
 use crate::settings::Role;
 
 /// Silence after which a process's address is forgotten.
@@ -26,24 +26,24 @@
 
 /// The addresses known to one process.
 #[derive(Debug, Default)]
-pub struct Contacts {
+pub struct PeerDirectory {
     /// Sorted by address.
     entries: Vec<Entry>,
 }
 
 /// Which processes a heartbeat goes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
+pub enum HeartbeatScope {
     /// Those of the own zone.
     OwnZone,
     /// Others: those of whom only the address is known, so that they answer who they are, and,
     /// from a worker, the other zones' workers.
-    Beyond,
+    OtherZones,
 }
 
-impl Contacts {
+impl PeerDirectory {
     /// Adds an address of which nothing else is known.
-    pub fn note_address(&mut self, addr: SocketAddr, now: Instant) {
+    pub fn add_address(&mut self, addr: SocketAddr, now: Instant) {
         if let Err(at) = self.position(addr) {
             let entry = Entry {
                 addr,
@@ -55,7 +55,7 @@
     }
 
     /// Adds a process, if it is of `own_zone` or may be needed from there.
-    pub fn note(&mut self, contact: &Contact, own_zone: &Zone, now: Instant) {
+    pub fn note(&mut self, contact: &PeerEndpoint, own_zone: &Zone, now: Instant) {
         let known = Some((contact.zone.clone(), contact.role));
         match self.position(contact.addr) {
             Ok(at) => self.entries[at].known = known,
@@ -71,7 +71,7 @@
         }
     }
 
-    fn wants(&self, contact: &Contact) -> bool {
+    fn wants(&self, contact: &PeerEndpoint) -> bool {
         let front = (contact.zone.clone(), Role::Front);
         let fronts = self.entries.iter();
         let fronts = fronts.filter(|entry| entry.known.as_ref() == Some(&front));
@@ -93,13 +93,20 @@
     }
 
     /// Addresses that a heartbeat of a process of `own_zone` goes to.
-    pub fn recipients(&self, own_zone: &Zone, own_role: Role, reach: Reach) -> Vec<SocketAddr> {
+    pub fn recipients(
+        &self,
+        own_zone: &Zone,
+        own_role: Role,
+        reach: HeartbeatScope,
+    ) -> Vec<SocketAddr> {
         let is_told = |entry: &&Entry| match &entry.known {
-            Some((zone, _)) if zone == own_zone => reach == Reach::OwnZone,
+            Some((zone, _)) if zone == own_zone => reach == HeartbeatScope::OwnZone,
             Some((_, role)) => {
-                reach == Reach::Beyond && *role == Role::Worker && own_role == Role::Worker
+                reach == HeartbeatScope::OtherZones
+                    && *role == Role::Worker
+                    && own_role == Role::Worker
             }
-            None => reach == Reach::Beyond,
+            None => reach == HeartbeatScope::OtherZones,
         };
         let told = self.entries.iter().filter(is_told);
         told.map(|entry| entry.addr).collect()
@@ -123,20 +130,20 @@
     }
 
     /// Processes that one of `zone` should know, at most `most`: its own and workers.
-    pub fn to_introduce(&self, zone: &Zone, most: usize) -> Vec<Contact> {
-        let contacts = self.entries.iter().filter_map(|entry| {
+    pub fn endpoints_to_introduce(&self, zone: &Zone, most: usize) -> Vec<PeerEndpoint> {
+        let peer_directory = self.entries.iter().filter_map(|entry| {
             let (known_zone, role) = entry.known.clone()?;
             let is_useful = known_zone == *zone || role == Role::Worker;
-            is_useful.then_some(Contact {
+            is_useful.then_some(PeerEndpoint {
                 addr: entry.addr,
                 zone: known_zone,
                 role,
             })
         });
-        let mut contacts: Vec<Contact> = contacts.collect();
-        contacts.sort_by_key(|contact| contact.zone != *zone);
-        contacts.truncate(most);
-        contacts
+        let mut peer_directory: Vec<PeerEndpoint> = peer_directory.collect();
+        peer_directory.sort_by_key(|contact| contact.zone != *zone);
+        peer_directory.truncate(most);
+        peer_directory
     }
 
     /// Every address, sorted.
--- a/crates/foxwheel-node/src/peer_messages.rs
+++ b/crates/foxwheel-node/src/peer_messages.rs
@@ -11,7 +11,7 @@
 use serde_with::{serde_as, DurationMilliSeconds};
 
 use crate::load_table::ServerLoad;
-use crate::peer_calls::KnownState;
+use crate::peer_calls::StoreStateVersion;
 use crate::settings::Role;
 
 /// What a process tells the others of its zone several times a second, and, without loads,
@@ -42,7 +42,7 @@
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub store_answered_ago: std::time::Duration,
     /// How new the configuration and the list of servers are that it knows.
-    pub knows: KnownState,
+    pub knows: StoreStateVersion,
     /// Which crashes of servers it knows of.
     pub quarantine: QuarantineState,
     /// The processes of its zone that it takes as speakers, first choice first.
@@ -76,7 +76,7 @@
 /// All that a process of another zone has in flight at the servers of a zone. The zone's first
 /// speaker passes it on to its zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GuestLoads {
+pub struct CrossZoneLoads {
     /// The process's host.
     pub host: NodeId,
     /// The process's availability zone.
@@ -115,13 +115,13 @@
     /// Starts of servers that the zone found to be gone; sorted.
     pub gone: Vec<ServerKey>,
     /// The zone's workers; sorted by host.
-    pub workers: Vec<WorkerNote>,
+    pub workers: Vec<WorkerSummary>,
 }
 
 /// What other zones are told of a worker.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WorkerNote {
+pub struct WorkerSummary {
     /// Its host.
     pub host: NodeId,
     /// Where it takes calls and heartbeats.
@@ -152,7 +152,7 @@
 
 /// A process and where it takes messages.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Contact {
+pub struct PeerEndpoint {
     /// Where it takes calls and heartbeats.
     pub addr: SocketAddr,
     /// Its availability zone.
@@ -166,9 +166,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Introduction {
     /// The process itself.
-    pub from: Contact,
+    pub from: PeerEndpoint,
     /// Workers, and processes of the asking process's zone.
-    pub others: Vec<Contact>,
+    pub others: Vec<PeerEndpoint>,
 }
 
 /// What processes tell each other by datagrams.
@@ -179,13 +179,13 @@
     /// What changed, within the zone.
     LoadChanges(LoadChanges),
     /// Load of a process on another zone's servers.
-    GuestLoads(GuestLoads),
+    GuestLoads(CrossZoneLoads),
     /// From speaker to speaker.
     Summary(ZoneSummary),
     /// From a speaker to its zone.
     Summaries(Vec<AgedSummary>),
     /// From a process that hears nothing of the receiver's zone: it is answered a summary.
-    SummaryWanted(Contact),
+    SummaryWanted(PeerEndpoint),
     /// Answer to a heartbeat from another zone.
     Introduction(Introduction),
 }
--- a/crates/foxwheel-node/src/peer_server.rs
+++ b/crates/foxwheel-node/src/peer_server.rs
@@ -18,7 +18,8 @@
 
 use crate::node::Node;
 use crate::peer_calls::{
-    BodyAnswer, Knowledge, KnownState, PeerService, ReadAnswer, ReadSpec, Relayed,
+    ItemBodyResponse, PeerService, RelayedResult, ResultsQuery, ResultsResponse, StoreState,
+    StoreStateVersion,
 };
 use crate::worker_jobs::WorkerJobs;
 
@@ -30,12 +31,12 @@
 }
 
 impl PeerService for Handler {
-    async fn knowledge(self, _: context::Context, known: KnownState) -> Knowledge {
+    async fn knowledge(self, _: context::Context, known: StoreStateVersion) -> StoreState {
         let is_newer = |config: &Arc<Config>| Some(config.version) > known.config_version;
         let config = self.node.config().filter(is_newer);
         let is_current = self.node.is_current(Instant::now());
         let directory = self.node.directory.lock().expect("directory lock");
-        Knowledge {
+        StoreState {
             is_current,
             config: config.map(|config| config.as_ref().clone()),
             servers: directory.news_since(known.servers_revision),
@@ -54,23 +55,23 @@
         }
     }
 
-    async fn read(self, _: context::Context, job: JobId, read: ReadSpec) -> ReadAnswer {
+    async fn read(self, _: context::Context, job: JobId, read: ResultsQuery) -> ResultsResponse {
         match &self.jobs {
             Some(jobs) => match jobs.holder_elsewhere(&job) {
-                Some(holder) => ReadAnswer::Elsewhere(holder),
+                Some(holder) => ResultsResponse::Elsewhere(holder),
                 None => jobs.read(&job, read).await,
             },
-            None => ReadAnswer::Unsure,
+            None => ResultsResponse::Unsure,
         }
     }
 
-    async fn body(self, _: context::Context, job: JobId, item: ItemId) -> BodyAnswer {
+    async fn body(self, _: context::Context, job: JobId, item: ItemId) -> ItemBodyResponse {
         match &self.jobs {
             Some(jobs) => match jobs.holder_elsewhere(&job) {
-                Some(holder) => BodyAnswer::Elsewhere(holder),
+                Some(holder) => ItemBodyResponse::Elsewhere(holder),
                 None => jobs.body(&job, &item).await,
             },
-            None => BodyAnswer::Unsure,
+            None => ItemBodyResponse::Unsure,
         }
     }
 
@@ -78,10 +79,10 @@
         self,
         _: context::Context,
         change: LedgerChange,
-    ) -> Relayed<LedgerAnswer> {
+    ) -> RelayedResult<LedgerAnswer> {
         match &self.jobs {
             Some(jobs) => jobs.ledger.change(change).await,
-            None => Relayed::NotDone("not a worker".to_owned()),
+            None => RelayedResult::NotDone("not a worker".to_owned()),
         }
     }
 
@@ -90,7 +91,7 @@
         quarantine.reports(Instant::now())
     }
 
-    async fn store_write(self, _: context::Context, write: Write) -> Relayed<Written> {
+    async fn store_write(self, _: context::Context, write: Write) -> RelayedResult<Written> {
         relayed(self.node.store.write(&write).await)
     }
 
@@ -99,16 +100,16 @@
         _: context::Context,
         kind: String,
         name: String,
-    ) -> Relayed<Option<Object>> {
+    ) -> RelayedResult<Option<Object>> {
         relayed(self.node.store.get(&kind, &name).await)
     }
 }
 
-fn relayed<T>(answer: Result<T, StoreError>) -> Relayed<T> {
+fn relayed<T>(answer: Result<T, StoreError>) -> RelayedResult<T> {
     match answer {
-        Ok(answer) => Relayed::Settled(answer),
-        Err(e) if e.is_not_done() => Relayed::NotDone(e.to_string()),
-        Err(e) => Relayed::Unknown(e.to_string()),
+        Ok(answer) => RelayedResult::Settled(answer),
+        Err(e) if e.is_not_done() => RelayedResult::NotDone(e.to_string()),
+        Err(e) => RelayedResult::Unknown(e.to_string()),
     }
 }
 
--- a/crates/foxwheel-node/src/peers.rs
+++ b/crates/foxwheel-node/src/peers.rs
@@ -12,18 +12,18 @@
 use foxwheel_policy::membership::ServerKey;
 use foxwheel_policy::zone_loads::{self, Requests, ServerFingerprint};
 
-use crate::contacts::{Contacts, Reach};
-use crate::guests::Guests;
+use crate::cross_zone_clients::CrossZoneClients;
 use crate::load_sums::LoadSums;
 use crate::load_table::ServerLoad;
-use crate::other_zones::{OtherZones, Via};
+use crate::other_zones::{OtherZones, SummarySource};
+use crate::peer_directory::{HeartbeatScope, PeerDirectory};
 use crate::peer_messages::{
-    AgedSummary, Contact, GuestLoads, Heartbeat, Introduction, LoadChanges, ZoneSummary,
+    AgedSummary, CrossZoneLoads, Heartbeat, Introduction, LoadChanges, PeerEndpoint, ZoneSummary,
 };
+use crate::reported_loads::ReportedLoads;
 use crate::settings::Role;
-use crate::told_loads::ToldLoads;
 
-pub use views::{StoreFollower, ZonePeer};
+pub use views::{StoreWatcher, ZonePeer};
 
 /// Most processes told of in one introduction.
 const MAX_INTRODUCED: usize = 40;
@@ -32,7 +32,7 @@
 struct Peer {
     /// Its last heartbeat; the loads are in `told`.
     beat: Heartbeat,
-    told: ToldLoads,
+    told: ReportedLoads,
     heard_at: Instant,
     /// When the platform's store last answered it; none if that is longer ago than this
     /// process can tell.
@@ -51,8 +51,8 @@
 struct Tables {
     /// Those heard themselves: of the own zone, and between workers; sorted by host.
     peers: Vec<Peer>,
-    guests: Guests,
-    contacts: Contacts,
+    cross_zone_clients: CrossZoneClients,
+    peer_directory: PeerDirectory,
     other_zones: OtherZones,
     /// The loads of peers and guests that are counted.
     sums: LoadSums,
@@ -73,19 +73,19 @@
     }
 
     /// Takes a heartbeat; answers whether its sender is new or was taken for dead.
-    pub fn hear(&self, beat: Heartbeat, own: SocketAddr, now: Instant) -> bool {
+    pub fn apply_heartbeat(&self, beat: Heartbeat, own: SocketAddr, now: Instant) -> bool {
         let mut tables = self.lock();
         let known = beat.known.iter().filter(|addr| **addr != own);
         for addr in known {
-            tables.contacts.note_address(*addr, now);
+            tables.peer_directory.add_address(*addr, now);
         }
-        let contact = Contact {
+        let contact = PeerEndpoint {
             addr: beat.addr,
             zone: beat.zone.clone(),
             role: beat.role,
         };
-        tables.contacts.note(&contact, &self.own_zone, now);
-        tables.contacts.refresh(beat.addr, now);
+        tables.peer_directory.note(&contact, &self.own_zone, now);
+        tables.peer_directory.refresh(beat.addr, now);
         match tables.position(&beat.host) {
             Ok(at) => {
                 let known = &tables.peers[at];
@@ -99,7 +99,7 @@
             }
             Err(at) => {
                 let peer = Peer {
-                    told: ToldLoads::default(),
+                    told: ReportedLoads::default(),
                     heard_at: now,
                     store_answered_at: None,
                     beat: Heartbeat {
@@ -117,27 +117,29 @@
 
     /// Whether the sender of a heartbeat sent it only because it does not know who is here:
     /// processes of different zones tell each other nothing unless both are workers.
-    pub fn is_stranger(&self, beat: &Heartbeat) -> bool {
+    pub fn should_introduce(&self, beat: &Heartbeat) -> bool {
         let both_workers = beat.role == Role::Worker && self.own_role == Role::Worker;
         beat.zone != self.own_zone && !both_workers
     }
 
     /// Whom a process of `zone` should know.
-    pub fn to_introduce(&self, zone: &Zone) -> Vec<Contact> {
-        self.lock().contacts.to_introduce(zone, MAX_INTRODUCED)
+    pub fn endpoints_to_introduce(&self, zone: &Zone) -> Vec<PeerEndpoint> {
+        self.lock()
+            .peer_directory
+            .endpoints_to_introduce(zone, MAX_INTRODUCED)
     }
 
     /// Takes an introduction.
-    pub fn take_introduction(&self, told: &Introduction, own: SocketAddr, now: Instant) {
+    pub fn apply_introduction(&self, told: &Introduction, own: SocketAddr, now: Instant) {
         let others = told.others.iter().chain([&told.from]);
         for contact in others.filter(|contact| contact.addr != own) {
-            self.note_contact(contact, now);
+            self.add_endpoint(contact, now);
         }
     }
 
     /// Takes changes of a live peer's load, unless something newer was heard of it; a peer that
     /// was silent for long tells everything first.
-    pub fn take_changes(&self, changes: LoadChanges, now: Instant) {
+    pub fn apply_load_changes(&self, changes: LoadChanges, now: Instant) {
         let mut tables = self.lock();
         let Ok(at) = tables.position(&changes.host) else {
             return;
@@ -158,64 +160,66 @@
 
     /// Takes what a process of another zone has in flight at this zone's servers; answers
     /// whether it is news.
-    pub fn take_guest(&self, told: &GuestLoads, now: Instant) -> bool {
+    pub fn apply_cross_zone_loads(&self, told: &CrossZoneLoads, now: Instant) -> bool {
         let tables = &mut *self.lock();
-        let is_news = tables.guests.take(told, &mut tables.sums, now);
+        let is_news = tables.cross_zone_clients.take(told, &mut tables.sums, now);
         tables.expect_death(now + DEAD_AFTER);
         is_news
     }
 
     /// What the processes of another zone have in flight at this zone's servers.
-    pub fn guest_loads(&self, zone: &Zone, now: Instant) -> LoadSums {
+    pub fn cross_zone_loads(&self, zone: &Zone, now: Instant) -> LoadSums {
         let mut tables = self.lock();
         tables.notice_deaths(now);
-        tables.guests.of_zone(zone)
+        tables.cross_zone_clients.of_zone(zone)
     }
 
     /// Takes a summary of another zone.
-    pub fn take_summary(&self, told: AgedSummary, via: Via, now: Instant) {
+    pub fn apply_summary(&self, told: AgedSummary, via: SummarySource, now: Instant) {
         if told.summary.zone == self.own_zone {
             return;
         }
         let mut tables = self.lock();
         for contact in contacts_of(&told.summary) {
-            tables.contacts.note(&contact, &self.own_zone, now);
-            tables.contacts.refresh(contact.addr, now);
+            tables.peer_directory.note(&contact, &self.own_zone, now);
+            tables.peer_directory.refresh(contact.addr, now);
         }
         tables.other_zones.take(told, via, now);
     }
 
     /// Adds an address of which nothing else is known.
-    pub fn note_address(&self, addr: SocketAddr, own: SocketAddr, now: Instant) {
+    pub fn add_address(&self, addr: SocketAddr, own: SocketAddr, now: Instant) {
         if addr != own {
-            self.lock().contacts.note_address(addr, now);
+            self.lock().peer_directory.add_address(addr, now);
         }
     }
 
     /// Adds a process other than this one.
-    pub fn note_contact(&self, contact: &Contact, now: Instant) {
-        self.lock().contacts.note(contact, &self.own_zone, now);
+    pub fn add_endpoint(&self, contact: &PeerEndpoint, now: Instant) {
+        self.lock()
+            .peer_directory
+            .note(contact, &self.own_zone, now);
     }
 
     /// Every address that is known, sorted.
-    pub fn addresses(&self, now: Instant) -> Vec<SocketAddr> {
+    pub fn known_addresses(&self, now: Instant) -> Vec<SocketAddr> {
         let mut tables = self.lock();
-        tables.contacts.forget_silent(now);
-        tables.contacts.addresses()
+        tables.peer_directory.forget_silent(now);
+        tables.peer_directory.addresses()
     }
 
     /// Where a heartbeat goes.
-    pub fn recipients(&self, reach: Reach, now: Instant) -> Vec<SocketAddr> {
+    pub fn heartbeat_recipients(&self, reach: HeartbeatScope, now: Instant) -> Vec<SocketAddr> {
         let mut tables = self.lock();
-        tables.contacts.forget_silent(now);
+        tables.peer_directory.forget_silent(now);
         tables
-            .contacts
+            .peer_directory
             .recipients(&self.own_zone, self.own_role, reach)
     }
 
     /// Requests in flight at `server` from all live processes that told of them: online and
     /// batch.
-    pub fn load(&self, server: &ServerKey, now: Instant) -> (u32, u32) {
+    pub fn in_flight(&self, server: &ServerKey, now: Instant) -> (u32, u32) {
         let mut tables = self.lock();
         tables.notice_deaths(now);
         tables.sums.get(server)
@@ -223,7 +227,7 @@
 
     /// Requests in flight at a server of another zone from all processes, as far as is known;
     /// `own` are those of this one. None for the own zone.
-    pub fn load_elsewhere(
+    pub fn other_zone_load(
         &self,
         zone: &Zone,
         server: &ServerKey,
@@ -243,29 +247,30 @@
         };
         let told = tables.other_zones.load(zone, server, slots, own_zone, now);
         Some(told.unwrap_or_else(|| {
-            if tables.contacts.of_zone(zone).next().is_some() {
+            if tables.peer_directory.of_zone(zone).next().is_some() {
                 return zone_loads::silent(slots, own_zone);
             }
-            let zones = tables.contacts.other_zones(&self.own_zone).len() + 1;
+            let zones = tables.peer_directory.other_zones(&self.own_zone).len() + 1;
             zone_loads::shared_evenly(zones as u32, own_zone)
         }))
     }
 
     /// The servers that a speaker of another zone told of, if one lives: the freest of a large
     /// zone.
-    pub fn told_servers(&self, zone: &Zone, now: Instant) -> Option<Vec<ServerFingerprint>> {
-        self.lock().other_zones.told_servers(zone, now)
+    pub fn summarized_servers(&self, zone: &Zone, now: Instant) -> Option<Vec<ServerFingerprint>> {
+        self.lock().other_zones.summarized_servers(zone, now)
     }
 
     /// Whether a live process found that start of a server to be gone.
-    pub fn found_gone(&self, server: &ServerKey, now: Instant) -> bool {
+    pub fn is_reported_dead(&self, server: &ServerKey, now: Instant) -> bool {
         let mut tables = self.lock();
         tables.notice_deaths(now);
-        tables.gone.binary_search(server).is_ok() || tables.other_zones.found_gone(server, now)
+        tables.gone.binary_search(server).is_ok()
+            || tables.other_zones.is_reported_dead(server, now)
     }
 
     /// Starts of servers that processes of the own zone found gone; sorted.
-    pub fn gone(&self, now: Instant) -> Vec<ServerKey> {
+    pub fn reported_dead_instances(&self, now: Instant) -> Vec<ServerKey> {
         let mut tables = self.lock();
         tables.notice_deaths(now);
         tables.gone.clone()
@@ -278,22 +283,22 @@
 
 /// Whom a summary tells of: its zone's workers, and its speakers for the time in which no
 /// worker lives there.
-fn contacts_of(summary: &ZoneSummary) -> Vec<Contact> {
-    let contact = |addr, role| Contact {
+fn contacts_of(summary: &ZoneSummary) -> Vec<PeerEndpoint> {
+    let contact = |addr, role| PeerEndpoint {
         addr,
         zone: summary.zone.clone(),
         role,
     };
     let workers = summary.workers.iter();
-    let mut contacts: Vec<Contact> = workers
+    let mut peer_directory: Vec<PeerEndpoint> = workers
         .map(|note| contact(note.addr, Role::Worker))
         .collect();
     for addr in &summary.speakers {
-        if !contacts.iter().any(|known| known.addr == *addr) {
-            contacts.push(contact(*addr, Role::Front));
+        if !peer_directory.iter().any(|known| known.addr == *addr) {
+            peer_directory.push(contact(*addr, Role::Front));
         }
     }
-    contacts
+    peer_directory
 }
 
 impl Peer {
@@ -341,10 +346,10 @@
         for peer in &mut self.peers {
             match peer.is_live(now) {
                 true => deaths.push(peer.heard_at + DEAD_AFTER),
-                false => peer.told.uncount(&mut self.sums),
+                false => peer.told.remove_from_sums(&mut self.sums),
             }
         }
-        deaths.extend(self.guests.forget_silent(&mut self.sums, now));
+        deaths.extend(self.cross_zone_clients.forget_silent(&mut self.sums, now));
         self.next_death = deaths.into_iter().min();
         self.collect_gone();
     }
--- a/crates/foxwheel-node/src/peers/views.rs
+++ b/crates/foxwheel-node/src/peers/views.rs
@@ -8,8 +8,8 @@
 use foxwheel_policy::quarantine::QuarantineState;
 use foxwheel_policy::speakers::Member;
 
-use crate::peer_calls::KnownState;
-use crate::peer_messages::{AgedSummary, Heartbeat, WorkerNote};
+use crate::peer_calls::StoreStateVersion;
+use crate::peer_messages::{AgedSummary, Heartbeat, WorkerSummary};
 use crate::peers::Peers;
 use crate::settings::Role;
 
@@ -26,25 +26,25 @@
 
 /// A process of the own zone that follows the platform's store.
 #[derive(Debug, Clone)]
-pub struct StoreFollower {
+pub struct StoreWatcher {
     /// Its host.
     pub host: NodeId,
     /// Where it takes calls.
     pub addr: SocketAddr,
     /// How new what it knows is.
-    knows: KnownState,
+    knows: StoreStateVersion,
 }
 
-impl StoreFollower {
+impl StoreWatcher {
     /// Whether it knows more than `known`.
-    pub fn knows_more(&self, known: KnownState) -> bool {
-        self.knows.is_more_than(known)
+    pub fn is_newer_than(&self, known: StoreStateVersion) -> bool {
+        self.knows.is_newer_than(known)
     }
 }
 
 impl Peers {
     /// Addresses of the processes that are heard, or of the workers among them.
-    pub fn heard(&self, only_workers: bool, now: Instant) -> Vec<SocketAddr> {
+    pub fn live_addresses(&self, only_workers: bool, now: Instant) -> Vec<SocketAddr> {
         let tables = self.lock();
         let wanted = |beat: &&Heartbeat| !only_workers || beat.role == Role::Worker;
         let heard = tables.live(now).filter(wanted);
@@ -52,7 +52,7 @@
     }
 
     /// The live processes of the own zone that are heard.
-    pub fn of_own_zone(&self, now: Instant) -> Vec<ZonePeer> {
+    pub fn own_zone_peers(&self, now: Instant) -> Vec<ZonePeer> {
         let tables = self.lock();
         let live = tables.peers.iter().filter(|peer| peer.is_live(now));
         let local = live.filter(|peer| peer.beat.zone == self.own_zone);
@@ -72,7 +72,7 @@
 
     /// Addresses of the live processes of the own zone that `wanted` picks by their host and the
     /// speakers that they name.
-    pub fn local_addresses(
+    pub fn own_zone_addresses(
         &self,
         now: Instant,
         wanted: impl Fn(&NodeId, &[NodeId]) -> bool,
@@ -84,25 +84,25 @@
     }
 
     /// Whether a live process of the own zone names `host` as a speaker.
-    pub fn is_named(&self, host: &NodeId, now: Instant) -> bool {
+    pub fn is_representative(&self, host: &NodeId, now: Instant) -> bool {
         let tables = self.lock();
         let mut local = tables.live(now).filter(|beat| beat.zone == self.own_zone);
         local.any(|beat| beat.speakers.contains(host))
     }
 
     /// Processes of the own zone that follow the platform's store, as they told last.
-    pub fn followers(&self, now: Instant) -> Vec<StoreFollower> {
+    pub fn store_watchers(&self, now: Instant) -> Vec<StoreWatcher> {
         let tables = self.lock();
         let following = tables.live(now).filter(|beat| {
             let is_local = beat.zone == self.own_zone;
             is_local && beat.follows
         });
-        let followers = following.map(|beat| StoreFollower {
+        let store_watch = following.map(|beat| StoreWatcher {
             host: beat.host.clone(),
             addr: beat.addr,
             knows: beat.knows,
         });
-        followers.collect()
+        store_watch.collect()
     }
 
     /// Which crashes of servers the processes that are heard know of, and where they take calls.
@@ -116,22 +116,22 @@
 
     /// When the platform's store last answered a process of the own zone that follows it and
     /// told of nothing newer than `known`: what is known here was current then.
-    pub fn current_at(&self, known: KnownState) -> Option<Instant> {
+    pub fn state_current_at(&self, known: StoreStateVersion) -> Option<Instant> {
         let tables = self.lock();
         let following = tables.peers.iter().filter(|peer| {
             let is_local = peer.beat.zone == self.own_zone;
-            is_local && peer.beat.follows && !peer.beat.knows.is_more_than(known)
+            is_local && peer.beat.follows && !peer.beat.knows.is_newer_than(known)
         });
         following.filter_map(|peer| peer.store_answered_at).max()
     }
 
     /// What other zones are told of the own zone's workers that are heard.
-    pub fn worker_notes(&self, now: Instant) -> Vec<WorkerNote> {
+    pub fn worker_summaries(&self, now: Instant) -> Vec<WorkerSummary> {
         let tables = self.lock();
         let live = tables.peers.iter().filter(|peer| peer.is_live(now));
         let local = live.filter(|peer| peer.beat.zone == self.own_zone);
         let workers = local.filter(|peer| peer.beat.role == Role::Worker);
-        let notes = workers.map(|peer| WorkerNote {
+        let notes = workers.map(|peer| WorkerSummary {
             host: peer.beat.host.clone(),
             addr: peer.beat.addr,
             leaving: peer.beat.leaving,
@@ -144,13 +144,13 @@
 
     /// Other zones of which a process is known, and where messages for each go: to its
     /// speakers, or to whoever is known there while no speaker is heard.
-    pub fn other_zones(&self, now: Instant) -> Vec<(Zone, Vec<SocketAddr>)> {
+    pub fn other_zone_recipients(&self, now: Instant) -> Vec<(Zone, Vec<SocketAddr>)> {
         let tables = self.lock();
-        let zones = tables.contacts.other_zones(&self.own_zone);
+        let zones = tables.peer_directory.other_zones(&self.own_zone);
         let addressed = zones.into_iter().map(|zone| {
             let mut addresses = tables.other_zones.speakers(&zone, now).to_vec();
             if addresses.is_empty() {
-                addresses = tables.contacts.of_zone(&zone).collect();
+                addresses = tables.peer_directory.of_zone(&zone).collect();
             }
             (zone, addresses)
         });
@@ -159,25 +159,25 @@
 
     /// For each zone of which processes are known and that nobody tells of, where they take
     /// messages.
-    pub fn silent_zones(&self, now: Instant) -> Vec<Vec<SocketAddr>> {
+    pub fn silent_zone_recipients(&self, now: Instant) -> Vec<Vec<SocketAddr>> {
         let tables = self.lock();
-        let zones = tables.contacts.other_zones(&self.own_zone);
+        let zones = tables.peer_directory.other_zones(&self.own_zone);
         let silent = zones
             .into_iter()
             .filter(|zone| tables.other_zones.speakers(zone, now).is_empty());
         silent
-            .map(|zone| tables.contacts.of_zone(&zone).collect())
+            .map(|zone| tables.peer_directory.of_zone(&zone).collect())
             .collect()
     }
 
     /// Summaries of other zones to pass on to this one.
-    pub fn to_pass_on(&self, is_first: bool, now: Instant) -> Vec<AgedSummary> {
-        self.lock().other_zones.to_pass_on(is_first, now)
+    pub fn summaries_to_forward(&self, is_first: bool, now: Instant) -> Vec<AgedSummary> {
+        self.lock().other_zones.summaries_to_forward(is_first, now)
     }
 
     /// Addresses of live processes that do `role` and are heard, in the order of their hosts;
     /// with the workers that other zones' speakers tell of.
-    pub fn live(&self, role: Role, now: Instant) -> Vec<(NodeId, SocketAddr)> {
+    pub fn live_processes(&self, role: Role, now: Instant) -> Vec<(NodeId, SocketAddr)> {
         let tables = self.lock();
         let heard = tables.live(now).filter(|beat| beat.role == role);
         let mut live: Vec<_> = heard.map(|beat| (beat.host.clone(), beat.addr)).collect();
@@ -192,7 +192,7 @@
     }
 
     /// How many live fronts there are beside this process.
-    pub fn front_count(&self, now: Instant) -> usize {
+    pub fn other_front_count(&self, now: Instant) -> usize {
         let tables = self.lock();
         let heard = tables.live(now).filter(|beat| {
             let is_local = beat.zone == self.own_zone;
@@ -203,7 +203,7 @@
 
     /// Addresses of live processes that reach the platform's store: those that are heard, and
     /// other zones' workers, whom this process may not reach.
-    pub fn reaching_store(&self, now: Instant) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
+    pub fn processes_reaching_store(&self, now: Instant) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
         let tables = self.lock();
         let heard = tables.live(now).filter(|beat| beat.store_reached);
         let heard: Vec<SocketAddr> = heard.map(|beat| beat.addr).collect();
@@ -216,7 +216,7 @@
 
     /// Live workers: those heard, and those that others tell of though they are not heard
     /// here, because they are in another zone or the path to them is cut.
-    pub fn workers(&self, now: Instant) -> Vec<Worker> {
+    pub fn live_workers(&self, now: Instant) -> Vec<Worker> {
         let tables = self.lock();
         let heard = tables.peers.iter().filter(|peer| {
             let is_worker = peer.beat.role == Role::Worker;
--- a/crates/foxwheel-node/src/process.rs
+++ b/crates/foxwheel-node/src/process.rs
@@ -11,7 +11,7 @@
 use crate::node::Node;
 use crate::settings::NodeSettings;
 use crate::worker_jobs::WorkerJobs;
-use crate::{followers, front, heartbeat, peer_server, worker};
+use crate::{front, heartbeat, peer_server, store_watch, worker};
 
 /// Left of a worker's time to stop when it ends, whatever it still runs: it must be gone
 /// before it is killed.
@@ -60,7 +60,7 @@
     let deadline = tokio::spawn(stop_by);
     worker::run(Arc::clone(&node), jobs, stopped).await;
     deadline.abort();
-    log::info!(holds_jobs = node.holds_jobs(); "worker stopped");
+    log::info!(holds_jobs = node.has_owned_jobs(); "worker stopped");
     background.cancel();
     structured_log::flush();
     Ok(())
@@ -88,7 +88,7 @@
         front::serve_metrics(Arc::clone(node), settings.bind_address(port)).await?;
     }
     tokio::spawn(heartbeat::run(Arc::clone(node), socket, cancel.clone()));
-    tokio::spawn(followers::run(Arc::clone(node), cancel.clone()));
+    tokio::spawn(store_watch::run(Arc::clone(node), cancel.clone()));
     tokio::spawn(log_reloads());
     Ok(cancel)
 }
--- a/crates/foxwheel-node/src/quarantine_store.rs
+++ b/crates/foxwheel-node/src/quarantine_store.rs
@@ -40,7 +40,11 @@
 async fn load(node: &Node) {
     if node.settings.role == Role::Front {
         tokio::time::sleep(HEAR_WORKERS_FOR).await;
-        if !node.peers.live(Role::Worker, Instant::now()).is_empty() {
+        if !node
+            .peers
+            .live_processes(Role::Worker, Instant::now())
+            .is_empty()
+        {
             return;
         }
     }
@@ -48,7 +52,7 @@
     let objects = loop {
         match node.store.list(KIND).await {
             Ok(listing) => break listing.objects,
-            Err(_) => node.store.pause(backoff.pause()).await,
+            Err(_) => node.store.wait_before_retry(backoff.next_delay()).await,
         }
     };
     let now_unix = Duration::from_millis(time::unix_ms());
@@ -94,7 +98,7 @@
                 }
                 Err(e) => {
                     log::warn!(content, error:% = e; "quarantine not saved yet");
-                    node.store.pause(backoff.pause()).await;
+                    node.store.wait_before_retry(backoff.next_delay()).await;
                     node.crashes_changed.notify_one();
                 }
             }
--- a/crates/foxwheel-node/src/relay.rs
+++ b/crates/foxwheel-node/src/relay.rs
@@ -54,7 +54,7 @@
                 BodyFrame::End if !splitter.has_partial_event() => {
                     let (first_age, on_time) = first.unwrap_or_default();
                     request.count_served(&node, on_time);
-                    node.paces.record_hold_time(&request.service, started.elapsed());
+                    node.hold_times.record_hold_time(&request.service, started.elapsed());
                     let (in_flight, slots) = request.seen_load();
                     log::info!(request_id = request.caller.id, server = answer.server.id, in_flight, slots, events, on_time, first_ms = first_age.as_millis() as u64, took_ms = started.elapsed().as_millis() as u64; "stream complete");
                     answer.finish();
@@ -118,7 +118,7 @@
     let server = broken.server.clone();
     // Closes the connection first, so that two servers never work on one request.
     drop(broken);
-    node.loads.note_outcome(&server, true, Instant::now());
+    node.loads.record_outcome(&server, true, Instant::now());
     let opened = match request.may_resume() {
         true => request.open_elsewhere(node, &server).await,
         false => None,
--- a/crates/foxwheel-node/src/told_loads.rs
+++ b/crates/foxwheel-node/src/reported_loads.rs
@@ -5,24 +5,24 @@
 
 /// What one process has in flight at servers, as it told last.
 #[derive(Debug, Default)]
-pub struct ToldLoads {
+pub struct ReportedLoads {
     /// Sorted by server and start.
     loads: Vec<ServerLoad>,
     /// They are in the sums, until the death of their process is noticed.
     counted: bool,
 }
 
-impl ToldLoads {
+impl ReportedLoads {
     /// Takes the loads in place of those before.
     pub fn replace(&mut self, loads: Vec<ServerLoad>, sums: &mut LoadSums) {
-        self.uncount(sums);
+        self.remove_from_sums(sums);
         self.loads = loads;
         sums.add(&self.loads);
         self.counted = true;
     }
 
     /// Takes the loads off the sums, if they are in them.
-    pub fn uncount(&mut self, sums: &mut LoadSums) {
+    pub fn remove_from_sums(&mut self, sums: &mut LoadSums) {
         if std::mem::take(&mut self.counted) {
             sums.subtract(&self.loads);
         }
--- a/crates/foxwheel-node/src/request_quarantine.rs
+++ b/crates/foxwheel-node/src/request_quarantine.rs
@@ -57,7 +57,7 @@
             log::warn!(content; "request quarantined");
         }
         self.crashes_changed.notify_one();
-        self.load_alarm.notify_one();
+        self.urgent_heartbeat.notify_one();
     }
 
     /// Takes crashes that `source` knows of.
@@ -68,7 +68,7 @@
         if is_news {
             log::info!(source, crashes = reports.len(); "crashes taken");
             self.crashes_changed.notify_one();
-            self.load_alarm.notify_one();
+            self.urgent_heartbeat.notify_one();
         }
     }
 
@@ -86,7 +86,7 @@
         drop(quarantine);
         if was_held {
             log::info!(content; "request cleared of crashes");
-            self.load_alarm.notify_one();
+            self.urgent_heartbeat.notify_one();
         }
     }
 
@@ -107,7 +107,7 @@
     let mut asked: Vec<(SocketAddr, QuarantineState)> = Vec::new();
     loop {
         // Both mean that there may be news.
-        let _ = tokio::time::timeout(LOOK_EVERY, node.quarantine_news.notified()).await;
+        let _ = tokio::time::timeout(LOOK_EVERY, node.quarantine_update.notified()).await;
         for (addr, told) in node.peers.quarantine_states(Instant::now()) {
             let at = asked.partition_point(|(known, _)| *known < addr);
             let was_asked = asked.get(at) == Some(&(addr, told));
@@ -128,7 +128,7 @@
 
 /// Takes what the peer at `addr` knows; answers whether it answered.
 async fn ask(node: &Node, addr: SocketAddr) -> bool {
-    let reports = match node.peer_calls.crashes(addr).await {
+    let reports = match node.peer_calls.fetch_crashes(addr).await {
         Ok(reports) => reports,
         Err(e) => {
             log::info!(peer:% = addr, error:% = e; "peer did not tell of crashes");
--- a/crates/foxwheel-node/src/result_store.rs
+++ b/crates/foxwheel-node/src/result_store.rs
@@ -16,7 +16,7 @@
 pub async fn store(jobs: Arc<WorkerJobs>, job: JobId, due_unix: Duration) {
     if let Err(e) = store_parts(&jobs, &job, due_unix).await {
         log::warn!(job, error:% = e; "results not stored, trying again");
-        tokio::time::sleep(Backoff::default().pause()).await;
+        tokio::time::sleep(Backoff::default().next_delay()).await;
     }
     let finished = jobs.with(&job, |entry| entry.progress.is_listed());
     if finished == Some(true) {
--- a/crates/foxwheel-node/src/retirement_follower.rs
+++ b/crates/foxwheel-node/src/retirement_follower.rs
@@ -23,7 +23,7 @@
     loop {
         if let Err(e) = retire_when_asked(node).await {
             log::debug!(error:% = e; "retirements not followed");
-            node.store.pause(backoff.pause()).await;
+            node.store.wait_before_retry(backoff.next_delay()).await;
         }
     }
 }
@@ -55,7 +55,7 @@
     log::info!(host = own; "asked to retire");
     write_retirement(node, Progress::Running).await;
     node.retiring.cancel();
-    while node.holds_jobs() {
+    while node.has_owned_jobs() {
         tokio::time::sleep(LOOK_EVERY).await;
     }
     write_retirement(node, Progress::Completed).await;
@@ -78,7 +78,9 @@
     loop {
         match node.store.write(&write).await {
             Ok(Written::Done(_) | Written::Missing) => return,
-            Ok(Written::Conflict(_)) | Err(_) => node.store.pause(backoff.pause()).await,
+            Ok(Written::Conflict(_)) | Err(_) => {
+                node.store.wait_before_retry(backoff.next_delay()).await
+            }
         }
     }
 }
--- a/crates/foxwheel-node/src/catch_up.rs
+++ b/crates/foxwheel-node/src/state_sync.rs
@@ -7,7 +7,7 @@
 use foxwheel_core::ids::NodeId;
 
 use crate::node::Node;
-use crate::peer_calls::{Knowledge, KnownState};
+use crate::peer_calls::{StoreState, StoreStateVersion};
 use crate::settings::Role;
 
 /// How often a process looks whether those that follow for the zone know more, in case the
@@ -28,11 +28,11 @@
 pub async fn run(node: &Node) {
     loop {
         // Both mean that there may be news.
-        let _ = tokio::time::timeout(LOOK_EVERY, node.follower_news.notified()).await;
+        let _ = tokio::time::timeout(LOOK_EVERY, node.watcher_update.notified()).await;
         let now = Instant::now();
-        let known = node.known_state();
-        for follower in node.peers.followers(now) {
-            if !follower.knows_more(known) {
+        let known = node.state_version();
+        for follower in node.peers.store_watchers(now) {
+            if !follower.is_newer_than(known) {
                 continue;
             }
             if ask(node, &follower.host, follower.addr, known).await {
@@ -51,11 +51,11 @@
         let now = Instant::now();
         let failing = node.store.failing_for(now);
         let is_cut_off = failing.is_some_and(|failing| failing >= ASK_PEERS_AFTER);
-        if !is_cut_off || !node.should_follow(now) {
+        if !is_cut_off || !node.should_watch_store(now) {
             continue;
         }
         for (host, addr) in peers_in_turn(node, now) {
-            if ask(node, &host, addr, node.known_state()).await {
+            if ask(node, &host, addr, node.state_version()).await {
                 break;
             }
         }
@@ -63,8 +63,8 @@
 }
 
 /// Asks a peer and takes what it knows; answers whether the peer knew the store's state.
-async fn ask(node: &Node, host: &NodeId, addr: SocketAddr, known: KnownState) -> bool {
-    let knowledge = match node.peer_calls.knowledge(addr, known).await {
+async fn ask(node: &Node, host: &NodeId, addr: SocketAddr, known: StoreStateVersion) -> bool {
+    let knowledge = match node.peer_calls.fetch_state(addr, known).await {
         Ok(knowledge) => knowledge,
         Err(e) => {
             log::info!(peer = host, error:% = e; "peer did not tell what it knows");
@@ -78,9 +78,9 @@
     true
 }
 
-fn take(node: &Node, host: &NodeId, known: KnownState, knowledge: Knowledge) {
+fn take(node: &Node, host: &NodeId, known: StoreStateVersion, knowledge: StoreState) {
     if let Some(config) = knowledge.config {
-        node.put_in_force(config, "peer");
+        node.apply_config(config, "peer");
     }
     let mut directory = node.directory.lock().expect("directory lock");
     let taken = directory.take_news(knowledge.servers, known.servers_revision, Instant::now());
@@ -91,8 +91,8 @@
 }
 
 fn peers_in_turn(node: &Node, now: Instant) -> Vec<(NodeId, SocketAddr)> {
-    let mut peers = node.peers.live(Role::Worker, now);
-    peers.extend(node.peers.live(Role::Front, now));
+    let mut peers = node.peers.live_processes(Role::Worker, now);
+    peers.extend(node.peers.live_processes(Role::Front, now));
     let first = rand::random_range(0..peers.len().max(1));
     peers.rotate_left(first);
     peers
--- a/crates/foxwheel-node/src/store_access.rs
+++ b/crates/foxwheel-node/src/store_access.rs
@@ -51,7 +51,7 @@
 
 impl Backoff {
     /// The next pause.
-    pub fn pause(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let pause = self.next.mul_f64(rand::rng().random_range(0.5..1.5));
         self.next = (self.next * 2).min(LONGEST_PAUSE);
         pause
@@ -79,14 +79,14 @@
     }
 
     /// How long ago the store last answered a call.
-    pub fn answered_ago(&self, now: Instant) -> Duration {
+    pub fn time_since_response(&self, now: Instant) -> Duration {
         let health = self.health.lock().expect("health lock");
         now.saturating_duration_since(health.answered_at)
     }
 
     /// Waits for `pause`, or until the store answers this process again: callers wait for a
     /// submission's acceptance, and a pause of half a second would make it late.
-    pub async fn pause(&self, pause: Duration) {
+    pub async fn wait_before_retry(&self, pause: Duration) {
         // Whichever comes first; both mean that the call is to be tried again.
         let _ = tokio::time::timeout(pause, self.regained.notified()).await;
     }
--- a/crates/foxwheel-node/src/store_relay.rs
+++ b/crates/foxwheel-node/src/store_relay.rs
@@ -12,7 +12,7 @@
 use foxwheel_platform::store::{Object, StoreError, Write, Written};
 
 use crate::node::Node;
-use crate::peer_calls::{PeerError, Relayed};
+use crate::peer_calls::{PeerError, RelayedResult};
 use crate::store_access::Backoff;
 
 /// Peers asked for one call.
@@ -59,7 +59,7 @@
 }
 
 /// Reads one object, again after failures, until `deadline`.
-pub async fn get_until(
+pub async fn get_with_retries(
     node: &Node,
     kind: &str,
     name: &str,
@@ -68,11 +68,11 @@
     let mut backoff = Backoff::default();
     loop {
         let got = get(node, kind, name).await;
-        let pause = backoff.pause();
+        let pause = backoff.next_delay();
         if got.is_ok() || Instant::now() + pause >= deadline {
             return got;
         }
-        node.store.pause(pause).await;
+        node.store.wait_before_retry(pause).await;
     }
 }
 
@@ -88,9 +88,9 @@
 /// call through peers would only be refused several times.
 fn routes(node: &Node) -> Vec<Route> {
     let now = Instant::now();
-    let (mut heard, mut told) = node.peers.reaching_store(now);
+    let (mut heard, mut told) = node.peers.processes_reaching_store(now);
     for peers in [&mut heard, &mut told] {
-        peers.retain(|addr| !node.peer_calls.failed_lately(*addr, now));
+        peers.retain(|addr| !node.peer_calls.has_failed_recently(*addr, now));
         let first = rand::random_range(0..peers.len().max(1));
         peers.rotate_left(first);
     }
@@ -112,15 +112,18 @@
     }
 }
 
-fn settled<T>(addr: SocketAddr, relayed: Result<Relayed<T>, PeerError>) -> Result<T, StoreError> {
+fn settled<T>(
+    addr: SocketAddr,
+    relayed: Result<RelayedResult<T>, PeerError>,
+) -> Result<T, StoreError> {
     let origin = || Origin::new("call the store through a peer", addr.to_string());
     match relayed {
-        Ok(Relayed::Settled(answer)) => Ok(answer),
-        Ok(Relayed::NotDone(reason)) => Err(StoreError::NotDone {
+        Ok(RelayedResult::Settled(answer)) => Ok(answer),
+        Ok(RelayedResult::NotDone(reason)) => Err(StoreError::NotDone {
             origin: origin(),
             reason,
         }),
-        Ok(Relayed::Unknown(reason)) => Err(StoreError::Unknown {
+        Ok(RelayedResult::Unknown(reason)) => Err(StoreError::Unknown {
             origin: origin(),
             reason,
         }),
--- a/crates/foxwheel-node/src/followers.rs
+++ b/crates/foxwheel-node/src/store_watch.rs
@@ -14,7 +14,7 @@
 
 use crate::node::Node;
 use crate::store_access::Backoff;
-use crate::{catch_up, discovery, quarantine_store, request_quarantine};
+use crate::{discovery, quarantine_store, request_quarantine, state_sync};
 
 /// How long one watch waits. Longer costs fewer calls; a connection that fell silent is
 /// found by its keep-alive probes and not by this.
@@ -59,11 +59,11 @@
         tokio::join!(
             follow(&node, ConfigFollower),
             follow(&node, ServerFollower::default()),
-            discovery::find_processes(&node),
-            discovery::announce(&node),
+            discovery::discover_processes(&node),
+            discovery::announce_process(&node),
             expire(&node),
-            catch_up::run(&node),
-            catch_up::ask_peers(&node),
+            state_sync::run(&node),
+            state_sync::ask_peers(&node),
             request_quarantine::sync_crash_reports(&node),
             quarantine_store::run(&node),
             probe(&node),
@@ -92,8 +92,8 @@
         // A process that never listed asks at once; one whose calls fail goes on until the
         // store answers, so that it knows whether it is turned away.
         let must_go_on = failing || !F::was_listed(node);
-        node.pick_speakers(Instant::now());
-        while !must_go_on && !node.should_follow(Instant::now()) {
+        node.select_representatives(Instant::now());
+        while !must_go_on && !node.should_watch_store(Instant::now()) {
             F::is_current(node).store(false, Ordering::Relaxed);
             revision = None;
             tokio::time::sleep(following::LOOK_EVERY).await;
@@ -116,7 +116,7 @@
                     failing = true;
                     revision = None;
                 }
-                node.store.pause(backoff.pause()).await;
+                node.store.wait_before_retry(backoff.next_delay()).await;
             }
         }
     }
@@ -130,12 +130,12 @@
         tokio::time::sleep(following::PROBE_EVERY).await;
         let now = Instant::now();
         let reached = node.store.failing_for(now).is_none();
-        let follows = node.should_follow(now);
-        if (follows && node.is_relied_on(now)) || (!follows && !reached) {
+        let follows = node.should_watch_store(now);
+        if (follows && node.has_subscribers(now)) || (!follows && !reached) {
             let answered = node.store.probe(config::KIND, config::NAME).await;
             if answered.is_err() && reached {
                 // The others must take another process for the zone's follower now.
-                node.load_alarm.notify_one();
+                node.urgent_heartbeat.notify_one();
             }
         }
     }
@@ -208,7 +208,7 @@
             for fault in faults {
                 log::warn!(revision = object.revision, fault; "configuration entry left out");
             }
-            node.put_in_force(config, "store");
+            node.apply_config(config, "store");
         }
         Err(e) => {
             log::warn!(revision = object.revision, error:% = e; "configuration refused, the one before stays");
@@ -266,7 +266,7 @@
         let mut directory = node.directory.lock().expect("directory lock");
         directory.advance(revision);
         // Others of the zone may wait to hear of it.
-        node.load_alarm.notify_one();
+        node.urgent_heartbeat.notify_one();
     }
 
     fn take_change(&self, node: &Node, change: Change) {
@@ -318,7 +318,7 @@
     loop {
         ticks.tick().await;
         let now = Instant::now();
-        let failing = node.should_follow(now) && node.store.failing_for(now).is_some();
+        let failing = node.should_watch_store(now) && node.store.failing_for(now).is_some();
         let gone = {
             let mut directory = node.directory.lock().expect("directory lock");
             // The watch of the servers may wait through an outage that other calls show.
@@ -330,7 +330,7 @@
         };
         if !gone.is_empty() {
             log::info!(servers:? = gone; "backend servers gone");
-            node.loads.forget(&gone);
+            node.loads.remove_servers(&gone);
         }
         node.pool.close_expired();
     }
--- a/crates/foxwheel-node/src/worker/mod.rs
+++ b/crates/foxwheel-node/src/worker/mod.rs
@@ -105,16 +105,16 @@
     let reading = tokio::spawn(ledger_follower::read(Arc::clone(&jobs), ledger_sender));
     let mut looked_at = Instant::now();
     loop {
-        let peer_news = async {
-            node.peer_news.notified().await;
+        let peer_update = async {
+            node.peer_update.notified().await;
             tokio::time::sleep_until((looked_at + PEER_NEWS_PAUSE).into()).await;
         };
         tokio::select! {
             () = cancel.cancelled() => break,
             Some(ended) = ended_runs.recv() => worker.take_end(ended),
             Some(open) = ledger_news.recv() => worker.take_ledger(&open),
-            () = node.loads.freed.notified() => {}
-            () = peer_news => {}
+            () = node.loads.slot_freed.notified() => {}
+            () = peer_update => {}
             () = jobs.wake.notified() => {}
             () = tokio::time::sleep(SCHEDULE_EVERY) => {}
         }
@@ -249,7 +249,7 @@
             Some(Leaving::Released) => self.release_stored(),
             Some(Leaving::StoppingRuns | Leaving::SavingProgress(_)) => {}
         }
-        self.runs.is_empty() && !self.node.holds_jobs() && self.node.leaving.is_cancelled()
+        self.runs.is_empty() && !self.node.has_owned_jobs() && self.node.leaving.is_cancelled()
     }
 
     /// Leaves the jobs to others whose finished results are stored.
--- a/crates/foxwheel-node/src/worker/ownership.rs
+++ b/crates/foxwheel-node/src/worker/ownership.rs
@@ -12,7 +12,7 @@
     /// The live workers with this one.
     pub(super) fn all_workers(&self, now: Instant) -> Vec<ownership::Worker> {
         let settings = &self.node.settings;
-        let mut workers = self.node.peers.workers(now);
+        let mut workers = self.node.peers.live_workers(now);
         workers.retain(|worker| worker.node != settings.host);
         workers.push(ownership::Worker {
             node: settings.host.clone(),
@@ -27,7 +27,7 @@
 
     /// Leaves jobs to workers that run them too.
     pub(super) fn yield_jobs(&mut self) {
-        let others = self.node.peers.workers(Instant::now());
+        let others = self.node.peers.live_workers(Instant::now());
         let own = &self.node.settings.host;
         let mut yielded = Vec::new();
         self.jobs.each_held(|entry| {
@@ -44,7 +44,7 @@
 
     /// Has the ledger read at once when a worker that ran a job is silent or gave it back.
     pub(super) fn notice_orphans(&mut self) {
-        let workers = self.node.peers.workers(Instant::now());
+        let workers = self.node.peers.live_workers(Instant::now());
         let claims = workers.iter().flat_map(|worker| &worker.claims);
         let mut told: Vec<JobId> = claims.map(|claim| claim.job.clone()).collect();
         told.sort_unstable();
--- a/crates/foxwheel-node/src/worker/scheduling.rs
+++ b/crates/foxwheel-node/src/worker/scheduling.rs
@@ -159,6 +159,6 @@
         taken.in_flight += 1;
         taken.batch_in_flight += 1;
         taken.own_batch += 1;
-        Some(node.loads.begin(&server, WorkClass::Batch))
+        Some(node.loads.begin_request(&server, WorkClass::Batch))
     }
 }
--- a/crates/foxwheel-node/src/worker_jobs.rs
+++ b/crates/foxwheel-node/src/worker_jobs.rs
@@ -16,7 +16,7 @@
 use crate::job_store::{JobStore, JobStoreError};
 use crate::ledger_keeper::{self, LedgerKeeper};
 use crate::node::Node;
-use crate::peer_calls::{BodyAnswer, ReadAnswer, ReadSpec};
+use crate::peer_calls::{ItemBodyResponse, ResultsQuery, ResultsResponse};
 use crate::settings::Role;
 
 /// How often a job that another worker runs is looked up again for a reader.
@@ -273,33 +273,33 @@
             return None;
         }
         let now = Instant::now();
-        let workers = self.node.peers.workers(now);
+        let workers = self.node.peers.live_workers(now);
         let holder = workers
             .iter()
             .find(|worker| worker.heard && worker.holds(id))?;
-        let live = self.node.peers.live(Role::Worker, now);
+        let live = self.node.peers.live_processes(Role::Worker, now);
         let found = live.into_iter().find(|(host, _)| *host == holder.node);
         found.map(|(_, addr)| addr)
     }
 
     /// Reads results for a caller.
-    pub async fn read(&self, id: &JobId, read: ReadSpec) -> ReadAnswer {
+    pub async fn read(&self, id: &JobId, read: ResultsQuery) -> ResultsResponse {
         let until = Instant::now() + read.wait;
         loop {
             match self.ensure(id, read.known_parts).await {
                 Ok(true) => {}
-                Ok(false) => return ReadAnswer::NoSuchJob,
+                Ok(false) => return ResultsResponse::NoSuchJob,
                 Err(e) => {
                     log::warn!(job = id, error:% = e; "job not readable for a caller");
-                    return ReadAnswer::Unsure;
+                    return ResultsResponse::Unsure;
                 }
             }
             let Some((answer, listed)) = self.with(id, |entry| entry.read(read)) else {
-                return ReadAnswer::Unsure;
+                return ResultsResponse::Unsure;
             };
             let now = Instant::now();
             let empty =
-                matches!(&answer, ReadAnswer::Results { results, .. } if results.is_empty());
+                matches!(&answer, ResultsResponse::Results { results, .. } if results.is_empty());
             if !empty || now >= until {
                 return answer;
             }
@@ -310,13 +310,13 @@
     }
 
     /// Reads an item's body for a caller.
-    pub async fn body(&self, id: &JobId, item: &ItemId) -> BodyAnswer {
+    pub async fn body(&self, id: &JobId, item: &ItemId) -> ItemBodyResponse {
         match self.ensure(id, 0).await {
             Ok(true) => {}
-            Ok(false) => return BodyAnswer::NoSuchItem,
+            Ok(false) => return ItemBodyResponse::NoSuchItem,
             Err(e) => {
                 log::warn!(job = id, request_id = item, error:% = e; "item not readable for a caller");
-                return BodyAnswer::Unsure;
+                return ItemBodyResponse::Unsure;
             }
         }
         let found = self.with(id, |entry| {
@@ -328,8 +328,8 @@
                 .map(|spec| spec.body.clone())
         });
         match found.flatten() {
-            Some(body) => BodyAnswer::Body(body),
-            None => BodyAnswer::NoSuchItem,
+            Some(body) => ItemBodyResponse::Body(body),
+            None => ItemBodyResponse::NoSuchItem,
         }
     }
 
@@ -337,7 +337,7 @@
     /// answers whether it exists.
     async fn ensure(&self, id: &JobId, known_parts: u32) -> Result<bool, JobStoreError> {
         let deadline = Instant::now() + LOAD_TIME;
-        let workers = self.node.peers.workers(Instant::now());
+        let workers = self.node.peers.live_workers(Instant::now());
         let known_parts = known_parts.max(ownership::known_parts(id, &workers));
         let look = self.with(id, |entry| entry.should_look(known_parts, Instant::now()));
         match look {
@@ -391,7 +391,7 @@
             claims.collect()
         };
         self.node.set_claims(claims);
-        self.node.load_alarm.notify_one();
+        self.node.urgent_heartbeat.notify_one();
     }
 }
 
@@ -438,7 +438,7 @@
         })
     }
 
-    fn read(&mut self, read: ReadSpec) -> (ReadAnswer, Arc<Notify>) {
+    fn read(&mut self, read: ResultsQuery) -> (ResultsResponse, Arc<Notify>) {
         self.used_at = Instant::now();
         let mut bytes = 0;
         let listed = self.progress.listed.iter().skip(read.from);
@@ -447,7 +447,7 @@
             bytes += result.output.len();
             first || bytes <= read.max_bytes
         });
-        let answer = ReadAnswer::Results {
+        let answer = ResultsResponse::Results {
             item_count: self.progress.spec.items.len(),
             results: results.cloned().collect(),
         };
--- a/crates/foxwheel-node/src/zone_speaker.rs
+++ b/crates/foxwheel-node/src/zone_representative.rs
@@ -10,14 +10,19 @@
 use foxwheel_policy::speakers::Rank;
 use foxwheel_policy::zone_loads;
 
+use crate::datagram_sender::DatagramSender;
 use crate::node::Node;
-use crate::outbox::Outbox;
-use crate::peer_messages::{Contact, GuestLoads, PeerMessage, WorkerNote, ZoneSummary};
+use crate::peer_messages::{CrossZoneLoads, PeerEndpoint, PeerMessage, WorkerSummary, ZoneSummary};
 use crate::settings::Role;
 
 /// Tells the other zones' speakers.
-pub async fn send_summary(outbox: &Outbox, node: &Node, sequence: u64, now: Instant) {
-    let others = node.peers.other_zones(now);
+pub async fn send_summary(
+    datagram_sender: &DatagramSender,
+    node: &Node,
+    sequence: u64,
+    now: Instant,
+) {
+    let others = node.peers.other_zone_recipients(now);
     if others.is_empty() {
         return;
     }
@@ -25,59 +30,69 @@
     for (zone, addresses) in others {
         summary.servers = server_loads(node, &zone, now);
         let message = PeerMessage::Summary(summary.clone());
-        outbox.send(&message, &addresses).await;
+        datagram_sender.send(&message, &addresses).await;
     }
 }
 
 /// Asks the processes of each zone that nobody tells of any more: the paths to this zone's
 /// speakers may be cut, or those speakers may be dead. A front that knew of no other zone's
 /// workers handed its jobs to nobody: they began seconds late.
-pub async fn ask_silent_zones(outbox: &Outbox, node: &Node, now: Instant) {
+pub async fn ask_silent_zones(datagram_sender: &DatagramSender, node: &Node, now: Instant) {
     let message = PeerMessage::SummaryWanted(node.contact());
-    for addresses in node.peers.silent_zones(now) {
-        outbox.send(&message, &addresses).await;
+    for addresses in node.peers.silent_zone_recipients(now) {
+        datagram_sender.send(&message, &addresses).await;
     }
 }
 
 /// Answers a process that hears nothing of this zone.
-pub async fn answer(outbox: &Outbox, node: &Node, asker: &Contact, sequence: u64) {
+pub async fn answer(
+    datagram_sender: &DatagramSender,
+    node: &Node,
+    asker: &PeerEndpoint,
+    sequence: u64,
+) {
     let now = Instant::now();
     let mut summary = summary(node, sequence, now);
     summary.servers = server_loads(node, &asker.zone, now);
     let message = PeerMessage::Summary(summary);
-    outbox.send(&message, &[asker.addr]).await;
+    datagram_sender.send(&message, &[asker.addr]).await;
 }
 
 /// Passes new summaries of other zones on to those who named this process.
-pub async fn pass_on_summaries(outbox: &Outbox, node: &Node, now: Instant) {
+pub async fn pass_on_summaries(datagram_sender: &DatagramSender, node: &Node, now: Instant) {
     for rank in [Rank::First, Rank::Second] {
-        let audience = node.audience(rank, now);
-        if audience.is_empty() {
+        let subscribers = node.subscribers(rank, now);
+        if subscribers.is_empty() {
             continue;
         }
-        let summaries = node.peers.to_pass_on(rank == Rank::First, now);
+        let summaries = node.peers.summaries_to_forward(rank == Rank::First, now);
         if !summaries.is_empty() {
             let message = PeerMessage::Summaries(summaries);
-            outbox.send(&message, &audience).await;
+            datagram_sender.send(&message, &subscribers).await;
         }
     }
 }
 
 /// Takes the load of a process of another zone, and passes it on to those who named this
 /// process.
-pub async fn take_guest(outbox: &Outbox, node: &Node, mut told: GuestLoads, now: Instant) {
-    if node.peers.take_guest(&told, now) && !told.passed_on {
+pub async fn apply_cross_zone_loads(
+    datagram_sender: &DatagramSender,
+    node: &Node,
+    mut told: CrossZoneLoads,
+    now: Instant,
+) {
+    if node.peers.apply_cross_zone_loads(&told, now) && !told.passed_on {
         told.passed_on = true;
-        let audience = node.audience(Rank::First, now);
+        let subscribers = node.subscribers(Rank::First, now);
         let message = PeerMessage::GuestLoads(told);
-        outbox.send(&message, &audience).await;
+        datagram_sender.send(&message, &subscribers).await;
     }
 }
 
 /// What every zone is told; the loads are for each one apart.
 fn summary(node: &Node, sequence: u64, now: Instant) -> ZoneSummary {
     let settings = &node.settings;
-    let local = node.peers.of_own_zone(now);
+    let local = node.peers.own_zone_peers(now);
     let own_front = usize::from(settings.role == Role::Front);
     let fronts = local.iter().filter(|peer| !peer.member.is_worker).count() + own_front;
     let own = settings.peer_address();
@@ -92,9 +107,9 @@
     if !speakers.contains(&own) {
         speakers.push(own);
     }
-    let mut workers = node.peers.worker_notes(now);
+    let mut workers = node.peers.worker_summaries(now);
     if settings.role == Role::Worker {
-        workers.push(WorkerNote {
+        workers.push(WorkerSummary {
             host: settings.host.clone(),
             addr: settings.peer_address(),
             leaving: node.is_leaving(),
@@ -104,8 +119,8 @@
         });
         workers.sort_unstable_by(|a, b| a.host.cmp(&b.host));
     }
-    let mut gone = node.peers.gone(now);
-    gone.extend(node.gone_servers(now));
+    let mut gone = node.peers.reported_dead_instances(now);
+    gone.extend(node.dead_instances(now));
     gone.sort_unstable();
     gone.dedup();
     ZoneSummary {
@@ -129,7 +144,7 @@
     told_zone: &Zone,
     now: Instant,
 ) -> Vec<(zone_loads::ServerFingerprint, zone_loads::Requests)> {
-    let theirs = node.peers.guest_loads(told_zone, now);
+    let theirs = node.peers.cross_zone_loads(told_zone, now);
     let directory = node.directory.lock().expect("directory lock");
     let local = directory.members().iter().filter(|member| {
         let server = &member.server;
@@ -137,8 +152,8 @@
     });
     let servers = local.map(|member| {
         let key = member.server.key();
-        let own = node.loads.own(&key, now);
-        let (online, batch) = node.peers.load(&key, now);
+        let own = node.loads.own_load(&key, now);
+        let (online, batch) = node.peers.in_flight(&key, now);
         let (their_online, their_batch) = theirs.get(&key);
         let load = zone_loads::Requests {
             online: own.online + online.saturating_sub(their_online),
--- a/crates/foxwheel-node/tests/load_table.rs
+++ b/crates/foxwheel-node/tests/load_table.rs
@@ -18,9 +18,9 @@
 fn a_slot_counts_from_the_choice_to_the_end() {
     let (table, now) = (Arc::new(LoadTable::default()), Instant::now());
     let server = server(1);
-    let online = table.begin(&server, WorkClass::Online);
-    let batch = table.begin(&server, WorkClass::Batch);
-    let load = table.own(&server, now);
+    let online = table.begin_request(&server, WorkClass::Online);
+    let batch = table.begin_request(&server, WorkClass::Batch);
+    let load = table.own_load(&server, now);
     assert_eq!((load.online, load.batch), (1, 1));
     let load = ServerLoad {
         server,
@@ -39,7 +39,7 @@
     let (table, start) = (LoadTable::default(), Instant::now());
     let (server, silence) = (server(1), Duration::from_millis(400));
     assert!(table.is_silent(&server, silence, start));
-    table.progress(&server, start);
+    table.record_progress(&server, start);
     assert!(!table.is_silent(&server, silence, start + Duration::from_millis(399)));
     assert!(table.is_silent(&server, silence, start + silence));
 }
@@ -48,13 +48,17 @@
 fn a_suspect_is_avoided_until_it_sends_something_or_time_passes() {
     let (table, start) = (LoadTable::default(), Instant::now());
     let server = server(1);
-    assert!(table.suspect(&server, start));
-    assert!(!table.suspect(&server, start), "known already");
-    assert!(table.own(&server, start).suspect);
-    assert!(!table.own(&server, start + Duration::from_secs(2)).suspect);
-    table.suspect(&server, start);
-    table.progress(&server, start);
-    assert!(!table.own(&server, start).suspect);
+    assert!(table.mark_suspected(&server, start));
+    assert!(!table.mark_suspected(&server, start), "known already");
+    assert!(table.own_load(&server, start).is_suspected);
+    assert!(
+        !table
+            .own_load(&server, start + Duration::from_secs(2))
+            .is_suspected
+    );
+    table.mark_suspected(&server, start);
+    table.record_progress(&server, start);
+    assert!(!table.own_load(&server, start).is_suspected);
 }
 
 /// A server starts again under its id: what is known of the earlier start, and what still
@@ -62,19 +66,19 @@
 #[test]
 fn a_later_start_begins_with_nothing() {
     let (table, now) = (Arc::new(LoadTable::default()), Instant::now());
-    let hanging = table.begin(&server(1), WorkClass::Online);
-    table.suspect(&server(1), now);
+    let hanging = table.begin_request(&server(1), WorkClass::Online);
+    table.mark_suspected(&server(1), now);
     for _ in 0..20 {
-        table.note_outcome(&server(1), true, now);
+        table.record_outcome(&server(1), true, now);
     }
-    let load = table.own(&server(2), now);
+    let load = table.own_load(&server(2), now);
     assert_eq!(
-        (load.online, load.suspect, load.failure_rate),
+        (load.online, load.is_suspected, load.failure_rate),
         (0, false, 0.0)
     );
-    let other = table.begin(&server(2), WorkClass::Online);
+    let other = table.begin_request(&server(2), WorkClass::Online);
     drop(hanging);
-    assert_eq!(table.own(&server(2), now).online, 1);
+    assert_eq!(table.own_load(&server(2), now).online, 1);
     drop(other);
     assert!(table.snapshot().is_empty());
 }
--- a/crates/foxwheel-node/tests/peers.rs
+++ b/crates/foxwheel-node/tests/peers.rs
@@ -3,12 +3,13 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use foxwheel_node::contacts::Reach;
 use foxwheel_node::load_table::ServerLoad;
-use foxwheel_node::other_zones::Via;
-use foxwheel_node::peer_calls::KnownState;
+use foxwheel_node::other_zones::SummarySource;
+use foxwheel_node::peer_calls::StoreStateVersion;
+use foxwheel_node::peer_directory::HeartbeatScope;
 use foxwheel_node::peer_messages::{
-    AgedSummary, Contact, GuestLoads, Heartbeat, Introduction, LoadChanges, WorkerNote, ZoneSummary,
+    AgedSummary, CrossZoneLoads, Heartbeat, Introduction, LoadChanges, PeerEndpoint, WorkerSummary,
+    ZoneSummary,
 };
 use foxwheel_node::peers::Peers;
 use foxwheel_node::settings::Role;
@@ -45,7 +46,7 @@
         store_reached: true,
         follows: false,
         store_answered_ago: Duration::ZERO,
-        knows: KnownState::default(),
+        knows: StoreStateVersion::default(),
         quarantine: 0,
         speakers: Vec::new(),
         loads: vec![ServerLoad {
@@ -63,14 +64,14 @@
 #[test]
 fn a_silent_process_counts_as_dead_and_its_load_is_forgotten() {
     let (peers, now) = (peers(), Instant::now());
-    assert!(peers.hear(beat(2, 1, &[]), addr(1), now));
-    assert_eq!(peers.load(&server(1), now), (2, 1));
-    assert_eq!(peers.workers(now).len(), 1);
+    assert!(peers.apply_heartbeat(beat(2, 1, &[]), addr(1), now));
+    assert_eq!(peers.in_flight(&server(1), now), (2, 1));
+    assert_eq!(peers.live_workers(now).len(), 1);
     let later = now + DEAD_AFTER;
-    assert!(peers.workers(later).is_empty());
-    assert_eq!(peers.load(&server(1), later), (0, 0));
+    assert!(peers.live_workers(later).is_empty());
+    assert_eq!(peers.in_flight(&server(1), later), (0, 0));
     assert!(
-        peers.hear(beat(2, 2, &[]), addr(1), later),
+        peers.apply_heartbeat(beat(2, 2, &[]), addr(1), later),
         "it is news that it lives"
     );
 }
@@ -78,17 +79,17 @@
 #[test]
 fn heartbeats_out_of_order_change_nothing() {
     let (peers, now) = (peers(), Instant::now());
-    peers.hear(beat(2, 5, &[]), addr(1), now);
+    peers.apply_heartbeat(beat(2, 5, &[]), addr(1), now);
     let mut old = beat(2, 4, &[]);
     old.loads.clear();
-    peers.hear(old, addr(1), now);
-    assert_eq!(peers.load(&server(1), now), (2, 1));
+    peers.apply_heartbeat(old, addr(1), now);
+    assert_eq!(peers.in_flight(&server(1), now), (2, 1));
     let mut restarted = beat(2, 1, &[]);
     restarted.incarnation = 2;
     restarted.loads.clear();
-    peers.hear(restarted, addr(1), now);
+    peers.apply_heartbeat(restarted, addr(1), now);
     assert_eq!(
-        peers.load(&server(1), now),
+        peers.in_flight(&server(1), now),
         (0, 0),
         "a restarted process counts anew"
     );
@@ -97,14 +98,14 @@
 #[test]
 fn a_worker_that_others_hear_lives() {
     let (peers, start) = (peers(), Instant::now());
-    peers.hear(beat(2, 1, &[]), addr(1), start);
+    peers.apply_heartbeat(beat(2, 1, &[]), addr(1), start);
     let later = start + DEAD_AFTER + Duration::from_millis(1);
-    peers.hear(beat(3, 1, &[2]), addr(1), later);
-    let workers = peers.workers(later);
+    peers.apply_heartbeat(beat(3, 1, &[2]), addr(1), later);
+    let workers = peers.live_workers(later);
     let heard: Vec<(&str, bool)> = workers.iter().map(|w| (w.node.as_str(), w.heard)).collect();
     assert_eq!(heard, [("host-2", false), ("host-3", true)]);
     assert_eq!(
-        peers.load(&server(1), later),
+        peers.in_flight(&server(1), later),
         (3, 1),
         "its load is not known any more"
     );
@@ -113,11 +114,11 @@
 #[test]
 fn addresses_spread_and_are_forgotten_without_their_process() {
     let (peers, start) = (peers(), Instant::now());
-    peers.hear(beat(2, 1, &[1, 3]), addr(1), start);
-    let known = peers.addresses(start);
+    peers.apply_heartbeat(beat(2, 1, &[1, 3]), addr(1), start);
+    let known = peers.known_addresses(start);
     assert_eq!(known, [addr(2), addr(3)], "its own address is not told to");
     let later = start + Duration::from_secs(61);
-    assert!(peers.addresses(later).is_empty());
+    assert!(peers.known_addresses(later).is_empty());
 }
 
 /// With 740 servers in flight a heartbeat takes 11 KB: it is still received whole, and sent
@@ -154,9 +155,9 @@
 #[test]
 fn load_belongs_to_one_start_of_a_server() {
     let (peers, now) = (peers(), Instant::now());
-    peers.hear(beat(2, 1, &[]), addr(1), now);
-    assert_eq!(peers.load(&server(1), now), (2, 1));
-    assert_eq!(peers.load(&server(2), now), (0, 0));
+    peers.apply_heartbeat(beat(2, 1, &[]), addr(1), now);
+    assert_eq!(peers.in_flight(&server(1), now), (2, 1));
+    assert_eq!(peers.in_flight(&server(2), now), (0, 0));
 }
 
 /// What one process finds out for certain every process knows, for as long as it lives and
@@ -166,15 +167,15 @@
     let (peers, now) = (peers(), Instant::now());
     let mut finder = beat(2, 1, &[]);
     finder.gone = vec![server(1)];
-    peers.hear(finder, addr(1), now);
-    assert!(peers.found_gone(&server(1), now));
+    peers.apply_heartbeat(finder, addr(1), now);
+    assert!(peers.is_reported_dead(&server(1), now));
     assert!(
-        !peers.found_gone(&server(2), now),
+        !peers.is_reported_dead(&server(2), now),
         "a later start is another one"
     );
-    assert!(!peers.found_gone(&server(1), now + DEAD_AFTER));
-    peers.hear(beat(2, 2, &[]), addr(1), now);
-    assert!(!peers.found_gone(&server(1), now));
+    assert!(!peers.is_reported_dead(&server(1), now + DEAD_AFTER));
+    peers.apply_heartbeat(beat(2, 2, &[]), addr(1), now);
+    assert!(!peers.is_reported_dead(&server(1), now));
 }
 
 fn changes(sequence: u64, online: u32, batch: u32) -> LoadChanges {
@@ -194,31 +195,31 @@
 #[test]
 fn changes_of_load_count_in_their_order() {
     let (peers, now) = (peers(), Instant::now());
-    peers.take_changes(changes(9, 5, 0), now);
+    peers.apply_load_changes(changes(9, 5, 0), now);
     assert_eq!(
-        peers.load(&server(1), now),
+        peers.in_flight(&server(1), now),
         (0, 0),
         "of nobody that is known"
     );
-    peers.hear(beat(2, 10, &[]), addr(1), now);
-    peers.take_changes(changes(9, 5, 0), now);
+    peers.apply_heartbeat(beat(2, 10, &[]), addr(1), now);
+    peers.apply_load_changes(changes(9, 5, 0), now);
     assert_eq!(
-        peers.load(&server(1), now),
+        peers.in_flight(&server(1), now),
         (2, 1),
         "older than the heartbeat"
     );
-    peers.take_changes(changes(12, 5, 0), now);
-    peers.take_changes(changes(11, 4, 0), now);
-    peers.hear(beat(2, 11, &[]), addr(1), now);
-    assert_eq!(peers.load(&server(1), now), (5, 0));
-    peers.take_changes(changes(13, 0, 0), now);
-    assert_eq!(peers.load(&server(1), now), (0, 0));
-    peers.take_changes(changes(14, 1, 0), now);
-    assert_eq!(peers.load(&server(1), now), (1, 0));
+    peers.apply_load_changes(changes(12, 5, 0), now);
+    peers.apply_load_changes(changes(11, 4, 0), now);
+    peers.apply_heartbeat(beat(2, 11, &[]), addr(1), now);
+    assert_eq!(peers.in_flight(&server(1), now), (5, 0));
+    peers.apply_load_changes(changes(13, 0, 0), now);
+    assert_eq!(peers.in_flight(&server(1), now), (0, 0));
+    peers.apply_load_changes(changes(14, 1, 0), now);
+    assert_eq!(peers.in_flight(&server(1), now), (1, 0));
     let mut of_earlier_start = changes(15, 7, 7);
     of_earlier_start.incarnation = 0;
-    peers.take_changes(of_earlier_start, now);
-    assert_eq!(peers.load(&server(1), now), (1, 0));
+    peers.apply_load_changes(of_earlier_start, now);
+    assert_eq!(peers.in_flight(&server(1), now), (1, 0));
 }
 
 /// Whatever is heard, lost and forgotten, the load on a server is the sum over live peers of
@@ -243,19 +244,19 @@
                     sequence,
                     loads: beat.loads,
                 };
-                peers.take_changes(changes, now);
+                peers.apply_load_changes(changes, now);
                 let known = &mut told[usize::from(host)];
                 if known.is_some_and(|(at, _)| now.duration_since(at) < DEAD_AFTER) {
                     *known = Some((now, (online, batch)));
                 }
             } else {
-                peers.hear(beat, addr(9), now);
+                peers.apply_heartbeat(beat, addr(9), now);
                 told[usize::from(host)] = Some((now, (online, batch)));
             }
             let live = told.iter().flatten();
             let live = live.filter(|(at, _)| now.duration_since(*at) < DEAD_AFTER);
             let sum = live.fold((0, 0), |sum, (_, load)| (sum.0 + load.0, sum.1 + load.1));
-            assert_eq!(peers.load(&server(1), now), sum);
+            assert_eq!(peers.in_flight(&server(1), now), sum);
         }
         Ok(())
     });
@@ -274,7 +275,7 @@
         fronts: 3,
         servers: vec![(zone_loads::fingerprint(&server(1)), load)],
         gone: Vec::new(),
-        workers: vec![WorkerNote {
+        workers: vec![WorkerSummary {
             host: format!("host-{host}"),
             addr: addr(host),
             leaving: false,
@@ -292,7 +293,7 @@
 
 fn load_in_yard(peers: &Peers, now: Instant) -> Option<u32> {
     let zone = "yard".to_owned();
-    let load = peers.load_elsewhere(&zone, &server(1), 8, Requests::default(), now)?;
+    let load = peers.other_zone_load(&zone, &server(1), 8, Requests::default(), now)?;
     Some(load.online)
 }
 
@@ -302,24 +303,24 @@
     let (peers, start) = (peers(), Instant::now());
     let now = start + Duration::from_secs(10);
     assert_eq!(load_in_yard(&peers, now), Some(0), "it has no processes");
-    peers.take_summary(aged(0, summary(5, 2, 7, 4)), Via::ThatZone, now);
+    peers.apply_summary(aged(0, summary(5, 2, 7, 4)), SummarySource::Direct, now);
     assert_eq!(load_in_yard(&peers, now), Some(4));
-    peers.take_summary(aged(0, summary(5, 2, 6, 1)), Via::ThatZone, now);
-    peers.take_summary(aged(0, summary(5, 1, 9, 1)), Via::ThatZone, now);
+    peers.apply_summary(aged(0, summary(5, 2, 6, 1)), SummarySource::Direct, now);
+    peers.apply_summary(aged(0, summary(5, 1, 9, 1)), SummarySource::Direct, now);
     assert_eq!(
         load_in_yard(&peers, now),
         Some(4),
         "older, and an older start"
     );
-    peers.take_summary(aged(300, summary(6, 1, 99, 2)), Via::ThatZone, now);
+    peers.apply_summary(aged(300, summary(6, 1, 99, 2)), SummarySource::Direct, now);
     assert_eq!(
         load_in_yard(&peers, now),
         Some(4),
         "another speaker, but late"
     );
-    peers.take_summary(
+    peers.apply_summary(
         aged(0, summary(6, 1, 100, 2)),
-        Via::ThatZone,
+        SummarySource::Direct,
         now + Duration::from_millis(1),
     );
     assert_eq!(
@@ -334,40 +335,40 @@
 fn a_late_summary_dies_with_its_zone() {
     let (peers, start) = (peers(), Instant::now());
     let now = start + Duration::from_secs(10);
-    peers.take_summary(aged(1_000, summary(5, 1, 1, 4)), Via::ThatZone, now);
-    assert_eq!(peers.workers(now).len(), 1);
-    assert_eq!(peers.front_count(now), 3);
+    peers.apply_summary(aged(1_000, summary(5, 1, 1, 4)), SummarySource::Direct, now);
+    assert_eq!(peers.live_workers(now).len(), 1);
+    assert_eq!(peers.other_front_count(now), 3);
     let later = now + DEAD_AFTER - Duration::from_millis(1_000);
     assert_eq!(
         load_in_yard(&peers, later),
         Some(6),
         "silent: three quarters of 8"
     );
-    assert!(peers.workers(later).is_empty());
-    assert_eq!(peers.front_count(later), 0);
+    assert!(peers.live_workers(later).is_empty());
+    assert_eq!(peers.other_front_count(later), 0);
 }
 
 /// What this zone sent since the summary counts; a server that was not told of is full.
 #[test]
 fn load_in_another_zone_follows_what_is_sent_there() {
     let (peers, now) = (peers(), Instant::now());
-    peers.take_summary(aged(0, summary(5, 1, 1, 4)), Via::ThatZone, now);
+    peers.apply_summary(aged(0, summary(5, 1, 1, 4)), SummarySource::Direct, now);
     let mut sends = beat(2, 1, &[]);
     sends.loads[0].online = 2;
-    peers.hear(sends, addr(1), now);
+    peers.apply_heartbeat(sends, addr(1), now);
     assert_eq!(load_in_yard(&peers, now), Some(6));
     let zone = "yard".to_owned();
-    let untold = peers.load_elsewhere(&zone, &server(9), 8, Requests::default(), now);
+    let untold = peers.other_zone_load(&zone, &server(9), 8, Requests::default(), now);
     assert_eq!(untold.expect("somebody speaks for it").total(), 8);
 }
 
-fn guest(incarnation: u64, sequence: u64, online: u32) -> GuestLoads {
+fn guest(incarnation: u64, sequence: u64, online: u32) -> CrossZoneLoads {
     let load = ServerLoad {
         server: server(1),
         online,
         batch: 0,
     };
-    GuestLoads {
+    CrossZoneLoads {
         host: "host-7".to_owned(),
         zone: "yard".to_owned(),
         incarnation,
@@ -381,28 +382,31 @@
 #[test]
 fn guests_count_until_they_fall_silent() {
     let (peers, now) = (peers(), Instant::now());
-    assert!(peers.take_guest(&guest(1, 2, 3), now));
+    assert!(peers.apply_cross_zone_loads(&guest(1, 2, 3), now));
     assert!(
-        !peers.take_guest(&guest(1, 2, 3), now),
+        !peers.apply_cross_zone_loads(&guest(1, 2, 3), now),
         "passed on by the other speaker"
     );
-    assert!(!peers.take_guest(&guest(1, 1, 9), now));
-    assert_eq!(peers.load(&server(1), now), (3, 0));
-    assert!(peers.take_guest(&guest(2, 1, 1), now), "it started again");
-    assert_eq!(peers.load(&server(1), now), (1, 0));
+    assert!(!peers.apply_cross_zone_loads(&guest(1, 1, 9), now));
+    assert_eq!(peers.in_flight(&server(1), now), (3, 0));
+    assert!(
+        peers.apply_cross_zone_loads(&guest(2, 1, 1), now),
+        "it started again"
+    );
+    assert_eq!(peers.in_flight(&server(1), now), (1, 0));
     // Its own zone knows that better than it can be told.
-    let of_yard = peers.guest_loads(&"yard".to_owned(), now);
+    let of_yard = peers.cross_zone_loads(&"yard".to_owned(), now);
     assert_eq!(of_yard.get(&server(1)), (1, 0));
-    let of_attic = peers.guest_loads(&"attic".to_owned(), now);
+    let of_attic = peers.cross_zone_loads(&"attic".to_owned(), now);
     assert_eq!(of_attic.get(&server(1)), (0, 0));
-    assert_eq!(peers.load(&server(1), now + DEAD_AFTER), (0, 0));
+    assert_eq!(peers.in_flight(&server(1), now + DEAD_AFTER), (0, 0));
 }
 
 /// Processes of other zones are told only what they must know: a front tells nothing beyond
 /// its zone, a worker tells workers, and who is unknown is asked once.
 #[test]
 fn heartbeats_stay_within_the_zone_but_for_workers() {
-    let contact = |host, zone: &str, role| Contact {
+    let contact = |host, zone: &str, role| PeerEndpoint {
         addr: addr(host),
         zone: zone.to_owned(),
         role,
@@ -412,16 +416,22 @@
         (Role::Worker, vec![addr(5), addr(9)]),
     ] {
         let (peers, now) = (Peers::new("hall".to_owned(), own_role), Instant::now());
-        peers.note_contact(&contact(2, "hall", Role::Front), now);
+        peers.add_endpoint(&contact(2, "hall", Role::Front), now);
         for host in 10..200 {
-            peers.note_contact(&contact(host, "yard", Role::Front), now);
+            peers.add_endpoint(&contact(host, "yard", Role::Front), now);
         }
-        peers.note_contact(&contact(5, "yard", Role::Worker), now);
-        peers.note_address(addr(9), addr(1), now);
-        assert_eq!(peers.recipients(Reach::OwnZone, now), [addr(2)]);
-        assert_eq!(peers.recipients(Reach::Beyond, now), beyond);
+        peers.add_endpoint(&contact(5, "yard", Role::Worker), now);
+        peers.add_address(addr(9), addr(1), now);
+        assert_eq!(
+            peers.heartbeat_recipients(HeartbeatScope::OwnZone, now),
+            [addr(2)]
+        );
         assert_eq!(
-            peers.addresses(now).len(),
+            peers.heartbeat_recipients(HeartbeatScope::OtherZones, now),
+            beyond
+        );
+        assert_eq!(
+            peers.known_addresses(now).len(),
             5,
             "few of another zone's fronts are kept"
         );
@@ -429,9 +439,14 @@
             from: contact(9, "yard", Role::Front),
             others: vec![contact(3, "hall", Role::Front)],
         };
-        peers.take_introduction(&introduction, addr(1), now);
-        assert_eq!(peers.recipients(Reach::OwnZone, now), [addr(2), addr(3)]);
-        assert!(!peers.recipients(Reach::Beyond, now).contains(&addr(9)));
+        peers.apply_introduction(&introduction, addr(1), now);
+        assert_eq!(
+            peers.heartbeat_recipients(HeartbeatScope::OwnZone, now),
+            [addr(2), addr(3)]
+        );
+        assert!(!peers
+            .heartbeat_recipients(HeartbeatScope::OtherZones, now)
+            .contains(&addr(9)));
     }
 }
 
@@ -441,8 +456,11 @@
 #[test]
 fn a_worker_hears_of_another_by_its_zones_summary() {
     let (peers, now) = (peers(), Instant::now());
-    peers.take_summary(aged(0, summary(5, 1, 1, 4)), Via::ThatZone, now);
-    assert_eq!(peers.recipients(Reach::Beyond, now), [addr(5)]);
+    peers.apply_summary(aged(0, summary(5, 1, 1, 4)), SummarySource::Direct, now);
+    assert_eq!(
+        peers.heartbeat_recipients(HeartbeatScope::OtherZones, now),
+        [addr(5)]
+    );
 }
 
 /// The path between two zones' first speakers is cut: the second one hears of the other zone
@@ -451,18 +469,26 @@
 fn a_second_speaker_passes_on_what_the_first_one_does_not() {
     let (peers, start) = (peers(), Instant::now());
     let at = |ms| start + Duration::from_secs(10) + Duration::from_millis(ms);
-    let passed_on = |ms| peers.to_pass_on(false, at(ms)).len();
-    peers.take_summary(aged(0, summary(5, 1, 1, 4)), Via::ThisZone, at(0));
-    peers.take_summary(aged(0, summary(5, 1, 2, 4)), Via::ThatZone, at(400));
+    let passed_on = |ms| peers.summaries_to_forward(false, at(ms)).len();
+    peers.apply_summary(
+        aged(0, summary(5, 1, 1, 4)),
+        SummarySource::Forwarded,
+        at(0),
+    );
+    peers.apply_summary(aged(0, summary(5, 1, 2, 4)), SummarySource::Direct, at(400));
     assert_eq!(passed_on(400), 0, "the first speaker did a moment ago");
-    peers.take_summary(aged(0, summary(5, 1, 3, 4)), Via::ThatZone, at(600));
+    peers.apply_summary(aged(0, summary(5, 1, 3, 4)), SummarySource::Direct, at(600));
     assert_eq!(passed_on(600), 1);
     assert_eq!(passed_on(700), 0, "nothing new");
-    peers.take_summary(aged(0, summary(5, 1, 4, 4)), Via::ThisZone, at(800));
+    peers.apply_summary(
+        aged(0, summary(5, 1, 4, 4)),
+        SummarySource::Forwarded,
+        at(800),
+    );
     assert_eq!(passed_on(800), 0, "passed on once is enough");
-    peers.take_summary(aged(0, summary(5, 1, 5, 4)), Via::ThatZone, at(900));
+    peers.apply_summary(aged(0, summary(5, 1, 5, 4)), SummarySource::Direct, at(900));
     assert_eq!(
-        peers.to_pass_on(true, at(900)).len(),
+        peers.summaries_to_forward(true, at(900)).len(),
         1,
         "as the first speaker"
     );
@@ -473,10 +499,10 @@
 #[test]
 fn silent_zones_are_asked() {
     let (peers, now) = (peers(), Instant::now());
-    assert!(peers.silent_zones(now).is_empty());
-    peers.take_summary(aged(0, summary(5, 1, 1, 4)), Via::ThisZone, now);
-    assert!(peers.silent_zones(now).is_empty());
-    assert_eq!(peers.silent_zones(now + DEAD_AFTER), [[addr(5)]]);
+    assert!(peers.silent_zone_recipients(now).is_empty());
+    peers.apply_summary(aged(0, summary(5, 1, 1, 4)), SummarySource::Forwarded, now);
+    assert!(peers.silent_zone_recipients(now).is_empty());
+    assert_eq!(peers.silent_zone_recipients(now + DEAD_AFTER), [[addr(5)]]);
 }
 
 /// A front whose zone is full knows how full another zone's server is of requests that came
@@ -494,8 +520,12 @@
     let now = Instant::now();
     for (told, wanted) in [(3, Some("yard")), (10, None)] {
         let peers = peers();
-        peers.take_summary(aged(0, summary(5, 1, 1, told)), Via::ThisZone, now);
-        let load = peers.load_elsewhere(
+        peers.apply_summary(
+            aged(0, summary(5, 1, 1, told)),
+            SummarySource::Forwarded,
+            now,
+        );
+        let load = peers.other_zone_load(
             &"yard".to_owned(),
             &server(1),
             SLOTS,
@@ -518,9 +548,9 @@
 fn follower(host: u8, sequence: u64, revision: u64, answered_ago_ms: u64) -> Heartbeat {
     Heartbeat {
         follows: true,
-        knows: KnownState {
+        knows: StoreStateVersion {
             servers_revision: Some(revision),
-            ..KnownState::default()
+            ..StoreStateVersion::default()
         },
         store_answered_ago: Duration::from_millis(answered_ago_ms),
         ..beat(host, sequence, &[])
@@ -532,31 +562,31 @@
 #[test]
 fn what_a_cut_off_follower_told_ages_from_the_stores_last_answer() {
     let (peers, now) = (peers(), Instant::now());
-    let known = KnownState {
+    let known = StoreStateVersion {
         servers_revision: Some(7),
-        ..KnownState::default()
+        ..StoreStateVersion::default()
     };
-    assert_eq!(peers.current_at(known), None);
-    peers.hear(follower(2, 1, 7, 300), addr(1), now);
+    assert_eq!(peers.state_current_at(known), None);
+    peers.apply_heartbeat(follower(2, 1, 7, 300), addr(1), now);
     let answered_at = now - Duration::from_millis(300);
-    assert_eq!(peers.current_at(known), Some(answered_at));
+    assert_eq!(peers.state_current_at(known), Some(answered_at));
     let later = now + Duration::from_millis(500);
-    peers.hear(follower(2, 2, 7, 800), addr(1), later);
-    assert_eq!(peers.current_at(known), Some(answered_at));
+    peers.apply_heartbeat(follower(2, 2, 7, 800), addr(1), later);
+    assert_eq!(peers.state_current_at(known), Some(answered_at));
     // Changes of its load say nothing of the store.
-    peers.take_changes(changes(3, 1, 1), later);
-    assert_eq!(peers.current_at(known), Some(answered_at));
+    peers.apply_load_changes(changes(3, 1, 1), later);
+    assert_eq!(peers.state_current_at(known), Some(answered_at));
 }
 
 /// A process that hears a follower's heartbeats, but whose calls to it fail, counted as told.
 #[test]
 fn a_follower_that_knows_more_vouches_for_nothing_older() {
     let (peers, now) = (peers(), Instant::now());
-    let known = |revision| KnownState {
+    let known = |revision| StoreStateVersion {
         servers_revision: Some(revision),
-        ..KnownState::default()
+        ..StoreStateVersion::default()
     };
-    peers.hear(follower(2, 1, 8, 0), addr(1), now);
-    assert_eq!(peers.current_at(known(7)), None);
-    assert_eq!(peers.current_at(known(8)), Some(now));
+    peers.apply_heartbeat(follower(2, 1, 8, 0), addr(1), now);
+    assert_eq!(peers.state_current_at(known(7)), None);
+    assert_eq!(peers.state_current_at(known(8)), Some(now));
 }
--- a/crates/foxwheel-node/tests/store_access.rs
+++ b/crates/foxwheel-node/tests/store_access.rs
@@ -40,7 +40,7 @@
     let waiting: Vec<_> = (0..3)
         .map(|_| {
             let store = Arc::clone(&store);
-            tokio::spawn(async move { store.pause(LONG_PAUSE).await })
+            tokio::spawn(async move { store.wait_before_retry(LONG_PAUSE).await })
         })
         .collect();
     tokio::task::yield_now().await;
--- a/crates/foxwheel-node/tests/untrusted_frames.rs
+++ b/crates/foxwheel-node/tests/untrusted_frames.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use common::{submit, until_listed, Fleet, Plan};
-use foxwheel_node::peer_calls::{KnownState, PeerCalls};
+use foxwheel_node::peer_calls::{PeerCalls, StoreStateVersion};
 use hyper::StatusCode;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -27,7 +27,10 @@
         bytes.truncate(length);
         bytes
     };
-    let (_, bytes) = tokio::join!(calls.knowledge(addr, KnownState::default()), recording);
+    let (_, bytes) = tokio::join!(
+        calls.fetch_state(addr, StoreStateVersion::default()),
+        recording
+    );
     assert!(bytes.len() > 8, "{bytes:?}");
     bytes
 }
--- a/crates/foxwheel-node/tests/worker_jobs.rs
+++ b/crates/foxwheel-node/tests/worker_jobs.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use foxwheel_node::node::Node;
-use foxwheel_node::peer_calls::{ReadAnswer, ReadSpec};
+use foxwheel_node::peer_calls::{ResultsQuery, ResultsResponse};
 use foxwheel_node::settings::Role;
 use foxwheel_node::worker_jobs::WorkerJobs;
 use foxwheel_platform_emu::settings::PlatformSettings;
@@ -50,14 +50,14 @@
 }
 
 async fn listed(jobs: &WorkerJobs, known_parts: u32) -> usize {
-    let read = ReadSpec {
+    let read = ResultsQuery {
         from: 0,
         max_bytes: 1_000_000,
         known_parts,
         wait: Duration::ZERO,
     };
     match jobs.read(&"job".to_owned(), read).await {
-        ReadAnswer::Results { results, .. } => results.len(),
+        ResultsResponse::Results { results, .. } => results.len(),
         other => panic!("{other:?}"),
     }
 }
@@ -110,19 +110,19 @@
 async fn an_unknown_job_is_told_from_an_unreadable_one() {
     let cancel = CancellationToken::new();
     let jobs = start(&cancel);
-    let read = ReadSpec {
+    let read = ResultsQuery {
         from: 0,
         max_bytes: 1,
         known_parts: 0,
         wait: Duration::ZERO,
     };
     let answer = jobs.read(&"none".to_owned(), read).await;
-    assert_eq!(answer, ReadAnswer::NoSuchJob);
+    assert_eq!(answer, ResultsResponse::NoSuchJob);
     cancel.cancel();
     // Without the store nothing can be said.
     tokio::time::sleep(Duration::from_millis(300)).await;
     let answer = jobs.read(&"other".to_owned(), read).await;
-    assert_eq!(answer, ReadAnswer::Unsure);
+    assert_eq!(answer, ResultsResponse::Unsure);
 }
 
 /// Jobs that nobody reads stay in memory within a bound: the ones unread for longest go first.
