--- a/crates/foxwheel-node/src/attempt.rs
+++ b/crates/foxwheel-node/src/attempt.rs
@@ -8,7 +8,7 @@
 use foxwheel_core::ids::RequestId;
 use foxwheel_core::metric_names::Counter;
 use foxwheel_http1::connection::{Connection, ExchangeError, RequestBody};
-use foxwheel_platform::online::{self, AnswerHead};
+use foxwheel_platform::online::{self, ResponseHead};
 use foxwheel_policy::membership::ServerKey;
 use foxwheel_policy::retry::AttemptOutcome;
 use http_body_util::BodyExt;
@@ -74,7 +74,7 @@
     /// The answer's head.
     pub head: response::Parts,
     /// The decoded head.
-    pub decoded_head: AnswerHead,
+    pub decoded_head: ResponseHead,
     /// The server.
     pub server: ServerKey,
     node: Arc<Node>,
@@ -160,8 +160,8 @@
         }
     };
     let (head, body) = response.into_parts();
-    let decoded_head = online::decode_answer(&head, &target.request_id);
-    if decoded_head.foreign || decoded_head.encoded {
+    let decoded_head = online::decode_response(&head, &target.request_id);
+    if decoded_head.for_another_request || decoded_head.is_encoded {
         node.loads.record_outcome(server, true, Instant::now());
         return Err(Failure::new(
             AttemptOutcome::Unknown,
@@ -170,7 +170,7 @@
     }
     let now = Instant::now();
     node.loads.record_progress(server, now);
-    if decoded_head.another_instance {
+    if decoded_head.from_another_instance {
         node.record_dead_instance(server);
     }
     if decoded_head.status.is_success() || decoded_head.status == StatusCode::INTERNAL_SERVER_ERROR
@@ -256,7 +256,7 @@
         if decoded_head.status.is_success() && !decoded_head.not_run {
             node.record_success(&content, &server);
         }
-        if !decoded_head.closes {
+        if !decoded_head.closes_connection {
             node.pool
                 .put(&server, connection, decoded_head.idle_timeout);
         }
--- a/crates/foxwheel-node/src/batch_front.rs
+++ b/crates/foxwheel-node/src/batch_front.rs
@@ -18,7 +18,7 @@
 use hyper::StatusCode;
 
 use crate::job_store::{JobStore, JobStoreError};
-use crate::ledger_keeper;
+use crate::ledger_writer;
 use crate::node::Node;
 use crate::peer_calls::{ItemBodyResponse, NextPeer, PeerError, ResultsQuery, ResultsResponse};
 use crate::responses::{self, CallerResponse};
@@ -178,7 +178,7 @@
         change: LedgerChange,
         deadline: Instant,
     ) -> Result<LedgerAnswer, JobStoreError> {
-        ledger_keeper::change(&self.node, &self.store, None, change, deadline).await
+        ledger_writer::change_ledger(&self.node, &self.store, None, change, deadline).await
     }
 
     /// Tells the worker that should run the job. If the call is lost, a worker finds the
--- a/crates/foxwheel-node/src/discovery.rs
+++ b/crates/foxwheel-node/src/discovery.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use foxwheel_platform::store::{EncodedJson, Object, Write, Written};
+use foxwheel_platform::store::{EncodedJson, Object, Write, WriteOutcome};
 
 use crate::node::Node;
 use crate::peer_messages::PeerEndpoint;
@@ -70,12 +70,14 @@
         let stands = |object: &Object| object.spec == serde_json::json!(node.contact());
         let written = match node.store.write(&create).await {
             // It started before: the entry need not be written again.
-            Ok(Written::Conflict(Some(object))) if stands(&object) => Ok(Written::Done(object)),
-            Ok(Written::Conflict(_)) => node.store.write(&replace).await,
+            Ok(WriteOutcome::Conflict(Some(object))) if stands(&object) => {
+                Ok(WriteOutcome::Done(object))
+            }
+            Ok(WriteOutcome::Conflict(_)) => node.store.write(&replace).await,
             other => other,
         };
         match written {
-            Ok(Written::Done(_)) => return log::info!(addr:% = own; "process announced"),
+            Ok(WriteOutcome::Done(_)) => return log::info!(addr:% = own; "process announced"),
             Ok(_) | Err(_) => node.store.wait_before_retry(backoff.next_delay()).await,
         }
     }
--- a/crates/foxwheel-node/src/item_run.rs
+++ b/crates/foxwheel-node/src/item_run.rs
@@ -49,7 +49,7 @@
 }
 
 /// Runs the item; answers how the run ended.
-pub async fn run(node: Arc<Node>, run: ItemRun) -> RunEnd {
+pub async fn run_item(node: Arc<Node>, run: ItemRun) -> RunEnd {
     let server = run.slot.server().clone();
     let ItemRun {
         job,
--- a/crates/foxwheel-node/src/job_store.rs
+++ b/crates/foxwheel-node/src/job_store.rs
@@ -12,7 +12,7 @@
 
 use foxwheel_core::ids::JobId;
 use foxwheel_core::time;
-use foxwheel_platform::store::{EncodedJson, Object, StoreError, Write, Written};
+use foxwheel_platform::store::{EncodedJson, Object, StoreError, Write, WriteOutcome};
 use foxwheel_policy::batch::checkpoint::JobCheckpoint;
 use foxwheel_policy::batch::item::{ItemResult, ItemSpec};
 use foxwheel_policy::batch::job::{JobProgress, JobSpec};
@@ -265,7 +265,7 @@
             spec: spec.clone(),
             revision: None,
         };
-        if let Written::Missing = store_relay::write(&self.node, &replace).await? {
+        if let WriteOutcome::Missing = store_relay::write(&self.node, &replace).await? {
             let create = Write::Create {
                 kind: kind.to_owned(),
                 name,
@@ -314,15 +314,15 @@
                 continue;
             }
             match self.put_ledger(revision, &changed).await {
-                Ok(Written::Done(object)) => {
+                Ok(WriteOutcome::Done(object)) => {
                     self.cache(object.revision, changed);
                     return Ok(answer);
                 }
-                Ok(Written::Conflict(Some(object))) if !object.spec.is_null() => {
+                Ok(WriteOutcome::Conflict(Some(object))) if !object.spec.is_null() => {
                     known = Some((object.revision, decode("ledger", object.spec)?));
                     fresh = true;
                 }
-                Ok(Written::Conflict(_) | Written::Missing) => {}
+                Ok(WriteOutcome::Conflict(_) | WriteOutcome::Missing) => {}
                 Err(e) if Instant::now() >= deadline => return Err(e.into()),
                 // Done or not, the next look at the ledger tells.
                 Err(_) => {
@@ -338,7 +338,7 @@
         }
     }
 
-    async fn put_ledger(&self, revision: u64, ledger: &Ledger) -> Result<Written, StoreError> {
+    async fn put_ledger(&self, revision: u64, ledger: &Ledger) -> Result<WriteOutcome, StoreError> {
         let spec = encode(ledger);
         let kind = LEDGER_KIND.to_owned();
         let name = LEDGER_NAME.to_owned();
@@ -390,11 +390,11 @@
         let mut perhaps_done = None;
         loop {
             match store_relay::write(&self.node, &write).await {
-                Ok(Written::Done(_)) => return Ok(None),
-                Ok(Written::Conflict(Some(object))) if !object.spec.is_null() => {
+                Ok(WriteOutcome::Done(_)) => return Ok(None),
+                Ok(WriteOutcome::Conflict(Some(object))) if !object.spec.is_null() => {
                     return Ok(Some(object))
                 }
-                Ok(Written::Conflict(_) | Written::Missing) => {
+                Ok(WriteOutcome::Conflict(_) | WriteOutcome::Missing) => {
                     if let Some(object) = self.get(kind, &name, deadline).await? {
                         return Ok(Some(object));
                     }
--- a/crates/foxwheel-node/src/ledger_follower.rs
+++ b/crates/foxwheel-node/src/ledger_poll.rs
@@ -17,14 +17,14 @@
 /// How often the ledger is read for jobs that nobody runs and jobs that were ended. Below
 /// the time within which an ended job's items must stop (3 s), for the case that the call
 /// that tells of the end is lost.
-pub const LEDGER_EVERY: Duration = Duration::from_millis(2_000);
+pub const LEDGER_POLL_INTERVAL: Duration = Duration::from_millis(2_000);
 
 /// Least time from a reason to read the ledger until it is read: several reasons come
 /// together when a worker dies.
 const LEDGER_PAUSE: Duration = Duration::from_millis(150);
 
 /// Longest time for one change of the ledger.
-pub const LEDGER_TIME: Duration = Duration::from_millis(3_000);
+pub const LEDGER_UPDATE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// How long closed jobs are remembered beyond the time their results stay readable:
 /// covers repeats of a submission that are still on their way.
@@ -35,17 +35,17 @@
 const WITHDRAW_AFTER: Duration = Duration::from_secs(90);
 
 /// Hands the open jobs of the ledger to the scheduler, and ends held ones that are closed.
-pub async fn read(jobs: Arc<WorkerJobs>, news: mpsc::Sender<Vec<JobId>>) {
+pub async fn poll_ledger(jobs: Arc<WorkerJobs>, news: mpsc::Sender<Vec<JobId>>) {
     // Nothing can be taken before the other workers were heard.
     let first_at = tokio::time::Instant::now() + ownership::HEARD_AFTER;
-    let mut ticks = tokio::time::interval_at(first_at, LEDGER_EVERY);
+    let mut ticks = tokio::time::interval_at(first_at, LEDGER_POLL_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
-            () = jobs.look_at_ledger.notified() => tokio::time::sleep(LEDGER_PAUSE).await,
+            () = jobs.ledger_poll_request.notified() => tokio::time::sleep(LEDGER_PAUSE).await,
         }
-        let deadline = Instant::now() + LEDGER_EVERY;
+        let deadline = Instant::now() + LEDGER_POLL_INTERVAL;
         let ledger = match jobs.store.read_ledger(deadline).await {
             Ok(ledger) => ledger,
             Err(e) => {
@@ -55,7 +55,7 @@
         };
         withdraw_unstored(&jobs, &ledger.open).await;
         for closed in &ledger.closed {
-            jobs.end(&closed.id, "ledger");
+            jobs.end_job(&closed.id, "ledger");
         }
         let open = ledger.open.into_iter().map(|job| job.id).collect();
         if news.send(open).await.is_err() {
@@ -70,8 +70,8 @@
     let now_unix = unix_now();
     let old = |job: &&OpenJob| now_unix.saturating_sub(job.accepted_unix) > WITHDRAW_AFTER;
     for job in open.iter().filter(old) {
-        let held = jobs.with(&job.id, |entry| entry.held) == Some(true);
-        let deadline = Instant::now() + LEDGER_EVERY;
+        let held = jobs.with_entry(&job.id, |entry| entry.owned) == Some(true);
+        let deadline = Instant::now() + LEDGER_POLL_INTERVAL;
         if held || !matches!(jobs.store.load_job(&job.id, deadline).await, Ok(None)) {
             continue;
         }
@@ -89,7 +89,7 @@
 
 /// Forgets closed jobs, old checkpoints and old quarantines, so that the store stays small; one
 /// worker does it for all.
-pub async fn prune(node: &Node, jobs: &WorkerJobs) {
+pub async fn prune_stored(node: &Node, jobs: &WorkerJobs) {
     let keep = node.settings.results_readable + REMEMBER_CLOSED;
     loop {
         tokio::time::sleep(REMEMBER_CLOSED).await;
@@ -102,7 +102,7 @@
             continue;
         }
         let now_unix = unix_now();
-        let deadline = Instant::now() + LEDGER_TIME;
+        let deadline = Instant::now() + LEDGER_UPDATE_TIMEOUT;
         let pruned = jobs
             .store
             .update_ledger(deadline, |ledger| ledger.prune(now_unix, keep));
--- a/crates/foxwheel-node/src/ledger_keeper.rs
+++ b/crates/foxwheel-node/src/ledger_writer.rs
@@ -28,14 +28,14 @@
 
 /// Changes that wait at a worker.
 #[derive(Debug, Default)]
-pub struct LedgerKeeper {
+pub struct LedgerWriter {
     waiting: Mutex<Vec<Waiting>>,
     wake: Notify,
 }
 
-impl LedgerKeeper {
+impl LedgerWriter {
     /// Makes `change` with the next write.
-    pub async fn change(&self, change: LedgerChange) -> RelayedResult<LedgerAnswer> {
+    pub async fn submit(&self, change: LedgerChange) -> RelayedResult<LedgerAnswer> {
         let (answer, answered) = oneshot::channel();
         {
             let mut waiting = self.waiting.lock().expect("ledger keeper lock");
@@ -86,10 +86,10 @@
 
 /// Makes `change` through the keeper, or by itself if the keeper does not settle it. `own`
 /// is this process's part as a keeper, if it is a worker.
-pub async fn change(
+pub async fn change_ledger(
     node: &Arc<Node>,
     store: &JobStore,
-    own: Option<&LedgerKeeper>,
+    own: Option<&LedgerWriter>,
     change: LedgerChange,
     deadline: Instant,
 ) -> Result<LedgerAnswer, JobStoreError> {
@@ -101,7 +101,7 @@
     let is_own = own.is_some()
         && keeper.is_none_or(|keeper| ownership::outranks(LEDGER_RANK, own_host, &keeper.node));
     let kept = match (own, keeper) {
-        (Some(own), _) if is_own => Some(own.change(change.clone()).await),
+        (Some(own), _) if is_own => Some(own.submit(change.clone()).await),
         (_, Some(keeper)) => {
             let live = node.peers.live_processes(Role::Worker, now);
             let found = live.iter().find(|(host, _)| *host == keeper.node);
--- a/crates/foxwheel-node/src/online_request.rs
+++ b/crates/foxwheel-node/src/online_request.rs
@@ -95,7 +95,7 @@
         let content = RequestContent::new(
             head.method.as_str(),
             &caller.host,
-            online::target(&head),
+            online::request_target(&head),
             body.clone(),
         );
         Self {
@@ -244,7 +244,7 @@
         };
         let mut answer = attempt::send(node, target, request).await?;
         if answer.decoded_head.status.is_success() && !answer.decoded_head.not_run {
-            if answer.decoded_head.signed {
+            if answer.decoded_head.is_signed {
                 return Ok(answer);
             }
             return Err(Failure::new(
@@ -254,7 +254,7 @@
         }
         if answer.decoded_head.not_run {
             let reason = format!("rejected with {}", answer.decoded_head.status.as_u16());
-            let outcome = match answer.decoded_head.another_instance {
+            let outcome = match answer.decoded_head.from_another_instance {
                 true => AttemptOutcome::Gone,
                 false => AttemptOutcome::Rejected,
             };
@@ -270,7 +270,7 @@
     async fn server_failure(&self, mut answer: OpenResponse) -> Failure {
         let reason = format!("server answered {}", answer.decoded_head.status.as_u16());
         match answer.read_full_body(self.response_deadline).await {
-            Ok(body) if answer.decoded_head.signed => {
+            Ok(body) if answer.decoded_head.is_signed => {
                 let head = answer.head.clone();
                 answer.finish();
                 Failure {
--- a/crates/foxwheel-node/src/peer_calls.rs
+++ b/crates/foxwheel-node/src/peer_calls.rs
@@ -6,7 +6,7 @@
 
 use foxwheel_core::error::Origin;
 use foxwheel_core::ids::{ItemId, JobId, Version};
-use foxwheel_platform::store::{Object, Write, Written};
+use foxwheel_platform::store::{Object, Write, WriteOutcome};
 use foxwheel_policy::batch::item::ItemResult;
 use foxwheel_policy::batch::job::JobSpec;
 use foxwheel_policy::batch::ledger::{self, LedgerAnswer, LedgerChange};
@@ -170,7 +170,7 @@
     /// The crashes of servers that the peer knows of.
     async fn crashes() -> Vec<CrashReport>;
     /// Performs a write for a process that the store turns away.
-    async fn store_write(write: Write) -> RelayedResult<Written>;
+    async fn store_write(write: Write) -> RelayedResult<WriteOutcome>;
     /// Reads an object for a process that the store turns away.
     async fn store_get(kind: String, name: String) -> RelayedResult<Option<Object>>;
 }
@@ -294,7 +294,7 @@
         &self,
         addr: SocketAddr,
         write: Write,
-    ) -> Result<RelayedResult<Written>, PeerError> {
+    ) -> Result<RelayedResult<WriteOutcome>, PeerError> {
         let client = self.client(addr).await?;
         let answer = client.store_write(context_for(STORE_TIMEOUT), write).await;
         self.checked("write through peer", addr, answer)
--- a/crates/foxwheel-node/src/peer_server.rs
+++ b/crates/foxwheel-node/src/peer_server.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use foxwheel_core::ids::{ItemId, JobId};
-use foxwheel_platform::store::{Object, StoreError, Write, Written};
+use foxwheel_platform::store::{Object, StoreError, Write, WriteOutcome};
 use foxwheel_policy::batch::job::JobSpec;
 use foxwheel_policy::batch::ledger::{LedgerAnswer, LedgerChange};
 use foxwheel_policy::quarantine::CrashReport;
@@ -45,21 +45,21 @@
 
     async fn accepted(self, _: context::Context, job: JobSpec) {
         if let Some(jobs) = &self.jobs {
-            jobs.take_new(job);
+            jobs.start_new_job(job);
         }
     }
 
     async fn ended(self, _: context::Context, job: JobId) {
         if let Some(jobs) = &self.jobs {
-            jobs.end(&job, "caller");
+            jobs.end_job(&job, "caller");
         }
     }
 
     async fn read(self, _: context::Context, job: JobId, read: ResultsQuery) -> ResultsResponse {
         match &self.jobs {
-            Some(jobs) => match jobs.holder_elsewhere(&job) {
+            Some(jobs) => match jobs.remote_owner(&job) {
                 Some(holder) => ResultsResponse::Elsewhere(holder),
-                None => jobs.read(&job, read).await,
+                None => jobs.read_results(&job, read).await,
             },
             None => ResultsResponse::Unsure,
         }
@@ -67,9 +67,9 @@
 
     async fn body(self, _: context::Context, job: JobId, item: ItemId) -> ItemBodyResponse {
         match &self.jobs {
-            Some(jobs) => match jobs.holder_elsewhere(&job) {
+            Some(jobs) => match jobs.remote_owner(&job) {
                 Some(holder) => ItemBodyResponse::Elsewhere(holder),
-                None => jobs.body(&job, &item).await,
+                None => jobs.read_item_body(&job, &item).await,
             },
             None => ItemBodyResponse::Unsure,
         }
@@ -81,7 +81,7 @@
         change: LedgerChange,
     ) -> RelayedResult<LedgerAnswer> {
         match &self.jobs {
-            Some(jobs) => jobs.ledger.change(change).await,
+            Some(jobs) => jobs.ledger_writer.submit(change).await,
             None => RelayedResult::NotDone("not a worker".to_owned()),
         }
     }
@@ -91,7 +91,7 @@
         quarantine.reports(Instant::now())
     }
 
-    async fn store_write(self, _: context::Context, write: Write) -> RelayedResult<Written> {
+    async fn store_write(self, _: context::Context, write: Write) -> RelayedResult<WriteOutcome> {
         relayed(self.node.store.write(&write).await)
     }
 
--- a/crates/foxwheel-node/src/retirement_follower.rs
+++ b/crates/foxwheel-node/src/retirement_watch.rs
@@ -6,7 +6,7 @@
 
 use foxwheel_platform::retirement::{self, Progress};
 
-use foxwheel_platform::store::{Object, StoreError, Watched, Write, Written};
+use foxwheel_platform::store::{Object, StoreError, WatchOutcome, Write, WriteOutcome};
 
 use crate::node::Node;
 use crate::store_access::Backoff;
@@ -32,7 +32,10 @@
 async fn retire_when_asked(node: &Node) -> Result<(), StoreError> {
     let own = &node.settings.host;
     let listing = node.store.list(retirement::KIND).await?;
-    let mut asked = listing.objects.iter().any(|object| is_asked(own, object));
+    let mut asked = listing
+        .objects
+        .iter()
+        .any(|object| is_requested(own, object));
     let mut revision = listing.revision;
     while !asked {
         let watched = node
@@ -40,15 +43,15 @@
             .watch(retirement::KIND, revision, RETIREMENT_WATCH)
             .await?;
         match watched {
-            Watched::HistoryGone => return Ok(()),
-            Watched::Changes {
+            WatchOutcome::HistoryExpired => return Ok(()),
+            WatchOutcome::Changes {
                 changes,
                 revision: next,
             } => {
                 revision = next;
                 asked = changes
                     .iter()
-                    .any(|change| !change.removed && is_asked(own, &change.object));
+                    .any(|change| !change.removed && is_requested(own, &change.object));
             }
         }
     }
@@ -64,8 +67,8 @@
     Ok(())
 }
 
-fn is_asked(own: &NodeId, object: &Object) -> bool {
-    object.name == *own && retirement::is_asked(&object.spec, &object.status)
+fn is_requested(own: &NodeId, object: &Object) -> bool {
+    object.name == *own && retirement::is_requested(&object.spec, &object.status)
 }
 
 async fn write_retirement(node: &Node, progress: Progress) {
@@ -77,8 +80,8 @@
     let mut backoff = Backoff::default();
     loop {
         match node.store.write(&write).await {
-            Ok(Written::Done(_) | Written::Missing) => return,
-            Ok(Written::Conflict(_)) | Err(_) => {
+            Ok(WriteOutcome::Done(_) | WriteOutcome::Missing) => return,
+            Ok(WriteOutcome::Conflict(_)) | Err(_) => {
                 node.store.wait_before_retry(backoff.next_delay()).await
             }
         }
--- a/crates/foxwheel-node/src/store_access.rs
+++ b/crates/foxwheel-node/src/store_access.rs
@@ -5,7 +5,9 @@
 use std::time::{Duration, Instant};
 
 use foxwheel_core::metric_names::{Counter, StoreCall};
-use foxwheel_platform::store::{Listing, Object, Store, StoreError, Watched, Write, Written};
+use foxwheel_platform::store::{
+    Listing, Object, Store, StoreError, WatchOutcome, Write, WriteOutcome,
+};
 use foxwheel_policy::following;
 use rand::RngExt;
 use tokio::sync::Notify;
@@ -104,7 +106,7 @@
         kind: &str,
         revision: u64,
         wait: Duration,
-    ) -> Result<Watched, StoreError> {
+    ) -> Result<WatchOutcome, StoreError> {
         let watched = self.store.watch(kind, revision, wait).await;
         self.note(StoreCall::Watch, &watched);
         watched
@@ -125,7 +127,7 @@
     }
 
     /// Performs `write` once.
-    pub async fn write(&self, write: &Write) -> Result<Written, StoreError> {
+    pub async fn write(&self, write: &Write) -> Result<WriteOutcome, StoreError> {
         let written = self.store.write(write).await;
         self.note(StoreCall::Write, &written);
         written
--- a/crates/foxwheel-node/src/store_relay.rs
+++ b/crates/foxwheel-node/src/store_relay.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 use foxwheel_core::error::Origin;
-use foxwheel_platform::store::{Object, StoreError, Write, Written};
+use foxwheel_platform::store::{Object, StoreError, Write, WriteOutcome};
 
 use crate::node::Node;
 use crate::peer_calls::{PeerError, RelayedResult};
@@ -19,7 +19,7 @@
 const MAX_PEERS: usize = 2;
 
 /// Performs `write`, through a peer if this process's own calls fail and the peer's do not.
-pub async fn write(node: &Node, write: &Write) -> Result<Written, StoreError> {
+pub async fn write(node: &Node, write: &Write) -> Result<WriteOutcome, StoreError> {
     let mut last = None;
     for route in routes(node) {
         let tried = match route {
--- a/crates/foxwheel-node/src/store_watch.rs
+++ b/crates/foxwheel-node/src/store_watch.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use foxwheel_core::ids::{ServerId, Version};
-use foxwheel_platform::store::{Change, Object, StoreError, Watched};
+use foxwheel_platform::store::{Change, Object, StoreError, WatchOutcome};
 use foxwheel_platform::{config, servers};
 use foxwheel_policy::membership::BackendServer;
 use foxwheel_policy::server_changes::ServerChange;
@@ -155,7 +155,7 @@
         return Ok(Some(listing.revision));
     };
     match node.store.watch(F::KIND, revision, WATCH_WAIT).await? {
-        Watched::Changes { changes, revision } => {
+        WatchOutcome::Changes { changes, revision } => {
             let changed = !changes.is_empty();
             for change in changes {
                 follower.take_change(node, change);
@@ -166,7 +166,7 @@
             }
             Ok(Some(revision))
         }
-        Watched::HistoryGone => {
+        WatchOutcome::HistoryExpired => {
             log::info!(kind = F::KIND, revision; "history gone, listing again");
             Ok(None)
         }
--- a/crates/foxwheel-node/src/worker/checkpointing.rs
+++ b/crates/foxwheel-node/src/worker/checkpointing.rs
@@ -70,13 +70,13 @@
     fn job_checkpoints(&mut self) -> Vec<JobCheckpoint> {
         for run in &self.runs {
             let output = run.output.lock().expect("output lock");
-            self.jobs.with(&run.job, |entry| {
+            self.jobs.with_entry(&run.job, |entry| {
                 entry.progress.note_output(run.item, &output);
             });
         }
         let mut jobs = Vec::new();
         self.jobs
-            .each_held(|entry| jobs.extend(JobCheckpoint::of(&entry.progress)));
+            .for_each_owned(|entry| jobs.extend(JobCheckpoint::of(&entry.progress)));
         jobs
     }
 }
--- a/crates/foxwheel-node/src/worker/mod.rs
+++ b/crates/foxwheel-node/src/worker/mod.rs
@@ -24,7 +24,7 @@
 use crate::node::Node;
 use crate::worker::checkpointing::Checkpoints;
 use crate::worker_jobs::{JobEntry, WorkerJobs};
-use crate::{ledger_follower, result_store, retirement_follower};
+use crate::{ledger_poll, result_store, retirement_watch};
 
 /// Longest pause between looks at what could run.
 const SCHEDULE_EVERY: Duration = Duration::from_millis(50);
@@ -102,7 +102,7 @@
     };
     let background = tokio::spawn(run_background(Arc::clone(&node), Arc::clone(&jobs)));
     let (ledger_sender, mut ledger_news) = tokio::sync::mpsc::channel(1);
-    let reading = tokio::spawn(ledger_follower::read(Arc::clone(&jobs), ledger_sender));
+    let reading = tokio::spawn(ledger_poll::poll_ledger(Arc::clone(&jobs), ledger_sender));
     let mut looked_at = Instant::now();
     loop {
         let peer_update = async {
@@ -143,7 +143,7 @@
             self.estimate.note_whole(output.events());
         }
         let max_failures = self.max_failures(&ended.job);
-        self.jobs.with(&ended.job, |entry| {
+        self.jobs.with_entry(&ended.job, |entry| {
             let now = Instant::now();
             let progress = &mut entry.progress;
             progress.run_ended(ended.item, ended.end, output, max_failures, now);
@@ -163,7 +163,10 @@
             Some(route.max_attempts)
         };
         // Without a route nothing is given up for failures.
-        self.jobs.with(job, of_route).flatten().unwrap_or(u32::MAX)
+        self.jobs
+            .with_entry(job, of_route)
+            .flatten()
+            .unwrap_or(u32::MAX)
     }
 
     fn start(&mut self, item: usize, run: ItemRun) {
@@ -183,7 +186,7 @@
             let events = |output: &SharedOutput| output.lock().expect("output lock").events();
             let events_before = events(&output);
             let started_at = Instant::now();
-            let end = item_run::run(node, run).await;
+            let end = item_run::run_item(node, run).await;
             // The scheduler is gone only when the process stops.
             let _ = ended.send(EndedRun {
                 job,
@@ -202,12 +205,12 @@
         let config = self.node.config();
         let leaving = self.leaving.is_some();
         let mut due = Vec::new();
-        self.jobs.each_held(|entry| {
+        self.jobs.for_each_owned(|entry| {
             let mut nearly_due = false;
             if let Some(config) = &config {
                 let known_for = now.duration_since(self.started_at);
                 give_up_overdue(entry, config, known_for, now);
-                let due_in = due_unix(entry, config).saturating_sub(ledger_follower::unix_now());
+                let due_in = due_unix(entry, config).saturating_sub(ledger_poll::unix_now());
                 nearly_due = entry.progress.is_nearly_due(due_in);
             }
             let store = nearly_due || entry.progress.should_store(now, leaving);
@@ -220,9 +223,13 @@
             }
         });
         for (job, due_unix) in due {
-            tokio::spawn(result_store::store(Arc::clone(&self.jobs), job, due_unix));
+            tokio::spawn(result_store::store_results(
+                Arc::clone(&self.jobs),
+                job,
+                due_unix,
+            ));
         }
-        self.jobs.evict(now);
+        self.jobs.evict_unused(now);
     }
 
     /// Whether a leaving worker has nothing left. Hands its jobs over on the way, at once:
@@ -255,14 +262,14 @@
     /// Leaves the jobs to others whose finished results are stored.
     fn release_stored(&mut self) {
         let mut idle = Vec::new();
-        self.jobs.each_held(|entry| {
+        self.jobs.for_each_owned(|entry| {
             if !entry.storing && entry.progress.unstored_since.is_none() {
                 idle.push(entry.progress.spec.id.clone());
             }
         });
         for job in idle {
             log::info!(job; "job released");
-            self.jobs.release(&job);
+            self.jobs.release_job(&job);
         }
     }
 }
@@ -283,7 +290,7 @@
 /// Gives up what may be given up.
 fn give_up_overdue(entry: &mut JobEntry, config: &Config, known_for: Duration, now: Instant) {
     let spec = &entry.progress.spec;
-    let age = ledger_follower::unix_now().saturating_sub(spec.submitted_unix);
+    let age = ledger_poll::unix_now().saturating_sub(spec.submitted_unix);
     let route = batch_route(config, &spec.host, &spec.path);
     if !job::is_overdue(route, age, known_for) || entry.progress.is_finished() {
         return;
@@ -296,8 +303,8 @@
 /// What goes on beside the scheduling of items.
 async fn run_background(node: Arc<Node>, jobs: Arc<WorkerJobs>) {
     tokio::join!(
-        ledger_follower::prune(&node, &jobs),
-        retirement_follower::run(&node),
-        jobs.ledger.run(&jobs.store),
+        ledger_poll::prune_stored(&node, &jobs),
+        retirement_watch::run(&node),
+        jobs.ledger_writer.run(&jobs.store),
     );
 }
--- a/crates/foxwheel-node/src/worker/ownership.rs
+++ b/crates/foxwheel-node/src/worker/ownership.rs
@@ -30,7 +30,7 @@
         let others = self.node.peers.live_workers(Instant::now());
         let own = &self.node.settings.host;
         let mut yielded = Vec::new();
-        self.jobs.each_held(|entry| {
+        self.jobs.for_each_owned(|entry| {
             let job = &entry.progress.spec.id;
             if ownership::should_yield(job, own, entry.progress.parts, &others) {
                 yielded.push(job.clone());
@@ -38,7 +38,7 @@
         });
         for job in yielded {
             log::info!(job; "job left to another worker that runs it too");
-            self.jobs.release(&job);
+            self.jobs.release_job(&job);
         }
     }
 
@@ -53,7 +53,7 @@
         let orphaned = self.told_elsewhere.iter().filter(gone).count();
         if orphaned > 0 {
             log::info!(jobs = orphaned; "jobs no longer told of by other workers");
-            self.jobs.look_at_ledger.notify_one();
+            self.jobs.ledger_poll_request.notify_one();
         }
         self.told_elsewhere = told;
     }
@@ -75,12 +75,12 @@
             self.unheld.push((job.clone(), since));
             let first = ownership::first_choice(job, &workers).is_some_and(|w| w.node == own);
             let take = ownership::should_take(job, &own, &workers, since, now)
-                && (first || !self.jobs.was_not_stored(job, now));
+                && (first || !self.jobs.was_recently_missing(job, now));
             if heard && take && !self.node.is_leaving() {
                 let jobs = Arc::clone(&self.jobs);
                 let job = job.clone();
                 tokio::spawn(async move {
-                    if let Err(e) = jobs.adopt(&job).await {
+                    if let Err(e) = jobs.take_over(&job).await {
                         log::warn!(job, error:% = e; "job not adopted");
                     }
                 });
--- a/crates/foxwheel-node/src/worker/scheduling.rs
+++ b/crates/foxwheel-node/src/worker/scheduling.rs
@@ -11,7 +11,7 @@
 use foxwheel_policy::routes::Config;
 
 use crate::item_run::ItemRun;
-use crate::ledger_follower;
+use crate::ledger_poll;
 use crate::load_table::{InFlight, WorkClass};
 use crate::worker::{batch_route, Worker};
 
@@ -33,7 +33,7 @@
         };
         let now = Instant::now();
         let (jobs, mut items) = self.waiting_items(&config, now);
-        schedule::sort(&mut items, ledger_follower::unix_now());
+        schedule::sort(&mut items, ledger_poll::unix_now());
         let mut places = Places::default();
         let mut without_slot = 0;
         for item in items {
@@ -58,7 +58,7 @@
     /// Items that could run now, with the jobs that their numbers mean.
     fn waiting_items(&self, config: &Config, now: Instant) -> (Vec<WaitingJob>, Vec<WaitingItem>) {
         let (mut jobs, mut items) = (Vec::new(), Vec::new());
-        self.jobs.each_held(|entry| {
+        self.jobs.for_each_owned(|entry| {
             let progress = &entry.progress;
             let spec = &progress.spec;
             let Some(route) = batch_route(config, &spec.host, &spec.path) else {
@@ -86,7 +86,7 @@
 
     /// Marks an item as running; none if its job is not in memory any more.
     fn run_of(&self, job: &WaitingJob, item: usize, slot: InFlight) -> Option<ItemRun> {
-        self.jobs.with(&job.job, |entry| {
+        self.jobs.with_entry(&job.job, |entry| {
             entry.progress.start(item);
             ItemRun {
                 job: job.job.clone(),
--- a/crates/foxwheel-node/src/worker_jobs.rs
+++ b/crates/foxwheel-node/src/worker_jobs.rs
@@ -14,7 +14,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::job_store::{JobStore, JobStoreError};
-use crate::ledger_keeper::{self, LedgerKeeper};
+use crate::ledger_writer::{self, LedgerWriter};
 use crate::node::Node;
 use crate::peer_calls::{ItemBodyResponse, ResultsQuery, ResultsResponse};
 use crate::settings::Role;
@@ -51,7 +51,7 @@
     /// Its progress.
     pub progress: JobProgress,
     /// This worker runs it.
-    pub held: bool,
+    pub owned: bool,
     /// A part of its results is being stored.
     pub storing: bool,
     /// When it was closed.
@@ -73,7 +73,7 @@
     /// The jobs in the platform's store.
     pub store: JobStore,
     /// Changes of the ledger that wait here.
-    pub ledger: LedgerKeeper,
+    pub ledger_writer: LedgerWriter,
     /// Sorted by job id.
     entries: Mutex<Vec<JobEntry>>,
     /// Jobs of the ledger that were not in the store, and when; sorted by job.
@@ -83,7 +83,7 @@
     /// Woken when there may be something to run.
     pub wake: Notify,
     /// Woken when the ledger should be read at once.
-    pub look_at_ledger: Notify,
+    pub ledger_poll_request: Notify,
 }
 
 impl WorkerJobs {
@@ -91,18 +91,18 @@
     pub fn new(node: Arc<Node>) -> Arc<Self> {
         Arc::new(Self {
             store: JobStore::new(Arc::clone(&node)),
-            ledger: LedgerKeeper::default(),
+            ledger_writer: LedgerWriter::default(),
             node,
             entries: Mutex::default(),
             not_stored: Mutex::default(),
             checkpoints: tokio::sync::Mutex::default(),
             wake: Notify::new(),
-            look_at_ledger: Notify::new(),
+            ledger_poll_request: Notify::new(),
         })
     }
 
     /// Runs a job that was just accepted, unless it is known.
-    pub fn take_new(&self, job: JobSpec) {
+    pub fn start_new_job(&self, job: JobSpec) {
         if self.node.is_leaving() {
             // It stands in the ledger: another worker takes it.
             return;
@@ -117,12 +117,12 @@
         change: LedgerChange,
         deadline: Instant,
     ) -> Result<LedgerAnswer, JobStoreError> {
-        let own = Some(&self.ledger);
-        ledger_keeper::change(&self.node, &self.store, own, change, deadline).await
+        let own = Some(&self.ledger_writer);
+        ledger_writer::change_ledger(&self.node, &self.store, own, change, deadline).await
     }
 
     /// Runs a job that no live worker runs, from what the store has of it.
-    pub async fn adopt(&self, id: &JobId) -> Result<(), JobStoreError> {
+    pub async fn take_over(&self, id: &JobId) -> Result<(), JobStoreError> {
         let deadline = Instant::now() + 4 * LOAD_TIME;
         match self.store.load_progress(id, deadline).await? {
             Some(mut progress) => {
@@ -181,18 +181,18 @@
     }
 
     /// Whether a job was not in the store a short while ago.
-    pub fn was_not_stored(&self, id: &JobId, now: Instant) -> bool {
+    pub fn was_recently_missing(&self, id: &JobId, now: Instant) -> bool {
         let missing = self.not_stored.lock().expect("missing jobs lock");
         let found = missing.binary_search_by(|(job, _)| job.cmp(id));
         found.is_ok_and(|at| now.duration_since(missing[at].1) < LOOK_AGAIN_AFTER)
     }
 
     /// Stops a job's items; what is listed stays readable.
-    pub fn end(&self, id: &str, by: &str) {
-        let ended = self.with(id, |entry| {
-            let news = entry.held && !entry.progress.ended;
+    pub fn end_job(&self, id: &str, by: &str) {
+        let ended = self.with_entry(id, |entry| {
+            let news = entry.owned && !entry.progress.ended;
             entry.progress.ended = true;
-            entry.held = false;
+            entry.owned = false;
             entry.closed_at.get_or_insert_with(Instant::now);
             entry.cancel.cancel();
             news
@@ -204,9 +204,9 @@
     }
 
     /// Stops running a job without ending it: another worker goes on.
-    pub fn release(&self, id: &str) {
-        self.with(id, |entry| {
-            entry.held = false;
+    pub fn release_job(&self, id: &str) {
+        self.with_entry(id, |entry| {
+            entry.owned = false;
             entry.cancel.cancel();
             entry.cancel = CancellationToken::new();
         });
@@ -214,23 +214,23 @@
     }
 
     /// Does `act` with the job `id`, if it is in memory.
-    pub fn with<T>(&self, id: &str, act: impl FnOnce(&mut JobEntry) -> T) -> Option<T> {
+    pub fn with_entry<T>(&self, id: &str, act: impl FnOnce(&mut JobEntry) -> T) -> Option<T> {
         let mut entries = self.entries.lock().expect("jobs lock");
         let at = position(&entries, id).ok()?;
         Some(act(&mut entries[at]))
     }
 
     /// Does `act` with every job that this worker runs.
-    pub fn each_held(&self, mut act: impl FnMut(&mut JobEntry)) {
+    pub fn for_each_owned(&self, mut act: impl FnMut(&mut JobEntry)) {
         let mut entries = self.entries.lock().expect("jobs lock");
-        for entry in entries.iter_mut().filter(|entry| entry.held) {
+        for entry in entries.iter_mut().filter(|entry| entry.owned) {
             act(entry);
         }
     }
 
     /// Takes a part of results as stored and wakes readers.
-    pub fn take_part(&self, id: &str, number: u32, results: Vec<ItemResult>) {
-        self.with(id, |entry| {
+    pub fn apply_part(&self, id: &str, number: u32, results: Vec<ItemResult>) {
+        self.with_entry(id, |entry| {
             entry.progress.take_part(number, results);
             entry.used_at = Instant::now();
             entry.listed.notify_waiters();
@@ -240,7 +240,7 @@
 
     /// Drops jobs that ended and that nobody read for a while, and saved progress that was read
     /// for jobs adopted before: megabytes in a large fleet.
-    pub fn evict(&self, now: Instant) {
+    pub fn evict_unused(&self, now: Instant) {
         if let Ok(mut known) = self.checkpoints.try_lock() {
             let is_old = |read_at: Instant| {
                 now.saturating_duration_since(read_at) >= READ_CHECKPOINTS_AGAIN_AFTER
@@ -248,7 +248,7 @@
             known.take_if(|(read_at, _)| is_old(*read_at));
         }
         let mut entries = self.entries.lock().expect("jobs lock");
-        let is_kept = |entry: &JobEntry| entry.held || entry.storing;
+        let is_kept = |entry: &JobEntry| entry.owned || entry.storing;
         entries.retain(|entry| {
             is_kept(entry) || now.saturating_duration_since(entry.used_at) < KEEP_UNREAD
         });
@@ -268,8 +268,8 @@
     }
 
     /// Where another worker that is heard runs the job, if this one does not.
-    pub fn holder_elsewhere(&self, id: &JobId) -> Option<SocketAddr> {
-        if self.with(id, |entry| entry.held) == Some(true) {
+    pub fn remote_owner(&self, id: &JobId) -> Option<SocketAddr> {
+        if self.with_entry(id, |entry| entry.owned) == Some(true) {
             return None;
         }
         let now = Instant::now();
@@ -283,7 +283,7 @@
     }
 
     /// Reads results for a caller.
-    pub async fn read(&self, id: &JobId, read: ResultsQuery) -> ResultsResponse {
+    pub async fn read_results(&self, id: &JobId, read: ResultsQuery) -> ResultsResponse {
         let until = Instant::now() + read.wait;
         loop {
             match self.ensure(id, read.known_parts).await {
@@ -294,7 +294,7 @@
                     return ResultsResponse::Unsure;
                 }
             }
-            let Some((answer, listed)) = self.with(id, |entry| entry.read(read)) else {
+            let Some((answer, listed)) = self.with_entry(id, |entry| entry.read(read)) else {
                 return ResultsResponse::Unsure;
             };
             let now = Instant::now();
@@ -310,7 +310,7 @@
     }
 
     /// Reads an item's body for a caller.
-    pub async fn body(&self, id: &JobId, item: &ItemId) -> ItemBodyResponse {
+    pub async fn read_item_body(&self, id: &JobId, item: &ItemId) -> ItemBodyResponse {
         match self.ensure(id, 0).await {
             Ok(true) => {}
             Ok(false) => return ItemBodyResponse::NoSuchItem,
@@ -319,7 +319,7 @@
                 return ItemBodyResponse::Unsure;
             }
         }
-        let found = self.with(id, |entry| {
+        let found = self.with_entry(id, |entry| {
             entry.used_at = Instant::now();
             let items = &entry.progress.spec.items;
             items
@@ -339,7 +339,7 @@
         let deadline = Instant::now() + LOAD_TIME;
         let workers = self.node.peers.live_workers(Instant::now());
         let known_parts = known_parts.max(ownership::known_parts(id, &workers));
-        let look = self.with(id, |entry| entry.should_look(known_parts, Instant::now()));
+        let look = self.with_entry(id, |entry| entry.should_look(known_parts, Instant::now()));
         match look {
             Some(true) => {
                 self.load_missing_parts(id, deadline).await?;
@@ -360,9 +360,9 @@
     /// Takes every part that was stored since the last look; a caller may have read them
     /// all from another worker.
     async fn load_missing_parts(&self, id: &JobId, deadline: Instant) -> Result<(), JobStoreError> {
-        while let Some(number) = self.with(id, |entry| entry.next_part()).flatten() {
+        while let Some(number) = self.with_entry(id, |entry| entry.next_part()).flatten() {
             match self.store.load_part(id, number, deadline).await? {
-                Some(results) => self.take_part(id, number, results),
+                Some(results) => self.apply_part(id, number, results),
                 None => break,
             }
         }
@@ -400,7 +400,7 @@
         let now = Instant::now();
         Self {
             progress,
-            held,
+            owned: held,
             storing: false,
             closed_at: None,
             cancel: CancellationToken::new(),
@@ -412,19 +412,19 @@
 
     /// Takes a newer reading of the store, and whether this worker runs the job now.
     fn refresh(&mut self, loaded: JobProgress, held: bool) {
-        if self.held || self.progress.ended {
+        if self.owned || self.progress.ended {
             return;
         }
         if loaded.parts >= self.progress.parts {
             self.progress = loaded;
         }
-        self.held = held;
+        self.owned = held;
         self.used_at = Instant::now();
     }
 
     /// What this worker tells the others of the job.
     fn claim(&self, now: Instant) -> Option<JobClaim> {
-        let standing = if self.held {
+        let standing = if self.owned {
             ClaimStanding::Held
         } else {
             let closed_at = self.closed_at?;
@@ -457,7 +457,7 @@
     /// Whether a reader may be missing parts: some are known to be stored, or another
     /// worker runs the job and the last look is a while ago.
     fn should_look(&mut self, known_parts: u32, now: Instant) -> bool {
-        let current = self.held || self.storing || self.progress.is_listed();
+        let current = self.owned || self.storing || self.progress.is_listed();
         let stale = !current && now.duration_since(self.refreshed_at) >= REFRESH_EVERY;
         if stale {
             self.refreshed_at = now;
--- a/crates/foxwheel-node/tests/abandoned_requests.rs
+++ b/crates/foxwheel-node/tests/abandoned_requests.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use common::{call, caller, connect, request, submit, Fleet, Plan};
+use common::{call, caller, connect, request, submit, Fleet, FleetPlan};
 use foxwheel_server_emu::server::{self, Shape};
 use foxwheel_soak::proxy::{Path, PathFault};
 use hyper::{Method, StatusCode};
@@ -20,9 +20,9 @@
 /// A front and a worker before one server, behind a path that can be broken. The connections
 /// of an earlier request are kept.
 async fn fleet_behind_path() -> (Fleet, Path) {
-    let mut fleet = Fleet::start(Plan {
-        servers: common::shapes(1),
-        ..Plan::default()
+    let mut fleet = Fleet::start(FleetPlan {
+        servers: common::server_shapes(1),
+        ..FleetPlan::default()
     })
     .await;
     let shape = Shape {
@@ -36,17 +36,17 @@
     let path = Path::open(any, far.addr, fleet.cancel.clone()).await;
     let path = path.expect("a path");
     let near = fleet.servers[0].addr;
-    fleet.list_server("server-0", near, "draining").await;
-    fleet.list_server("far", path.addr, "ready").await;
+    fleet.register_server("server-0", near, "draining").await;
+    fleet.register_server("far", path.addr, "ready").await;
     fleet.servers.push(far);
-    common::until(fleet.fronts[0], "/plain/first", StatusCode::OK).await;
+    common::wait_for_status(fleet.fronts[0], "/plain/first", StatusCode::OK).await;
     tokio::time::sleep(KNOWN_AFTER).await;
     (fleet, path)
 }
 
 /// Has the far server drain, makes the path whole and gives what it held back time to arrive.
 async fn drain_and_heal(fleet: &Fleet, path: &Path) {
-    fleet.list_server("far", path.addr, "draining").await;
+    fleet.register_server("far", path.addr, "draining").await;
     tokio::time::sleep(KNOWN_AFTER).await;
     path.heal();
     tokio::time::sleep(DELIVERED_AFTER).await;
@@ -63,8 +63,8 @@
 async fn a_request_that_its_front_gave_up_reaches_no_server_later() {
     let (fleet, path) = fleet_behind_path().await;
     for route in ["/plain/a", "/stream/a", "/once/a"] {
-        fleet.list_server("far", path.addr, "ready").await;
-        common::until(fleet.fronts[0], "/plain/again", StatusCode::OK).await;
+        fleet.register_server("far", path.addr, "ready").await;
+        common::wait_for_status(fleet.fronts[0], "/plain/again", StatusCode::OK).await;
         path.set(PathFault::Silence);
         let id = format!("given-up{route}");
         let answer = call(fleet.fronts[0], Method::POST, route, &id, &[], "").await;
--- a/crates/foxwheel-node/tests/attempt.rs
+++ b/crates/foxwheel-node/tests/attempt.rs
@@ -43,7 +43,7 @@
     let started = server::start(LOCALHOST, Shape::default(), cancel.clone()).await;
     let server = started.expect("server starts");
     let nowhere = SocketAddr::new(LOCALHOST, 9);
-    let settings = common::lone_settings(Role::Front, nowhere);
+    let settings = common::single_process_settings(Role::Front, nowhere);
     let node = Node::new(settings, cancel.clone());
     let listed = list(&node, server.addr, ServerState::Ready);
     let target = Target {
--- a/crates/foxwheel-node/tests/batch_contract.rs
+++ b/crates/foxwheel-node/tests/batch_contract.rs
@@ -4,7 +4,9 @@
 
 use std::time::{Duration, Instant};
 
-use common::{call, ids, item_ids, read_results, submit, until_listed, Fleet, Plan};
+use common::{
+    call, item_ids, read_results, result_ids, submit, wait_for_results, Fleet, FleetPlan,
+};
 use foxwheel_node::settings::Role;
 use foxwheel_server_emu::faults::Fault;
 use foxwheel_server_emu::server::{event_data, Shape};
@@ -24,7 +26,7 @@
 }
 
 fn assert_all_completed(results: &[Value], job: &str, count: usize) {
-    assert_eq!(ids(results), item_ids(job, count), "each item once");
+    assert_eq!(result_ids(results), item_ids(job, count), "each item once");
     for result in results {
         let id = result["id"].as_str().expect("an id");
         assert_eq!(result["state"], "completed", "{id}");
@@ -34,20 +36,20 @@
 
 /// Slow enough that a job is still running when the test acts.
 fn slow_shapes(count: usize) -> Vec<Shape> {
-    let shapes = common::shapes(count).into_iter();
+    let shapes = common::server_shapes(count).into_iter();
     let step = Duration::from_millis(120);
     shapes.map(|shape| Shape { step, ..shape }).collect()
 }
 
 #[actix_web::test]
 async fn a_job_is_submitted_repeated_read_and_ended() {
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetPlan::default()).await;
     let front = fleet.fronts[0];
     for _ in 0..2 {
         let answer = submit(front, "job", 7).await.expect("answered");
         assert_eq!(answer.status, StatusCode::ACCEPTED);
     }
-    let results = until_listed(front, "job", 7).await;
+    let results = wait_for_results(front, "job", 7).await;
     assert_all_completed(&results, "job", 7);
     let again = read_results(front, "job", 3).await.expect("readable");
     assert_eq!(again["total"], 7);
@@ -83,7 +85,7 @@
 
 #[actix_web::test]
 async fn bad_submissions_are_refused_by_name() {
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetPlan::default()).await;
     let item = |id: &str, body: &str| json!({"id": id, "path": "/p", "body": body, "tokens": 1});
     let cases = [
         ("no JSON", "{".to_owned(), "not valid"),
@@ -105,16 +107,16 @@
         assert_eq!(answer.status, StatusCode::BAD_REQUEST, "{name}");
         assert!(answer.text().contains(named), "{name}: {}", answer.text());
     }
-    assert!(fleet.stored("foxwheel-jobs/").await.is_empty());
+    assert!(fleet.list_stored("foxwheel-jobs/").await.is_empty());
     fleet.cancel.cancel();
 }
 
 /// A job larger than one value of the store is kept in parts, also its results.
 #[actix_web::test]
 async fn a_job_larger_than_a_value_survives_its_worker() {
-    let mut fleet = Fleet::start(Plan {
+    let mut fleet = Fleet::start(FleetPlan {
         servers: slow_shapes(4),
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     let filler = "A".repeat(40_000);
@@ -136,19 +138,19 @@
     )
     .await;
     assert_eq!(answer.expect("answered").status, StatusCode::ACCEPTED);
-    assert!(!fleet.stored("foxwheel-job-parts/").await.is_empty());
+    assert!(!fleet.list_stored("foxwheel-job-parts/").await.is_empty());
     fleet.processes[1].kill();
     fleet.add_process(Role::Worker).await;
-    let results = until_listed(fleet.fronts[0], "large", 40).await;
-    assert_eq!(ids(&results), item_ids("large", 40));
+    let results = wait_for_results(fleet.fronts[0], "large", 40).await;
+    assert_eq!(result_ids(&results), item_ids("large", 40));
     fleet.cancel.cancel();
 }
 
 #[actix_web::test]
 async fn items_that_fail_are_given_up_only_as_their_route_allows() {
-    let fleet = Fleet::start(Plan {
-        servers: common::shapes(1),
-        ..Plan::default()
+    let fleet = Fleet::start(FleetPlan {
+        servers: common::server_shapes(1),
+        ..FleetPlan::default()
     })
     .await;
     let script = &fleet.servers[0].script;
@@ -165,15 +167,15 @@
         let job = format!("job-{at}");
         script.extend(faults.iter().copied());
         submit(fleet.fronts[0], &job, 1).await.expect("answered");
-        let results = until_listed(fleet.fronts[0], &job, 1).await;
+        let results = wait_for_results(fleet.fronts[0], &job, 1).await;
         assert_eq!(results[0]["state"], *state, "{name}");
         let item = format!("{job}-item-0");
-        assert_eq!(fleet.runs_of(&item).len(), *runs, "{name}");
+        assert_eq!(fleet.runs_of_request(&item).len(), *runs, "{name}");
         if *state == "completed" {
             assert_eq!(results[0]["output"], whole_output(&item), "{name}");
         }
     }
-    let resumed = fleet.runs_of("job-5-item-0");
+    let resumed = fleet.runs_of_request("job-5-item-0");
     assert_eq!(
         resumed[1].resumed_after,
         Some(2),
@@ -184,10 +186,10 @@
 
 #[actix_web::test]
 async fn the_quota_holds_across_fronts() {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         servers: slow_shapes(1),
         fronts: 3,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     let cap = 1_000;
@@ -215,9 +217,9 @@
 /// The end of a job is acknowledged only when it is recorded, and its items stop.
 #[actix_web::test]
 async fn an_ended_job_stops_and_stays_readable() {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         servers: slow_shapes(1),
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     submit(fleet.fronts[0], "job", 30).await.expect("answered");
@@ -262,19 +264,19 @@
         ("reset", outage(Refusal::Reset)),
         ("silent", outage(Refusal::Silent)),
     ];
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         workers: 2,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     for (at, (name, faults)) in cases.into_iter().enumerate() {
         let (before, during) = (format!("before-{at}"), format!("during-{at}"));
         let accepted = submit(fleet.fronts[0], &before, 4).await.expect("answered");
         assert_eq!(accepted.status, StatusCode::ACCEPTED, "{name}");
-        fleet.store_faults(faults).await;
+        fleet.set_store_faults(faults).await;
         let submitted = submit(fleet.fronts[0], &during, 4).await.expect("answered");
         tokio::time::sleep(Duration::from_millis(300)).await;
-        fleet.store_faults(Faults::default()).await;
+        fleet.set_store_faults(Faults::default()).await;
         if submitted.status != StatusCode::ACCEPTED {
             let again = submit(fleet.fronts[0], &during, 4).await.expect("answered");
             assert_eq!(
@@ -284,7 +286,7 @@
             );
         }
         for job in [before, during] {
-            let results = until_listed(fleet.fronts[0], &job, 4).await;
+            let results = wait_for_results(fleet.fronts[0], &job, 4).await;
             assert_all_completed(&results, &job, 4);
         }
     }
@@ -294,10 +296,10 @@
 /// A worker dies with items in flight and results unstored; another takes its jobs over.
 #[actix_web::test]
 async fn a_dead_workers_jobs_are_finished_by_another() {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         servers: slow_shapes(2),
         workers: 2,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     let jobs = ["a", "b", "c", "d"];
@@ -307,7 +309,7 @@
     tokio::time::sleep(Duration::from_millis(700)).await;
     fleet.processes[1].kill();
     for job in jobs {
-        let results = until_listed(fleet.fronts[0], job, 6).await;
+        let results = wait_for_results(fleet.fronts[0], job, 6).await;
         assert_all_completed(&results, job, 6);
     }
     fleet.cancel.cancel();
@@ -317,10 +319,10 @@
 /// that was finished.
 #[actix_web::test]
 async fn a_stopping_worker_gives_its_jobs_back() {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         servers: slow_shapes(2),
         workers: 2,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     for job in ["a", "b"] {
@@ -330,7 +332,7 @@
     let told_at = Instant::now();
     fleet.processes[1].stop.cancel();
     for job in ["a", "b"] {
-        let results = until_listed(fleet.fronts[0], job, 20).await;
+        let results = wait_for_results(fleet.fronts[0], job, 20).await;
         assert_all_completed(&results, job, 20);
     }
     while !fleet.processes[1].has_ended() {
@@ -343,10 +345,10 @@
 /// The operator asks to empty a host: it is reported empty only when it holds no job.
 #[actix_web::test]
 async fn a_retired_host_is_empty_before_it_says_so() {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         servers: slow_shapes(1),
         workers: 2,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     submit(fleet.fronts[0], "a", 12).await.expect("answered");
@@ -372,7 +374,7 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     fleet.processes[1].kill();
-    let results = until_listed(fleet.fronts[0], "a", 12).await;
+    let results = wait_for_results(fleet.fronts[0], "a", 12).await;
     assert_all_completed(&results, "a", 12);
     fleet.cancel.cancel();
 }
@@ -380,9 +382,9 @@
 /// With no worker alive a job is still accepted, readable and its bodies kept.
 #[actix_web::test]
 async fn a_front_alone_answers_from_the_store() {
-    let mut fleet = Fleet::start(Plan {
+    let mut fleet = Fleet::start(FleetPlan {
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     let front = fleet.fronts[0];
@@ -402,7 +404,7 @@
     .await;
     assert_eq!(body.expect("answered").status, StatusCode::OK);
     fleet.add_process(Role::Worker).await;
-    let results = until_listed(front, "job", 3).await;
+    let results = wait_for_results(front, "job", 3).await;
     assert_all_completed(&results, "job", 3);
     fleet.cancel.cancel();
 }
@@ -411,10 +413,10 @@
 /// and stored through peers.
 #[actix_web::test]
 async fn a_host_that_the_store_turns_away_works_through_peers() {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         fronts: 2,
         workers: 2,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     // Processes 0 and 1 are fronts, 2 and 3 workers.
@@ -425,7 +427,7 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
         let accepted = submit(fleet.fronts[0], name, 4).await.expect("answered");
         assert_eq!(accepted.status, StatusCode::ACCEPTED, "{name}");
-        let results = until_listed(fleet.fronts[0], name, 4).await;
+        let results = wait_for_results(fleet.fronts[0], name, 4).await;
         assert_all_completed(&results, name, 4);
         assert_eq!(end(&fleet, name).await, StatusCode::OK, "{name}");
         for at in cut {
@@ -451,9 +453,9 @@
 /// front meets another's change of the ledger and writes again.
 #[actix_web::test]
 async fn submissions_at_several_fronts_cost_two_writes_each() {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         fronts: 3,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     // No server takes the items, so that nothing but the submissions is written.
--- a/crates/foxwheel-node/tests/checkpoints.rs
+++ b/crates/foxwheel-node/tests/checkpoints.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use common::{submit, until_listed, Fleet, Plan};
+use common::{submit, wait_for_results, Fleet, FleetPlan};
 use foxwheel_server_emu::runs::Run;
 use foxwheel_server_emu::server::{self, Shape};
 use serde_json::json;
@@ -25,9 +25,9 @@
 
 /// A fleet whose batch items run at servers of their own.
 async fn start(workers: u32) -> Fleet {
-    let mut fleet = Fleet::start(Plan {
+    let mut fleet = Fleet::start(FleetPlan {
         workers,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     for at in 0..SERVERS {
@@ -37,7 +37,7 @@
             step: Duration::from_millis(40),
             ..Shape::default()
         };
-        fleet.add_server_of("letters", shape).await;
+        fleet.add_server_of_service("letters", shape).await;
     }
     let to_letters = |config: &mut serde_json::Value| {
         config["routes"][4]["service"] = json!("letters");
@@ -56,11 +56,11 @@
 /// Waits for the job's results; asserts that they are whole and that no item began anew
 /// after its first run.
 async fn assert_went_on(fleet: &Fleet, job: &str, count: usize) {
-    let results = until_listed(fleet.fronts[0], job, count).await;
+    let results = wait_for_results(fleet.fronts[0], job, count).await;
     for result in &results {
         let id = result["id"].as_str().expect("an id");
         assert_eq!(result["output"], whole_output(id), "{id}");
-        let runs: Vec<Run> = fleet.runs_of(id);
+        let runs: Vec<Run> = fleet.runs_of_request(id);
         assert!(runs.len() > 1, "{id} was not interrupted: {runs:?}");
         let anew = runs.iter().filter(|run| run.resumed_after.is_none());
         assert_eq!(anew.count(), 1, "{id} began anew: {runs:?}");
@@ -97,8 +97,8 @@
     let mut fleet = start(2).await;
     submit(fleet.fronts[0], "a", 6).await.expect("answered");
     tokio::time::sleep(RUN_FOR).await;
-    fleet.restart_all().await;
-    fleet.until_served(fleet.fronts[0]).await;
+    fleet.restart_all_processes().await;
+    fleet.wait_until_serving(fleet.fronts[0]).await;
     // Work of its own from the first moment on.
     submit(fleet.fronts[0], "b", 2).await.expect("answered");
     assert_went_on(&fleet, "a", 6).await;
@@ -128,16 +128,16 @@
     }
     for job in jobs {
         for id in common::item_ids(job, 3) {
-            let first = &fleet.runs_of(&id)[0];
+            let first = &fleet.runs_of_request(&id)[0];
             assert_eq!(first.finished, Some(false), "{id} was not handed over");
         }
     }
     for job in jobs {
-        let results = until_listed(fleet.fronts[0], job, 3).await;
+        let results = wait_for_results(fleet.fronts[0], job, 3).await;
         for result in &results {
             let id = result["id"].as_str().expect("an id");
             assert_eq!(result["output"], whole_output(id), "{id}");
-            let runs = fleet.runs_of(id);
+            let runs = fleet.runs_of_request(id);
             let anew = runs.iter().filter(|run| run.resumed_after.is_none());
             assert_eq!(anew.count(), 1, "{id} began anew: {runs:?}");
         }
--- a/crates/foxwheel-node/tests/common/mod.rs
+++ b/crates/foxwheel-node/tests/common/mod.rs
@@ -6,7 +6,7 @@
 // Each test file uses its own part of this.
 #![allow(dead_code, unused_imports)]
 
-pub mod frail;
+pub mod crashing_servers;
 
 pub use foxwheel_soak::caller::{self, Answer};
 pub use foxwheel_soak::caller::{call, connect, job_body, read, read_results, request, submit};
@@ -105,7 +105,7 @@
 }
 
 /// How large a fleet is.
-pub struct Plan {
+pub struct FleetPlan {
     /// Shapes of the backend servers.
     pub servers: Vec<Shape>,
     /// Fronts.
@@ -116,10 +116,10 @@
     pub zones: u32,
 }
 
-impl Default for Plan {
+impl Default for FleetPlan {
     fn default() -> Self {
         Self {
-            servers: shapes(2),
+            servers: server_shapes(2),
             fronts: 1,
             workers: 1,
             zones: 1,
@@ -128,7 +128,7 @@
 }
 
 /// Shapes of `count` servers.
-pub fn shapes(count: usize) -> Vec<Shape> {
+pub fn server_shapes(count: usize) -> Vec<Shape> {
     (0..count)
         .map(|at| Shape {
             id: format!("server-{at}"),
@@ -139,7 +139,7 @@
 
 impl Fleet {
     /// Starts a fleet and waits until every front is ready.
-    pub async fn start(plan: Plan) -> Self {
+    pub async fn start(plan: FleetPlan) -> Self {
         let cancel = CancellationToken::new();
         let settings = PlatformSettings::for_test();
         let (store_addr, store) =
@@ -167,41 +167,48 @@
             fleet.add_process(Role::Worker).await;
         }
         for front in fleet.fronts.clone() {
-            fleet.until_served(front).await;
+            fleet.wait_until_serving(front).await;
         }
         fleet
     }
 
     /// Starts a backend server of the service `model` and lists it.
     pub async fn add_server(&mut self, shape: Shape) {
-        self.add_server_of("model", shape).await;
+        self.add_server_of_service("model", shape).await;
     }
 
     /// Starts a backend server of a service and lists it.
-    pub async fn add_server_of(&mut self, service: &str, shape: Shape) {
+    pub async fn add_server_of_service(&mut self, service: &str, shape: Shape) {
         let id = shape.id.clone();
         let ip = IpAddr::V4(Ipv4Addr::LOCALHOST);
         let started = server::start(ip, shape, self.cancel.clone()).await;
         let server = started.expect("server starts");
-        self.list_server_of(service, &id, server.addr, "ready")
+        self.register_server_of_service(service, &id, server.addr, "ready")
             .await;
         self.servers.push(server);
     }
 
     /// Writes the entry of a backend server of the service `model`.
-    pub async fn list_server(&self, id: &str, addr: SocketAddr, state: &str) {
-        self.list_server_of("model", id, addr, state).await;
+    pub async fn register_server(&self, id: &str, addr: SocketAddr, state: &str) {
+        self.register_server_of_service("model", id, addr, state)
+            .await;
     }
 
     /// Writes a backend server's entry.
-    pub async fn list_server_of(&self, service: &str, id: &str, addr: SocketAddr, state: &str) {
-        let mut entry = entry(addr, state);
+    pub async fn register_server_of_service(
+        &self,
+        service: &str,
+        id: &str,
+        addr: SocketAddr,
+        state: &str,
+    ) {
+        let mut entry = server_entry(addr, state);
         entry["service"] = json!(service);
-        self.write_entry(id, &entry).await;
+        self.write_server_entry(id, &entry).await;
     }
 
     /// Writes whatever stands for the entry of a backend server.
-    pub async fn write_entry(&self, id: &str, entry: &Value) {
+    pub async fn write_server_entry(&self, id: &str, entry: &Value) {
         self.declare(&format!("servers/{id}"), entry).await;
     }
 
@@ -217,7 +224,8 @@
     async fn declare(&self, key: &str, value: &Value) {
         let started = std::time::Instant::now();
         while let Err(e) = self.store.put(key, value, None).await {
-            let again = matches!(e, StoreError::Unavailable { .. }) && started.elapsed() < PATIENCE;
+            let again =
+                matches!(e, StoreError::Unavailable { .. }) && started.elapsed() < WAIT_TIMEOUT;
             assert!(again, "{key}: {e}");
         }
     }
@@ -228,7 +236,7 @@
         let store_path = Path::open(any, self.store_addr, self.cancel.clone()).await;
         let store_path = store_path.expect("a path to the store");
         self.hosts += 1;
-        let mut settings = self.settings_of(self.hosts, role);
+        let mut settings = self.process_settings(self.hosts, role);
         settings.store_address = store_path.addr;
         self.fronts.extend(settings.caller_address);
         self.processes
@@ -236,7 +244,7 @@
     }
 
     /// Kills every process and starts it again with the settings it had.
-    pub async fn restart_all(&mut self) {
+    pub async fn restart_all_processes(&mut self) {
         for process in &self.processes {
             process.kill();
         }
@@ -262,7 +270,7 @@
     }
 
     /// Settings of the process on host `number`, with a straight path to the store.
-    pub fn settings_of(&self, number: u32, role: Role) -> NodeSettings {
+    pub fn process_settings(&self, number: u32, role: Role) -> NodeSettings {
         let ip_of = |host| self.network.host(host);
         let ip = ip_of(number as u8);
         let front_port = |port| (role == Role::Front).then(|| SocketAddr::new(ip, port));
@@ -285,7 +293,7 @@
     }
 
     /// Waits until `front` knows its configuration and servers and hears the workers.
-    pub async fn until_served(&self, front: SocketAddr) {
+    pub async fn wait_until_serving(&self, front: SocketAddr) {
         for attempt in 0..400 {
             let id = format!("probe-{front}-{attempt}");
             let reply = call(front, Method::GET, "/plain/probe", &id, &[], "").await;
@@ -298,14 +306,14 @@
     }
 
     /// Writes the entry of a backend server of the service `model` in the zone `number`.
-    pub async fn list_server_in(&self, number: u32, id: &str, addr: SocketAddr) {
-        let mut entry = entry(addr, "ready");
+    pub async fn register_server_in_zone(&self, number: u32, id: &str, addr: SocketAddr) {
+        let mut entry = server_entry(addr, "ready");
         entry["zone"] = json!(zone(number));
-        self.write_entry(id, &entry).await;
+        self.write_server_entry(id, &entry).await;
     }
 
     /// A counter of a process's metrics; 0 before its first event.
-    pub async fn counter(&self, process: &Process, name: &str) -> u64 {
+    pub async fn read_counter(&self, process: &Process, name: &str) -> u64 {
         let addr = SocketAddr::new(process.settings.ip, network::METRICS_PORT);
         let answer = call(addr, Method::GET, "/metrics", "metrics", &[], "").await;
         let text = answer.expect("metrics").text();
@@ -314,12 +322,12 @@
     }
 
     /// Sets the store's faults.
-    pub async fn store_faults(&self, faults: Faults) {
+    pub async fn set_store_faults(&self, faults: Faults) {
         self.store.set_faults(&faults).await.expect("faults set");
     }
 
     /// Every run of a request on all servers, in no certain order between servers.
-    pub fn runs_of(&self, request_id: &str) -> Vec<foxwheel_server_emu::runs::Run> {
+    pub fn runs_of_request(&self, request_id: &str) -> Vec<foxwheel_server_emu::runs::Run> {
         let servers = self.servers.iter();
         servers
             .flat_map(|server| server.runs.of(request_id))
@@ -327,7 +335,7 @@
     }
 
     /// The store's objects whose keys begin with `prefix`.
-    pub async fn stored(&self, prefix: &str) -> Vec<Value> {
+    pub async fn list_stored(&self, prefix: &str) -> Vec<Value> {
         assert!(keys::locate_prefix(prefix).is_some(), "one kind");
         let listed = self.store.list(prefix).await.expect("listed");
         listed
@@ -339,7 +347,7 @@
 }
 
 /// Settings of a process without others, for tests of one part of it.
-pub fn lone_settings(role: Role, store_address: SocketAddr) -> NodeSettings {
+pub fn single_process_settings(role: Role, store_address: SocketAddr) -> NodeSettings {
     NodeSettings {
         host: "host-1".to_owned(),
         role,
@@ -359,37 +367,37 @@
 }
 
 /// The entry of a backend server of the service `model`.
-pub fn entry(addr: SocketAddr, state: &str) -> Value {
+pub fn server_entry(addr: SocketAddr, state: &str) -> Value {
     declarations::server_entry(addr, state)
 }
 
 /// Longest wait for something that takes milliseconds when all is well.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The status that `front` answers a read of `path` with, if it answers.
-pub async fn status(front: SocketAddr, path: &str) -> Option<StatusCode> {
+pub async fn get_status(front: SocketAddr, path: &str) -> Option<StatusCode> {
     let answer = call(front, Method::GET, path, "r", &[], "").await.ok()?;
     Some(answer.status)
 }
 
 /// Waits until `front` answers `path` with `wanted`.
-pub async fn until(front: SocketAddr, path: &str, wanted: StatusCode) {
+pub async fn wait_for_status(front: SocketAddr, path: &str, wanted: StatusCode) {
     let waiting = async {
-        while status(front, path).await != Some(wanted) {
+        while get_status(front, path).await != Some(wanted) {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let waited = tokio::time::timeout(PATIENCE, waiting).await;
+    let waited = tokio::time::timeout(WAIT_TIMEOUT, waiting).await;
     assert!(waited.is_ok(), "{front}{path} never answered {wanted}");
 }
 
 /// Moves the route of `/plain/` to `/moved/`.
-pub fn move_plain(config: &mut Value) {
+pub fn move_plain_route(config: &mut Value) {
     config["routes"][0]["path_prefix"] = json!("/moved/");
 }
 
 /// Reads a job until `count` results are listed; answers them all.
-pub async fn until_listed(front: SocketAddr, job: &str, count: usize) -> Vec<Value> {
+pub async fn wait_for_results(front: SocketAddr, job: &str, count: usize) -> Vec<Value> {
     let mut results = Vec::new();
     for _ in 0..300 {
         if let Some(read) = read_results(front, job, results.len()).await {
@@ -404,7 +412,7 @@
 }
 
 /// The ids of results, sorted.
-pub fn ids(results: &[Value]) -> Vec<String> {
+pub fn result_ids(results: &[Value]) -> Vec<String> {
     let ids = results
         .iter()
         .map(|result| result["id"].as_str().expect("an id"));
@@ -420,5 +428,5 @@
     ids
 }
 
-/// A shared fleet for cases that do not disturb each other.
+/// A fleet shared by test cases that do not affect each other.
 pub type SharedFleet = Arc<Fleet>;
--- a/crates/foxwheel-node/tests/crashing_requests.rs
+++ b/crates/foxwheel-node/tests/crashing_requests.rs
@@ -12,8 +12,10 @@
 use std::time::Duration;
 
 use base64::Engine;
-use common::frail::{self, CRASH, ENOUGH_CRASHES, MOST_RETRIES, STABLE_AFTER};
-use common::{call, job_body, shapes, until_listed, Answer, Fleet, Plan};
+use common::crashing_servers::{
+    self, CRASHES_TO_QUARANTINE, CRASHING_BODY, MAX_RUNS_IN_QUARANTINE, PROPAGATION_TIME,
+};
+use common::{call, job_body, server_shapes, wait_for_results, Answer, Fleet, FleetPlan};
 use foxwheel_node::settings::Role;
 use foxwheel_server_emu::server::Shape;
 use foxwheel_store::api::Faults;
@@ -22,7 +24,7 @@
 
 /// `count` servers whose streams take some 200 ms.
 fn slow_shapes(count: usize) -> Vec<Shape> {
-    let shapes = shapes(count).into_iter();
+    let shapes = server_shapes(count).into_iter();
     let slow = shapes.map(|shape| Shape {
         events: 40,
         step: Duration::from_millis(5),
@@ -33,8 +35,8 @@
 
 /// Fronts in two zones, before `servers` that crash.
 async fn frail_fleet(servers: usize, workers: u32) -> Fleet {
-    Fleet::start(Plan {
-        servers: frail::shapes(servers),
+    Fleet::start(FleetPlan {
+        servers: crashing_servers::shapes(servers),
         fronts: 2,
         workers,
         zones: 2,
@@ -54,21 +56,21 @@
 async fn send_crash(fleet: &Fleet, path: &str, number: usize) -> Option<Answer> {
     let front = fleet.fronts[number % fleet.fronts.len()];
     let id = format!("crash-{path}-{number}");
-    let sent = call(front, Method::POST, path, &id, &[], CRASH).await;
+    let sent = call(front, Method::POST, path, &id, &[], CRASHING_BODY).await;
     sent.ok()
 }
 
 /// Sends the crashing request until it crashed enough servers to be known.
 async fn until_known(fleet: &Fleet, path: &str) {
-    for number in 0..2 * ENOUGH_CRASHES {
+    for number in 0..2 * CRASHES_TO_QUARANTINE {
         send_crash(fleet, path, number).await;
-        if ended(fleet) >= ENOUGH_CRASHES {
+        if ended(fleet) >= CRASHES_TO_QUARANTINE {
             break;
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
-    assert!(ended(fleet) >= ENOUGH_CRASHES, "servers crash");
-    tokio::time::sleep(STABLE_AFTER).await;
+    assert!(ended(fleet) >= CRASHES_TO_QUARANTINE, "servers crash");
+    tokio::time::sleep(PROPAGATION_TIME).await;
 }
 
 #[actix_web::test]
@@ -93,7 +95,7 @@
     fleet.configure(2, many_runs).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     send_crash(&fleet, "/stream/a", 0).await;
-    assert_eq!(ended(&fleet), ENOUGH_CRASHES);
+    assert_eq!(ended(&fleet), CRASHES_TO_QUARANTINE);
     fleet.cancel.cancel();
 }
 
@@ -110,7 +112,7 @@
         let retry_after_s: f64 = retry_after.parse().expect("a number");
         assert!(retry_after_s > 60.0, "come back in {retry_after_s} s");
         let id = format!("crash-/once/a-{}", number + 100);
-        assert!(fleet.runs_of(&id).is_empty(), "{id} ran");
+        assert!(fleet.runs_of_request(&id).is_empty(), "{id} ran");
     }
     fleet.cancel.cancel();
 }
@@ -123,12 +125,12 @@
     let before = ended(&fleet);
     fleet.add_process(Role::Front).await;
     let late = *fleet.fronts.last().expect("a front");
-    fleet.until_served(late).await;
-    tokio::time::sleep(STABLE_AFTER).await;
+    fleet.wait_until_serving(late).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     for number in 0..4 {
         let id = format!("crash-late-{number}");
         // Refused or broken off: what counts is what the servers see.
-        let _ = call(late, Method::POST, "/stream/a", &id, &[], CRASH).await;
+        let _ = call(late, Method::POST, "/stream/a", &id, &[], CRASHING_BODY).await;
     }
     assert_eq!(ended(&fleet), before);
     fleet.cancel.cancel();
@@ -155,10 +157,10 @@
 /// before enough crashes come together, however many there are in all.
 #[actix_web::test]
 async fn a_request_that_others_crashes_broke_is_cleared_when_it_is_served() {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         servers: slow_shapes(16),
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     let front = fleet.fronts[0];
@@ -195,11 +197,11 @@
     let mut fleet = frail_fleet(24, 1).await;
     until_known(&fleet, "/stream/a").await;
     let before = ended(&fleet);
-    fleet.restart_all().await;
+    fleet.restart_all_processes().await;
     for front in fleet.fronts.clone() {
-        fleet.until_served(front).await;
+        fleet.wait_until_serving(front).await;
     }
-    tokio::time::sleep(STABLE_AFTER).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     for number in 0..6 {
         send_crash(&fleet, "/stream/a", number + 100).await;
     }
@@ -214,7 +216,7 @@
     let fleet = frail_fleet(24, 2).await;
     let short = |config: &mut Value| config["routes"][4]["retention_s"] = json!(8);
     fleet.configure(2, short).await;
-    let crash = base64::engine::general_purpose::STANDARD.encode(CRASH);
+    let crash = base64::engine::general_purpose::STANDARD.encode(CRASHING_BODY);
     let mut job: Value = serde_json::from_str(&job_body("job", 4)).expect("JSON");
     job["items"][1]["body"] = json!(crash);
     let headers = [("content-type", "application/json")];
@@ -222,15 +224,15 @@
     let body = job.to_string();
     let accepted = call(front, Method::POST, "/batch/submit", "job", &headers, &body).await;
     assert_eq!(accepted.expect("answered").status, StatusCode::ACCEPTED);
-    let completed = until_listed(front, "job", 3).await;
+    let completed = wait_for_results(front, "job", 3).await;
     assert!(completed.iter().all(|item| item["state"] == "completed"));
-    let listed = until_listed(front, "job", 4).await;
+    let listed = wait_for_results(front, "job", 4).await;
     assert_eq!(listed[3]["id"], "job-item-1");
     assert_eq!(listed[3]["state"], "dead_letter");
-    tokio::time::sleep(STABLE_AFTER).await;
-    let retries = ended(&fleet) - ENOUGH_CRASHES;
+    tokio::time::sleep(PROPAGATION_TIME).await;
+    let retries = ended(&fleet) - CRASHES_TO_QUARANTINE;
     assert!(
-        retries <= MOST_RETRIES,
+        retries <= MAX_RUNS_IN_QUARANTINE,
         "{retries} servers crashed by trials"
     );
     fleet.cancel.cancel();
@@ -240,7 +242,7 @@
 /// for has crashed none of them, and is served as soon as there are servers again.
 #[actix_web::test]
 async fn servers_lost_together_accuse_nothing_that_many_ask_for() {
-    let mut fleet = Fleet::start(Plan {
+    let mut fleet = Fleet::start(FleetPlan {
         servers: slow_shapes(4),
         fronts: 2,
         workers: 0,
@@ -269,7 +271,7 @@
         };
         fleet.add_server(shape).await;
     }
-    tokio::time::sleep(STABLE_AFTER).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     for front in fronts {
         let answer = call(front, Method::GET, "/stream/popular", "again", &[], "").await;
         let answer = answer.expect("answered");
@@ -287,17 +289,17 @@
         outage: true,
         ..Faults::default()
     };
-    fleet.store_faults(outage).await;
+    fleet.set_store_faults(outage).await;
     until_known(&fleet, "/stream/a").await;
     let before = ended(&fleet);
-    fleet.store_faults(Faults::default()).await;
-    tokio::time::sleep(STABLE_AFTER).await;
-    assert_eq!(fleet.stored("foxwheel-quarantine/").await.len(), 1);
-    fleet.restart_all().await;
+    fleet.set_store_faults(Faults::default()).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
+    assert_eq!(fleet.list_stored("foxwheel-quarantine/").await.len(), 1);
+    fleet.restart_all_processes().await;
     for front in fleet.fronts.clone() {
-        fleet.until_served(front).await;
+        fleet.wait_until_serving(front).await;
     }
-    tokio::time::sleep(STABLE_AFTER).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     for number in 0..4 {
         send_crash(&fleet, "/stream/a", number + 100).await;
     }
--- a/crates/foxwheel-node/tests/crashing_requests_randomised.rs
+++ b/crates/foxwheel-node/tests/crashing_requests_randomised.rs
@@ -9,8 +9,10 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use common::frail::{self, CRASH, ENOUGH_CRASHES, MOST_RETRIES, STABLE_AFTER};
-use common::{call, Fleet, Plan};
+use common::crashing_servers::{
+    self, CRASHES_TO_QUARANTINE, CRASHING_BODY, MAX_RUNS_IN_QUARANTINE, PROPAGATION_TIME,
+};
+use common::{call, Fleet, FleetPlan};
 use foxwheel_store::api::Faults;
 use hyper::Method;
 use rand::rngs::StdRng;
@@ -32,8 +34,8 @@
 
 async fn play(seed: u64) {
     let mut draw = StdRng::seed_from_u64(seed);
-    let mut fleet = Fleet::start(Plan {
-        servers: frail::shapes(90),
+    let mut fleet = Fleet::start(FleetPlan {
+        servers: crashing_servers::shapes(90),
         fronts: 6,
         workers: 3,
         zones: 3,
@@ -59,7 +61,7 @@
             });
             calls.push(actix_web::rt::spawn(async move {
                 // Refused, broken off or unreachable: what counts is what the servers see.
-                let _ = call(front, Method::POST, "/stream/a", &id, &[], CRASH).await;
+                let _ = call(front, Method::POST, "/stream/a", &id, &[], CRASHING_BODY).await;
             }));
         }
         match draw.random_range(0..12) {
@@ -78,28 +80,37 @@
                     outage: true,
                     ..Faults::default()
                 };
-                fleet.store_faults(outage).await;
+                fleet.set_store_faults(outage).await;
             }
-            3..=5 => fleet.store_faults(Faults::default()).await,
+            3..=5 => fleet.set_store_faults(Faults::default()).await,
             _ => {}
         }
         let pause = draw.random_range(50..400);
         tokio::time::sleep(Duration::from_millis(pause)).await;
         let ended = fleet.servers.iter().filter(|server| server.has_ended());
-        if third_crash.is_none() && ended.count() >= ENOUGH_CRASHES {
+        if third_crash.is_none() && ended.count() >= CRASHES_TO_QUARANTINE {
             third_crash = Some(Instant::now());
         }
     }
     futures::future::join_all(calls).await;
-    let known_at = third_crash.expect("servers crash") + STABLE_AFTER;
+    let known_at = third_crash.expect("servers crash") + PROPAGATION_TIME;
     let late = sent.iter().filter(|one| {
-        let front_was_up = one.at.duration_since(one.front_since) >= STABLE_AFTER;
+        let front_was_up = one.at.duration_since(one.front_since) >= PROPAGATION_TIME;
         one.at >= known_at && front_was_up
     });
     let late: Vec<&Sent> = late.collect();
-    assert!(late.len() > MOST_RETRIES, "seed {seed}: enough was sent");
-    let runs: usize = late.iter().map(|one| fleet.runs_of(&one.id).len()).sum();
-    assert!(runs <= MOST_RETRIES, "seed {seed}: {runs} servers reached");
+    assert!(
+        late.len() > MAX_RUNS_IN_QUARANTINE,
+        "seed {seed}: enough was sent"
+    );
+    let runs: usize = late
+        .iter()
+        .map(|one| fleet.runs_of_request(&one.id).len())
+        .sum();
+    assert!(
+        runs <= MAX_RUNS_IN_QUARANTINE,
+        "seed {seed}: {runs} servers reached"
+    );
     fleet.cancel.cancel();
 }
 
--- a/crates/foxwheel-node/tests/explain_failures.rs
+++ b/crates/foxwheel-node/tests/explain_failures.rs
@@ -7,7 +7,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use common::{call, submit, until_listed, Fleet, Plan};
+use common::{call, submit, wait_for_results, Fleet, FleetPlan};
 use foxwheel_ctl::explain;
 use foxwheel_node::settings::{NodeSettings, Role};
 use foxwheel_server_emu::faults::Fault;
@@ -62,19 +62,22 @@
 /// A front and workers as processes of their own, beside a fleet that only has the store
 /// and the backend servers.
 async fn spawn(name: &str, servers: Vec<Shape>, workers: u32) -> (Fleet, Vec<Spawned>) {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         servers,
         fronts: 0,
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
-    let mut processes = vec![Spawned::start(name, &fleet.settings_of(1, Role::Front))];
+    let mut processes = vec![Spawned::start(
+        name,
+        &fleet.process_settings(1, Role::Front),
+    )];
     for host in 2..2 + workers {
-        let settings = fleet.settings_of(host, Role::Worker);
+        let settings = fleet.process_settings(host, Role::Worker);
         processes.push(Spawned::start(name, &settings));
     }
-    fleet.until_served(processes[0].front()).await;
+    fleet.wait_until_serving(processes[0].front()).await;
     (fleet, processes)
 }
 
@@ -104,11 +107,11 @@
         events: 20,
         ..Shape::default()
     };
-    let (mut fleet, processes) = spawn("load", common::shapes(1), 0).await;
+    let (mut fleet, processes) = spawn("load", common::server_shapes(1), 0).await;
     let front = processes[0].front();
     // The probe of the start needs a quick server; the load meets the slow one.
     fleet
-        .list_server("server-0", fleet.servers[0].addr, "draining")
+        .register_server("server-0", fleet.servers[0].addr, "draining")
         .await;
     fleet.add_server(slow).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
@@ -136,7 +139,7 @@
 
 #[actix_web::test]
 async fn a_stream_broken_by_a_crashed_server() {
-    let (fleet, processes) = spawn("stream", common::shapes(1), 0).await;
+    let (fleet, processes) = spawn("stream", common::server_shapes(1), 0).await;
     fleet.servers[0].script.extend([Fault::BreakAfter(2)]);
     let front = processes[0].front();
     let answer = call(front, Method::POST, "/stream-once/a", "broken", &[], "").await;
@@ -148,7 +151,7 @@
 
 #[actix_web::test]
 async fn an_item_given_up_and_one_late_over_a_dead_worker() {
-    let steps = common::shapes(2).into_iter().map(|shape| Shape {
+    let steps = common::server_shapes(2).into_iter().map(|shape| Shape {
         step: Duration::from_millis(150),
         ..shape
     });
@@ -158,7 +161,7 @@
         server.script.extend([Fault::Fail; 3]);
     }
     submit(front, "failing", 1).await.expect("answered");
-    until_listed(front, "failing", 1).await;
+    wait_for_results(front, "failing", 1).await;
     let told = story("failing-item-0", &processes, "cause: item given up: Failed").await;
     assert!(told.contains("failures=3"), "{told}");
 
@@ -173,7 +176,7 @@
     let mut adopted = 0;
     for at in 0..6 {
         let job = format!("late-{at}");
-        until_listed(front, &job, 4).await;
+        wait_for_results(front, &job, 4).await;
         let told = story(&job, &processes, "results stored").await;
         let cause = told.lines().last().expect("a cause");
         assert_eq!(
--- a/crates/foxwheel-node/tests/herd_restart.rs
+++ b/crates/foxwheel-node/tests/herd_restart.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{call, submit, until_listed, Fleet, Plan};
+use common::{call, submit, wait_for_results, Fleet, FleetPlan};
 use foxwheel_store::api::{CallCounts, Faults, Refusal};
 use hyper::{Method, StatusCode};
 use serde_json::json;
@@ -29,11 +29,11 @@
 }
 
 async fn start() -> Fleet {
-    let fleet = Fleet::start(Plan {
-        servers: common::shapes(3),
+    let fleet = Fleet::start(FleetPlan {
+        servers: common::server_shapes(3),
         fronts: 6,
         workers: 3,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     fleet
@@ -63,8 +63,8 @@
 }
 
 async fn assert_job_is_whole(fleet: &Fleet, job: &str) {
-    let results = until_listed(fleet.fronts[5], job, ITEMS).await;
-    assert_eq!(common::ids(&results), common::item_ids(job, ITEMS));
+    let results = wait_for_results(fleet.fronts[5], job, ITEMS).await;
+    assert_eq!(common::result_ids(&results), common::item_ids(job, ITEMS));
 }
 
 #[actix_web::test]
@@ -76,7 +76,7 @@
     }
     let before = calls(&counts(&fleet).await);
     let restarted_at = Instant::now();
-    fleet.restart_all().await;
+    fleet.restart_all_processes().await;
     until_all_serve_the_last_configuration(&fleet).await;
     let processes = fleet.processes.len() as u64;
     let made = calls(&counts(&fleet).await) - before;
@@ -101,12 +101,12 @@
         refusal: Refusal::Busy,
         ..Faults::default()
     };
-    fleet.store_faults(outage).await;
+    fleet.set_store_faults(outage).await;
     let before = counts(&fleet).await.refused;
     let restarted_at = Instant::now();
-    fleet.restart_all().await;
+    fleet.restart_all_processes().await;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    fleet.store_faults(Faults::default()).await;
+    fleet.set_store_faults(Faults::default()).await;
     let outage_s = restarted_at.elapsed().as_secs() + 1;
     let refused = counts(&fleet).await.refused - before;
     let processes = fleet.processes.len() as u64;
--- a/crates/foxwheel-node/tests/membership_contract.rs
+++ b/crates/foxwheel-node/tests/membership_contract.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use common::{call, move_plain, status, until, Fleet, Plan};
+use common::{call, get_status, move_plain_route, wait_for_status, Fleet, FleetPlan};
 use foxwheel_node::settings::Role;
 use foxwheel_server_emu::server::Shape;
 use foxwheel_store::api::Faults;
@@ -22,43 +22,43 @@
 
 #[actix_web::test]
 async fn a_configuration_reaches_every_front_and_an_older_one_none() {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         fronts: 3,
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
-    fleet.configure(7, move_plain).await;
+    fleet.configure(7, move_plain_route).await;
     for front in &fleet.fronts {
-        until(*front, "/moved/a", StatusCode::OK).await;
+        wait_for_status(*front, "/moved/a", StatusCode::OK).await;
         assert_eq!(
-            status(*front, "/plain/a").await,
+            get_status(*front, "/plain/a").await,
             Some(StatusCode::NOT_FOUND)
         );
     }
     fleet.configure(5, |_| {}).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     for front in &fleet.fronts {
-        assert_eq!(status(*front, "/moved/a").await, Some(StatusCode::OK));
+        assert_eq!(get_status(*front, "/moved/a").await, Some(StatusCode::OK));
     }
     fleet.cancel.cancel();
 }
 
 #[actix_web::test]
 async fn an_unreadable_configuration_changes_nothing_and_a_bad_route_only_itself() {
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetPlan::default()).await;
     fleet
         .configure(2, |config| config["limits"] = json!("none"))
         .await;
     fleet
         .configure(3, |config| {
             config["routes"][1]["kind"] = json!("of its own");
-            move_plain(config);
+            move_plain_route(config);
         })
         .await;
-    until(fleet.fronts[0], "/moved/a", StatusCode::OK).await;
+    wait_for_status(fleet.fronts[0], "/moved/a", StatusCode::OK).await;
     assert_eq!(
-        status(fleet.fronts[0], "/once/a").await,
+        get_status(fleet.fronts[0], "/once/a").await,
         Some(StatusCode::NOT_FOUND)
     );
     fleet.cancel.cancel();
@@ -67,18 +67,18 @@
 /// The store turns one front away: it goes on serving and follows changes through peers.
 #[actix_web::test]
 async fn a_front_without_the_store_follows_its_peers() {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         fronts: 2,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     fleet.processes[0].store_path.cut();
-    fleet.configure(4, move_plain).await;
-    until(fleet.fronts[1], "/moved/a", StatusCode::OK).await;
-    until(fleet.fronts[0], "/moved/a", StatusCode::OK).await;
+    fleet.configure(4, move_plain_route).await;
+    wait_for_status(fleet.fronts[1], "/moved/a", StatusCode::OK).await;
+    wait_for_status(fleet.fronts[0], "/moved/a", StatusCode::OK).await;
     fleet.processes[0].store_path.heal();
     fleet.configure(6, |_| {}).await;
-    until(fleet.fronts[0], "/plain/a", StatusCode::OK).await;
+    wait_for_status(fleet.fronts[0], "/plain/a", StatusCode::OK).await;
     fleet.cancel.cancel();
 }
 
@@ -86,15 +86,15 @@
 /// answers that nothing was run, and is not ready.
 #[actix_web::test]
 async fn a_front_started_in_an_outage_learns_from_a_peer() {
-    let mut fleet = Fleet::start(Plan::default()).await;
+    let mut fleet = Fleet::start(FleetPlan::default()).await;
     fleet.add_process(Role::Front).await;
     let front = fleet.fronts[1];
     fleet.processes[2].store_path.cut();
     let mut refused = 0;
     for _ in 0..500 {
-        match status(front, "/plain/a").await {
+        match get_status(front, "/plain/a").await {
             Some(StatusCode::OK) => {
-                let ready = status(readiness(&fleet, 2), "/api/readyz").await;
+                let ready = get_status(readiness(&fleet, 2), "/api/readyz").await;
                 assert_eq!(ready, Some(StatusCode::OK));
                 fleet.cancel.cancel();
                 return;
@@ -111,9 +111,9 @@
 /// All entries vanish in an outage and come back after it: requests are served all along.
 #[actix_web::test]
 async fn servers_whose_entries_lapsed_in_an_outage_stay_in_use() {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     let front = fleet.fronts[0];
@@ -130,11 +130,11 @@
     for at in 0..20 {
         if at == 15 {
             for (id, server) in ["server-0", "server-1"].iter().zip(&fleet.servers) {
-                fleet.list_server(id, server.addr, "ready").await;
+                fleet.register_server(id, server.addr, "ready").await;
             }
         }
         assert_eq!(
-            status(front, "/plain/a").await,
+            get_status(front, "/plain/a").await,
             Some(StatusCode::OK),
             "at {at}"
         );
@@ -147,22 +147,22 @@
 /// that the store is away.
 #[actix_web::test]
 async fn servers_whose_entries_lapsed_behind_a_waiting_watch_stay_in_use() {
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetPlan::default()).await;
     let front = fleet.fronts[0];
     let outage = Faults {
         outage: true,
         ..Faults::default()
     };
-    fleet.store_faults(outage).await;
+    fleet.set_store_faults(outage).await;
     let refused = common::submit(front, "job-in-an-outage", 1).await;
     assert_ne!(refused.expect("an answer").status, StatusCode::ACCEPTED);
-    fleet.store_faults(Faults::default()).await;
+    fleet.set_store_faults(Faults::default()).await;
     for id in ["server-0", "server-1"] {
         let removed = fleet.store.delete(&format!("servers/{id}"), None).await;
         removed.expect("removed");
     }
     for at in 0..18 {
-        let served = status(front, "/plain/a").await;
+        let served = get_status(front, "/plain/a").await;
         assert_eq!(served, Some(StatusCode::OK), "at {at}");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
@@ -172,9 +172,9 @@
 /// The address of a server that went is reused by another: the request is not run there.
 #[actix_web::test]
 async fn a_reused_address_never_runs_a_request() {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     let other = foxwheel_server_emu::server::start(
@@ -187,10 +187,12 @@
     )
     .await
     .expect("server starts");
-    fleet.list_server("server-0", other.addr, "ready").await;
-    fleet.list_server("server-1", other.addr, "draining").await;
+    fleet.register_server("server-0", other.addr, "ready").await;
+    fleet
+        .register_server("server-1", other.addr, "draining")
+        .await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let status = status(fleet.fronts[0], "/once/a").await;
+    let status = get_status(fleet.fronts[0], "/once/a").await;
     assert_eq!(status, Some(StatusCode::SERVICE_UNAVAILABLE));
     assert!(other.runs.all().is_empty());
     fleet.cancel.cancel();
@@ -198,16 +200,16 @@
 
 /// A front before `count` servers whose streams have `events` events, one each `step`.
 async fn slow_fleet(count: usize, step: Duration, events: u64) -> Fleet {
-    let shapes = common::shapes(count).into_iter();
+    let shapes = common::server_shapes(count).into_iter();
     let slow = shapes.map(|shape| Shape {
         step,
         events,
         ..shape
     });
-    Fleet::start(Plan {
+    Fleet::start(FleetPlan {
         servers: slow.collect(),
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await
 }
@@ -220,10 +222,10 @@
     let fleet = slow_fleet(2, Duration::from_millis(60), usual).await;
     let front = fleet.fronts[0];
     let ready = readiness(&fleet, 0);
-    assert_eq!(status(ready, "/api/readyz").await, Some(StatusCode::OK));
+    assert_eq!(get_status(ready, "/api/readyz").await, Some(StatusCode::OK));
     fleet.processes[0].stop.cancel();
     assert_eq!(
-        status(ready, "/api/readyz").await,
+        get_status(ready, "/api/readyz").await,
         Some(StatusCode::SERVICE_UNAVAILABLE)
     );
     let mut served = 0;
@@ -234,7 +236,7 @@
         let id = format!("late-{at}");
         // A refused or reset connection took no request.
         let Ok(answer) = call(front, Method::POST, "/stream-once/a", &id, &[], "").await else {
-            assert!(fleet.runs_of(&id).is_empty(), "{id} was cut");
+            assert!(fleet.runs_of_request(&id).is_empty(), "{id} was cut");
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
@@ -243,7 +245,7 @@
                 assert!(answer.whole, "{id} was cut");
                 served += 1;
             }
-            StatusCode::SERVICE_UNAVAILABLE => assert!(fleet.runs_of(&id).is_empty()),
+            StatusCode::SERVICE_UNAVAILABLE => assert!(fleet.runs_of_request(&id).is_empty()),
             other => panic!("{id} was answered {other}"),
         }
     }
@@ -288,22 +290,22 @@
 /// The store's history is dropped while servers change: the list is read anew.
 #[actix_web::test]
 async fn a_dropped_history_loses_no_change() {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     let store = fleet.store.base_url().to_owned();
     fleet
-        .store_faults(Faults {
+        .set_store_faults(Faults {
             outage: true,
             ..Faults::default()
         })
         .await;
     fleet.processes[0].store_path.cut();
-    fleet.store_faults(Faults::default()).await;
+    fleet.set_store_faults(Faults::default()).await;
     fleet
-        .list_server("server-0", fleet.servers[0].addr, "draining")
+        .register_server("server-0", fleet.servers[0].addr, "draining")
         .await;
     let drop = awc_post(&format!("{store}/drop-history")).await;
     assert!(drop, "history dropped");
--- a/crates/foxwheel-node/tests/metrics_contract.rs
+++ b/crates/foxwheel-node/tests/metrics_contract.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{call, Fleet, Plan};
+use common::{call, Fleet, FleetPlan};
 use foxwheel_core::metric_names::{Counter, RequestKind, RequestOutcome, StoreCall, Timer};
 use foxwheel_core::metric_names::{RefusalReason, PREFIX};
 use foxwheel_ctl::burn::{self, Tally};
@@ -92,10 +92,10 @@
 
 #[actix_web::test]
 async fn each_request_is_counted_once_by_what_became_of_it() {
-    let mut fleet = Fleet::start(Plan {
-        servers: common::shapes(1),
+    let mut fleet = Fleet::start(FleetPlan {
+        servers: common::server_shapes(1),
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     let front = fleet.fronts[0];
@@ -132,7 +132,9 @@
     }
     // Without a server nothing runs.
     let gone = fleet.servers.remove(0);
-    fleet.list_server("server-0", gone.addr, "draining").await;
+    fleet
+        .register_server("server-0", gone.addr, "draining")
+        .await;
     let mut refused = StatusCode::OK;
     while refused != StatusCode::SERVICE_UNAVAILABLE {
         tokio::time::sleep(Duration::from_millis(10)).await;
--- a/crates/foxwheel-node/tests/moving_route.rs
+++ b/crates/foxwheel-node/tests/moving_route.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{call, Answer, Fleet, Plan};
+use common::{call, Answer, Fleet, FleetPlan};
 use foxwheel_server_emu::server::{self, Server, Shape};
 use hyper::{Method, StatusCode};
 use rand::rngs::StdRng;
@@ -30,7 +30,7 @@
     let started = server::start(ip, shape, fleet.cancel.clone()).await;
     let server = started.expect("server starts");
     fleet
-        .list_server_of("other", &id, server.addr, "ready")
+        .register_server_of_service("other", &id, server.addr, "ready")
         .await;
     server
 }
@@ -85,16 +85,16 @@
         step: Duration::from_millis(60),
         ..Shape::default()
     };
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         servers: vec![slow("server-0")],
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     let other = add_other_server(&fleet, slow("other-0")).await;
     let runs_at = |service: &str, id: &str| match service {
         "other" => other.runs.of(id).len(),
-        _ => fleet.runs_of(id).len(),
+        _ => fleet.runs_of_request(id).len(),
     };
     move_routes(&fleet, 3).await;
     until_in_force(&fleet, 3).await;
--- a/crates/foxwheel-node/tests/online_contract.rs
+++ b/crates/foxwheel-node/tests/online_contract.rs
@@ -4,19 +4,19 @@
 
 use std::time::Duration;
 
-use common::{call, Answer, Fleet, Plan};
+use common::{call, Answer, Fleet, FleetPlan};
 use foxwheel_platform::online::{DEADLINE_MS, LAST_EVENT_ID, NOT_EXECUTED, SIGNATURE};
 use foxwheel_server_emu::faults::Fault;
 use foxwheel_server_emu::server::{event_text, plain_body, Shape};
 use hyper::header::RETRY_AFTER;
 use hyper::{Method, StatusCode};
 
-fn plain(count: usize) -> Plan {
-    let plain = common::shapes(count).into_iter();
-    Plan {
+fn plain(count: usize) -> FleetPlan {
+    let plain = common::server_shapes(count).into_iter();
+    FleetPlan {
         servers: plain.map(|shape| Shape { events: 0, ..shape }).collect(),
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     }
 }
 
@@ -125,7 +125,7 @@
         fleet.servers[0].script.extend(case.faults.iter().copied());
         let answer = call(fleet.fronts[0], Method::POST, case.path, &id, &[], "body").await;
         let answer = answer.unwrap_or_else(|e| panic!("{}: {e}", case.name));
-        check(case, &answer, fleet.runs_of(&id).len());
+        check(case, &answer, fleet.runs_of_request(&id).len());
         if case.status == ok {
             assert_eq!(answer.text(), plain_body(&id), "{}", case.name);
         }
@@ -148,7 +148,7 @@
     )
     .await;
     assert_eq!(answer.expect("answered").status, StatusCode::OK);
-    let runs = fleet.runs_of("r");
+    let runs = fleet.runs_of_request("r");
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].target, format!("PUT {path}"));
     assert_eq!(runs[0].body, b"the body");
@@ -171,7 +171,7 @@
         let answer = answer.expect("answered");
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{path}");
         assert!(answer.headers.contains_key(RETRY_AFTER), "{path}");
-        assert!(fleet.runs_of(&id).is_empty(), "{path}");
+        assert!(fleet.runs_of_request(&id).is_empty(), "{path}");
     }
     fleet.cancel.cancel();
 }
@@ -183,10 +183,10 @@
         step: Duration::from_millis(450),
         ..Shape::default()
     };
-    let plan = Plan {
+    let plan = FleetPlan {
         servers: vec![slow],
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     };
     let fleet = Fleet::start(plan).await;
     let headers = [("x-deadline-ms", "10000")];
@@ -195,7 +195,7 @@
     let answer = answer.expect("answered");
     assert!(answer.whole, "cut");
     assert_eq!(answer.text(), whole_stream("late"));
-    assert_eq!(fleet.runs_of("late").len(), 1, "one run is enough");
+    assert_eq!(fleet.runs_of_request("late").len(), 1, "one run is enough");
     fleet.cancel.cancel();
 }
 
@@ -233,10 +233,10 @@
         ("broken within an event", &[BreakWithin(2)], 2),
         ("silent after three events", &[SilentAfter(3)], 2),
     ];
-    let fleet = Fleet::start(Plan {
-        servers: common::shapes(1),
+    let fleet = Fleet::start(FleetPlan {
+        servers: common::server_shapes(1),
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     for (at, (name, faults, runs)) in cases.iter().enumerate() {
@@ -247,14 +247,14 @@
         assert_eq!(answer.status, StatusCode::OK, "{name}");
         assert!(answer.whole, "{name}");
         assert_eq!(answer.text(), whole_stream(&id), "{name}");
-        assert_eq!(fleet.runs_of(&id).len(), *runs, "{name}");
+        assert_eq!(fleet.runs_of_request(&id).len(), *runs, "{name}");
     }
     fleet.cancel.cancel();
 }
 
 #[actix_web::test]
 async fn a_caller_may_resume_its_stream() {
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetPlan::default()).await;
     let name = LAST_EVENT_ID;
     let headers = [(name.as_str(), "3")];
     let answer = call(
@@ -268,7 +268,7 @@
     .await;
     let rest: String = (4..=5).map(|event| event_text("s", event)).collect();
     assert_eq!(answer.expect("answered").text(), rest);
-    assert_eq!(fleet.runs_of("s")[0].resumed_after, Some(3));
+    assert_eq!(fleet.runs_of_request("s")[0].resumed_after, Some(3));
     fleet.cancel.cancel();
 }
 
@@ -276,10 +276,10 @@
 #[actix_web::test]
 async fn a_stream_that_runs_once_never_looks_whole_when_it_broke() {
     use Fault::{BreakAfter, BreakWithin, LoseAnswer};
-    let fleet = Fleet::start(Plan {
-        servers: common::shapes(1),
+    let fleet = Fleet::start(FleetPlan {
+        servers: common::server_shapes(1),
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     for (at, fault) in [BreakAfter(0), BreakAfter(2), BreakWithin(2), LoseAnswer]
@@ -299,7 +299,7 @@
         .await;
         let looks_whole = answer.is_ok_and(|answer| answer.status.is_success() && answer.whole);
         assert!(!looks_whole, "{fault:?}");
-        assert_eq!(fleet.runs_of(&id).len(), 1, "{fault:?}");
+        assert_eq!(fleet.runs_of_request(&id).len(), 1, "{fault:?}");
     }
     fleet.cancel.cancel();
 }
@@ -311,15 +311,15 @@
         step: Duration::from_secs(30),
         ..Shape::default()
     };
-    let fleet_plan = |shape: Shape| Plan {
+    let fleet_plan = |shape: Shape| FleetPlan {
         servers: vec![shape],
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     };
     // A probe of the fleet's start must be served at once, so the slow server comes later.
     let mut fleet = Fleet::start(fleet_plan(Shape::default())).await;
     fleet
-        .list_server("server-0", fleet.servers[0].addr, "draining")
+        .register_server("server-0", fleet.servers[0].addr, "draining")
         .await;
     fleet
         .add_server(Shape {
@@ -335,14 +335,17 @@
     assert!(waited.is_err(), "the server is still at work");
     drop(connection);
     for _ in 0..200 {
-        let runs = fleet.runs_of("left");
+        let runs = fleet.runs_of_request("left");
         if runs.first().is_some_and(|run| run.finished == Some(false)) {
             fleet.cancel.cancel();
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("the server still works: {:?}", fleet.runs_of("left"));
+    panic!(
+        "the server still works: {:?}",
+        fleet.runs_of_request("left")
+    );
 }
 
 /// Without a server the answer says at once that nothing ran and when to come back.
@@ -350,7 +353,7 @@
 async fn without_a_server_the_refusal_is_immediate() {
     let fleet = Fleet::start(plain(1)).await;
     fleet
-        .list_server("server-0", fleet.servers[0].addr, "draining")
+        .register_server("server-0", fleet.servers[0].addr, "draining")
         .await;
     let mut refused = 0;
     for attempt in 0..200 {
@@ -359,7 +362,7 @@
         let answer = answer.expect("answered");
         if answer.status == StatusCode::SERVICE_UNAVAILABLE {
             assert!(answer.headers.contains_key(RETRY_AFTER));
-            assert!(fleet.runs_of(&id).is_empty());
+            assert!(fleet.runs_of_request(&id).is_empty());
             refused += 1;
         }
         if refused == 3 {
@@ -375,9 +378,9 @@
 /// soon go to the other.
 #[actix_web::test]
 async fn a_server_that_fails_its_requests_is_avoided() {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     let failing = &fleet.servers[0].script;
@@ -397,9 +400,9 @@
 /// A caller may say that it waits for ever.
 #[actix_web::test]
 async fn a_time_limit_of_any_size_is_taken() {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     let forever = u64::MAX.to_string();
--- a/crates/foxwheel-node/tests/restarted_servers.rs
+++ b/crates/foxwheel-node/tests/restarted_servers.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use common::{call, entry, shapes, Fleet, Plan};
+use common::{call, server_entry, server_shapes, Fleet, FleetPlan};
 use foxwheel_node::settings::Role;
 use foxwheel_server_emu::server::{self, Server, Shape};
 use hyper::{Method, StatusCode};
@@ -26,7 +26,7 @@
 }
 
 fn started(addr: SocketAddr, incarnation: u64) -> Value {
-    let mut entry = entry(addr, "ready");
+    let mut entry = server_entry(addr, "ready");
     entry["born"] = json!(incarnation);
     entry
 }
@@ -48,16 +48,16 @@
 /// are served by the two that are left, at a front that never met the eight too.
 #[actix_web::test]
 async fn servers_that_started_again_behind_a_cut_cost_no_request() {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         fronts: 2,
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     for at in 0..8 {
         let reborn = start_server(&fleet, &format!("reborn-{at}")).await;
         fleet
-            .list_server(&format!("listed-{at}"), reborn.addr, "ready")
+            .register_server(&format!("listed-{at}"), reborn.addr, "ready")
             .await;
     }
     tokio::time::sleep(KNOWN_AFTER).await;
@@ -71,14 +71,14 @@
 /// other; a process that starts meanwhile serves too. A whole entry brings it back.
 #[actix_web::test]
 async fn a_spoiled_entry_takes_one_server_out_and_no_other() {
-    let mut fleet = Fleet::start(Plan {
+    let mut fleet = Fleet::start(FleetPlan {
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     let addr = fleet.servers[0].addr;
     let without = |field: &str| {
-        let mut spoiled = entry(addr, "ready");
+        let mut spoiled = server_entry(addr, "ready");
         spoiled.as_object_mut().expect("an object").remove(field);
         spoiled
     };
@@ -87,10 +87,10 @@
         Value::Null,
         without("zone"),
         without("slots"),
-        entry(addr, "asleep"),
+        server_entry(addr, "asleep"),
     ];
     for (at, spec) in spoiled.iter().enumerate() {
-        fleet.write_entry("server-0", spec).await;
+        fleet.write_server_entry("server-0", spec).await;
         tokio::time::sleep(KNOWN_AFTER).await;
         let name = format!("spoiled-{at}");
         let ran = served(fleet.fronts[0], &name, 6, &fleet.servers[0]).await;
@@ -98,9 +98,9 @@
     }
     fleet.add_process(Role::Front).await;
     let late = *fleet.fronts.last().expect("a front");
-    fleet.until_served(late).await;
+    fleet.wait_until_serving(late).await;
     assert_eq!(served(late, "late", 6, &fleet.servers[0]).await, 0);
-    fleet.list_server("server-0", addr, "ready").await;
+    fleet.register_server("server-0", addr, "ready").await;
     tokio::time::sleep(KNOWN_AFTER).await;
     for (at, front) in [fleet.fronts[0], late].into_iter().enumerate() {
         let ran = served(front, &format!("whole-{at}"), 12, &fleet.servers[0]).await;
@@ -113,24 +113,24 @@
 /// earlier start still writes changes nothing.
 #[actix_web::test]
 async fn a_later_start_under_the_same_id_is_the_one_that_serves() {
-    let fleet = Fleet::start(Plan {
-        servers: shapes(1),
+    let fleet = Fleet::start(FleetPlan {
+        servers: server_shapes(1),
         workers: 0,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     let front = fleet.fronts[0];
     fleet
-        .write_entry("server-0", &started(fleet.servers[0].addr, 1_000))
+        .write_server_entry("server-0", &started(fleet.servers[0].addr, 1_000))
         .await;
     let later = start_server(&fleet, "server-0").await;
     fleet
-        .write_entry("server-0", &started(later.addr, 2_000))
+        .write_server_entry("server-0", &started(later.addr, 2_000))
         .await;
     tokio::time::sleep(KNOWN_AFTER).await;
     assert_eq!(served(front, "later", 6, &later).await, 6);
     fleet
-        .write_entry("server-0", &started(fleet.servers[0].addr, 1_000))
+        .write_server_entry("server-0", &started(fleet.servers[0].addr, 1_000))
         .await;
     tokio::time::sleep(KNOWN_AFTER).await;
     assert_eq!(served(front, "stale", 6, &later).await, 6);
--- a/crates/foxwheel-node/tests/store_access.rs
+++ b/crates/foxwheel-node/tests/store_access.rs
@@ -16,7 +16,7 @@
 const LONG_PAUSE: Duration = Duration::from_secs(3_600);
 
 /// Longest wait of the test for something that takes milliseconds.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[actix_web::test]
 async fn whoever_waits_goes_on_when_any_call_is_answered_again() {
@@ -52,7 +52,7 @@
         .await
         .expect("the store is back");
     for one in waiting {
-        let woken = tokio::time::timeout(PATIENCE, one).await;
+        let woken = tokio::time::timeout(WAIT_TIMEOUT, one).await;
         woken
             .expect("woken by the store's return")
             .expect("it ends");
--- a/crates/foxwheel-node/tests/untrusted_frames.rs
+++ b/crates/foxwheel-node/tests/untrusted_frames.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use common::{submit, until_listed, Fleet, Plan};
+use common::{submit, wait_for_results, Fleet, FleetPlan};
 use foxwheel_node::peer_calls::{PeerCalls, StoreStateVersion};
 use hyper::StatusCode;
 use rand::rngs::StdRng;
@@ -58,7 +58,7 @@
 
 #[actix_web::test]
 async fn a_process_that_gets_spoiled_calls_goes_on() {
-    let fleet = Fleet::start(Plan::default()).await;
+    let fleet = Fleet::start(FleetPlan::default()).await;
     let call = recorded_call().await;
     for process in &fleet.processes {
         let mut rng = StdRng::seed_from_u64(1);
@@ -71,6 +71,6 @@
     // The front tells the worker of the job by a call.
     let taken = submit(fleet.fronts[0], "after", 2).await.expect("answered");
     assert_eq!(taken.status, StatusCode::ACCEPTED);
-    until_listed(fleet.fronts[0], "after", 2).await;
+    wait_for_results(fleet.fronts[0], "after", 2).await;
     fleet.cancel.cancel();
 }
--- a/crates/foxwheel-node/tests/worker_jobs.rs
+++ b/crates/foxwheel-node/tests/worker_jobs.rs
@@ -45,7 +45,7 @@
         foxwheel_platform_emu::server::start(&PlatformSettings::for_test(), cancel.clone())
             .expect("store starts");
     actix_web::rt::spawn(store);
-    let settings = common::lone_settings(Role::Worker, store_address);
+    let settings = common::single_process_settings(Role::Worker, store_address);
     WorkerJobs::new(Node::new(settings, cancel.clone()))
 }
 
@@ -56,7 +56,7 @@
         known_parts,
         wait: Duration::ZERO,
     };
-    match jobs.read(&"job".to_owned(), read).await {
+    match jobs.read_results(&"job".to_owned(), read).await {
         ResultsResponse::Results { results, .. } => results.len(),
         other => panic!("{other:?}"),
     }
@@ -116,12 +116,12 @@
         known_parts: 0,
         wait: Duration::ZERO,
     };
-    let answer = jobs.read(&"none".to_owned(), read).await;
+    let answer = jobs.read_results(&"none".to_owned(), read).await;
     assert_eq!(answer, ResultsResponse::NoSuchJob);
     cancel.cancel();
     // Without the store nothing can be said.
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let answer = jobs.read(&"other".to_owned(), read).await;
+    let answer = jobs.read_results(&"other".to_owned(), read).await;
     assert_eq!(answer, ResultsResponse::Unsure);
 }
 
@@ -139,12 +139,12 @@
     for at in 0..40 {
         let spec = large(at);
         let id = spec.id.clone();
-        jobs.take_new(spec);
-        jobs.end(&id, "test");
+        jobs.start_new_job(spec);
+        jobs.end_job(&id, "test");
     }
-    jobs.evict(Instant::now());
+    jobs.evict_unused(Instant::now());
     let kept: Vec<bool> = (0..40)
-        .map(|at| jobs.with(&format!("job-{at:02}"), |_| ()).is_some())
+        .map(|at| jobs.with_entry(&format!("job-{at:02}"), |_| ()).is_some())
         .collect();
     assert_eq!(kept.iter().filter(|kept| **kept).count(), 16);
     assert!(kept[39] && !kept[0], "the newest stay: {kept:?}");
--- a/crates/foxwheel-node/tests/zones.rs
+++ b/crates/foxwheel-node/tests/zones.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use common::{move_plain, until, Fleet, Plan, PATIENCE};
+use common::{move_plain_route, wait_for_status, Fleet, FleetPlan, WAIT_TIMEOUT};
 use hyper::StatusCode;
 
 /// By then every process has heard the others and those who follow are settled.
@@ -17,9 +17,9 @@
 /// Five fronts and a worker in one zone, settled: the worker on host 6 and the front on host 1
 /// follow the store.
 async fn one_zone() -> Fleet {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         fronts: 5,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     tokio::time::sleep(SETTLE).await;
@@ -28,16 +28,16 @@
 
 /// Wakes whoever began to watch before it knew of the others: it does not watch again.
 async fn flush_watches(fleet: &Fleet) {
-    fleet.configure(2, move_plain).await;
+    fleet.configure(2, move_plain_route).await;
     let one = fleet.servers[0].addr;
-    fleet.list_server("server-0", one, "draining").await;
+    fleet.register_server("server-0", one, "draining").await;
     tokio::time::sleep(SETTLE).await;
 }
 
 async fn watches(fleet: &Fleet) -> Vec<u64> {
     let mut watches = Vec::new();
     for process in &fleet.processes {
-        watches.push(fleet.counter(process, WATCHES).await);
+        watches.push(fleet.read_counter(process, WATCHES).await);
     }
     watches
 }
@@ -49,14 +49,14 @@
     let before = watches(&fleet).await;
     fleet.configure(3, |_| {}).await;
     for front in &fleet.fronts {
-        until(*front, "/plain/a", StatusCode::OK).await;
+        wait_for_status(*front, "/plain/a", StatusCode::OK).await;
     }
     for server in ["server-0", "server-1"] {
         let addr = fleet.servers[0].addr;
-        fleet.list_server(server, addr, "draining").await;
+        fleet.register_server(server, addr, "draining").await;
     }
     for front in &fleet.fronts {
-        until(*front, "/plain/a", StatusCode::SERVICE_UNAVAILABLE).await;
+        wait_for_status(*front, "/plain/a", StatusCode::SERVICE_UNAVAILABLE).await;
     }
     let after = watches(&fleet).await;
     let woken = before.iter().zip(&after).filter(|(b, a)| a > b).count();
@@ -69,9 +69,9 @@
     let fleet = one_zone().await;
     fleet.processes[5].kill();
     fleet.processes[0].kill();
-    fleet.configure(2, move_plain).await;
+    fleet.configure(2, move_plain_route).await;
     for front in &fleet.fronts[1..] {
-        until(*front, "/moved/a", StatusCode::OK).await;
+        wait_for_status(*front, "/moved/a", StatusCode::OK).await;
     }
     fleet.cancel.cancel();
 }
@@ -81,26 +81,26 @@
     let fleet = one_zone().await;
     fleet.processes[5].store_path.cut();
     fleet.processes[0].store_path.cut();
-    fleet.configure(2, move_plain).await;
+    fleet.configure(2, move_plain_route).await;
     for front in &fleet.fronts {
-        until(*front, "/moved/a", StatusCode::OK).await;
+        wait_for_status(*front, "/moved/a", StatusCode::OK).await;
     }
     fleet.cancel.cancel();
 }
 
 /// One front and one server a zone; the worker is in the first one.
 async fn two_zones() -> Fleet {
-    let fleet = Fleet::start(Plan {
+    let fleet = Fleet::start(FleetPlan {
         fronts: 2,
         zones: 2,
-        ..Plan::default()
+        ..FleetPlan::default()
     })
     .await;
     // Host 1 is in the zone 1, host 2 in the zone 0.
     for (zone, server) in [(1, 0), (0, 1)] {
         let addr = fleet.servers[server].addr;
         let id = format!("server-{server}");
-        fleet.list_server_in(zone, &id, addr).await;
+        fleet.register_server_in_zone(zone, &id, addr).await;
     }
     tokio::time::sleep(SETTLE).await;
     fleet
@@ -114,8 +114,11 @@
     let far = fleet.fronts[0];
     let accepted = common::submit(far, "job-from-afar", 3).await;
     assert_eq!(accepted.expect("answered").status, StatusCode::ACCEPTED);
-    let results = common::until_listed(far, "job-from-afar", 3).await;
-    assert_eq!(common::ids(&results), common::item_ids("job-from-afar", 3));
+    let results = common::wait_for_results(far, "job-from-afar", 3).await;
+    assert_eq!(
+        common::result_ids(&results),
+        common::item_ids("job-from-afar", 3)
+    );
     fleet.cancel.cancel();
 }
 
@@ -131,11 +134,15 @@
     assert_eq!(accepted.expect("answered").status, StatusCode::ACCEPTED);
     turned_away.store_path.heal();
     let noticing = async {
-        while fleet.counter(turned_away, "foxwheel.store.probe.ok").await == 0 {
+        while fleet
+            .read_counter(turned_away, "foxwheel.store.probe.ok")
+            .await
+            == 0
+        {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    let noticed = tokio::time::timeout(PATIENCE, noticing).await;
+    let noticed = tokio::time::timeout(WAIT_TIMEOUT, noticing).await;
     assert!(noticed.is_ok(), "it never looked");
     fleet.cancel.cancel();
 }
--- a/crates/foxwheel-platform-emu/tests/store_contract.rs
+++ b/crates/foxwheel-platform-emu/tests/store_contract.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use foxwheel_platform::store::{Store, Watched, Write, Written};
+use foxwheel_platform::store::{Store, WatchOutcome, Write, WriteOutcome};
 use foxwheel_platform_emu::{server, settings::PlatformSettings};
 use foxwheel_store::api::{Faults, Refusal};
 use foxwheel_store::client::{StoreClient, StoreError};
@@ -377,12 +377,15 @@
         status: "{\"state\":\"running\"}".to_owned(),
     };
     for _ in 0..2 {
-        assert!(matches!(store.write(&status).await, Ok(Written::Done(_))));
+        assert!(matches!(
+            store.write(&status).await,
+            Ok(WriteOutcome::Done(_))
+        ));
     }
     let watched = store
         .watch("k", listing.revision, Duration::from_secs(1))
         .await;
-    let Ok(Watched::Changes { changes, revision }) = watched else {
+    let Ok(WatchOutcome::Changes { changes, revision }) = watched else {
         panic!("{watched:?}");
     };
     assert_eq!(changes.len(), 1, "the repeat altered nothing");
--- a/crates/foxwheel-store/src/client.rs
+++ b/crates/foxwheel-store/src/client.rs
@@ -10,7 +10,7 @@
 
 use foxwheel_core::ids::Version;
 use foxwheel_core::keys;
-use foxwheel_platform::store::{self, Store, Watched, Write, Written};
+use foxwheel_platform::store::{self, Store, WatchOutcome, Write, WriteOutcome};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -158,9 +158,9 @@
             None => {
                 let replace = replace(None);
                 match self.write(STEP, &replace).await? {
-                    Written::Missing => match self.write(STEP, &create).await? {
+                    WriteOutcome::Missing => match self.write(STEP, &create).await? {
                         // Created by another writer in between.
-                        Written::Conflict(_) => self.write(STEP, &replace).await?,
+                        WriteOutcome::Conflict(_) => self.write(STEP, &replace).await?,
                         created => created,
                     },
                     replaced => replaced,
@@ -168,15 +168,15 @@
             }
         };
         match written {
-            Written::Done(object) => Ok(api::Object {
+            WriteOutcome::Done(object) => Ok(api::Object {
                 key: key.to_owned(),
                 version: object.revision,
                 value,
             }),
-            Written::Conflict(object) => Err(StoreError::Conflict {
+            WriteOutcome::Conflict(object) => Err(StoreError::Conflict {
                 current_version: object.map_or(0, |object| object.revision),
             }),
-            Written::Missing => Err(StoreError::Conflict { current_version: 0 }),
+            WriteOutcome::Missing => Err(StoreError::Conflict { current_version: 0 }),
         }
     }
 
@@ -189,8 +189,8 @@
             revision: if_version,
         };
         match self.write("delete", &delete).await? {
-            Written::Done(_) | Written::Missing => Ok(()),
-            Written::Conflict(object) => Err(StoreError::Conflict {
+            WriteOutcome::Done(_) | WriteOutcome::Missing => Ok(()),
+            WriteOutcome::Conflict(object) => Err(StoreError::Conflict {
                 current_version: object.map_or(0, |object| object.revision),
             }),
         }
@@ -223,8 +223,8 @@
         let (kind, names) = self.kind_of(STEP, prefix)?;
         let watched = self.store(STEP)?.watch(&kind, from_version, wait).await;
         match watched.map_err(|e| self.error(STEP, e))? {
-            Watched::HistoryGone => Err(StoreError::Gone),
-            Watched::Changes { changes, revision } => {
+            WatchOutcome::HistoryExpired => Err(StoreError::Gone),
+            WatchOutcome::Changes { changes, revision } => {
                 let changes = changes.into_iter();
                 let events = changes
                     .filter(|change| change.object.name.starts_with(&names))
@@ -270,7 +270,7 @@
             .map_err(|e| self.unavailable("drop history", e))
     }
 
-    async fn write(&self, step: &'static str, write: &Write) -> Result<Written, StoreError> {
+    async fn write(&self, step: &'static str, write: &Write) -> Result<WriteOutcome, StoreError> {
         let written = self.store(step)?.write(write).await;
         written.map_err(|e| self.error(step, e))
     }
