--- a/crates/foxwheel-node/src/heartbeat.rs
+++ b/crates/foxwheel-node/src/heartbeat.rs
@@ -13,7 +13,7 @@
 use foxwheel_core::metric_names::Counter;
 use foxwheel_policy::load_reports::{self, ChangeClock};
 use foxwheel_policy::quarantine::QuarantineState;
-use foxwheel_policy::speakers::Rank;
+use foxwheel_policy::representatives::Rank;
 use tokio::net::UdpSocket;
 use tokio_util::sync::CancellationToken;
 
@@ -249,9 +249,9 @@
             zone_representative::ask_silent_zones(&self.datagram_sender, &self.node, now).await;
         }
         let per_summary = match self.node.representative_rank(now) {
-            Rank::First => Some(load_reports::LOCAL_PER_SUMMARY),
-            Rank::Second => Some(load_reports::LOCAL_PER_SECOND_SUMMARY),
-            Rank::Listener => None,
+            Rank::Primary => Some(load_reports::LOCAL_PER_SUMMARY),
+            Rank::Secondary => Some(load_reports::LOCAL_PER_SECOND_SUMMARY),
+            Rank::None => None,
         };
         if per_summary.is_some_and(|per_summary| self.heartbeats % per_summary == 1) {
             let sequence = self.next_sequence();
--- a/crates/foxwheel-node/src/node.rs
+++ b/crates/foxwheel-node/src/node.rs
@@ -11,14 +11,14 @@
 use foxwheel_http1::pool::Pool;
 use foxwheel_policy::batch::ownership::{ClaimStanding, JobClaim};
 use foxwheel_policy::config_in_force::ConfigInForce;
-use foxwheel_policy::following::{self, Standing};
-use foxwheel_policy::leaving;
+use foxwheel_policy::drain_timing;
 use foxwheel_policy::membership::{self, BackendServer, Directory, ServerKey};
 use foxwheel_policy::placement::Candidate;
 use foxwheel_policy::quarantine::Quarantine;
+use foxwheel_policy::representatives::{self, Rank, ZoneProcess};
 use foxwheel_policy::routes::Config;
 use foxwheel_policy::server_index::{self, ServerIndex};
-use foxwheel_policy::speakers::{self, Member, Rank};
+use foxwheel_policy::watcher_selection::{self, WatchState};
 use foxwheel_policy::zone_loads::Requests;
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
@@ -37,7 +37,7 @@
     // A round trip takes a few milliseconds and a new connection one more; a server that
     // drops the opening packet is full or gone, and the packet comes again too late.
     connect_timeout: Duration::from_millis(250),
-    unacknowledged_timeout: leaving::ON_ITS_WAY,
+    unacknowledged_timeout: drain_timing::MAX_TRANSIT_TIME,
     given_up: GivenUp::Reset,
 };
 
@@ -322,20 +322,20 @@
 
     /// Names the processes of the zone that it takes as speakers from now on.
     pub fn select_representatives(&self, now: Instant) {
-        let mut members: Vec<Member> = self
+        let mut members: Vec<ZoneProcess> = self
             .peers
             .own_zone_peers(now)
             .into_iter()
             .map(|peer| peer.member)
             .collect();
-        members.push(Member {
+        members.push(ZoneProcess {
             host: self.settings.host.clone(),
             is_worker: self.settings.role == Role::Worker,
             leaving: self.is_leaving(),
             store_reached: self.store.failing_for(now).is_none(),
             silent_for: Duration::ZERO,
         });
-        let picked = speakers::pick(&members);
+        let picked = representatives::select(&members);
         if self.has_subscribers(now) {
             *self.had_subscribers_at.lock().expect("naming lock") = Some(now);
         }
@@ -360,10 +360,10 @@
     pub fn should_watch_store(&self, now: Instant) -> bool {
         let had_subscribers_at = *self.had_subscribers_at.lock().expect("naming lock");
         let speakers = self.speakers.lock().expect("speakers lock");
-        following::should_follow(Standing {
-            names_itself: speakers.contains(&self.settings.host),
-            relied_on_ago: had_subscribers_at.map(|at| now.duration_since(at)),
-            told_ago: self.peer_state_age(now),
+        watcher_selection::should_watch_store(WatchState {
+            selects_itself: speakers.contains(&self.settings.host),
+            selected_by_peer_ago: had_subscribers_at.map(|at| now.duration_since(at)),
+            synced_ago: self.peer_state_age(now),
         })
     }
 
@@ -386,7 +386,7 @@
     /// Whether this process follows the platform's store, or is told by one that does.
     pub fn is_current(&self, now: Instant) -> bool {
         let told = self.peer_state_age(now);
-        self.is_watching_store(now) || told.is_some_and(|ago| ago < following::TOLD_NOTHING)
+        self.is_watching_store(now) || told.is_some_and(|ago| ago < watcher_selection::MAX_SYNC_AGE)
     }
 
     /// How new the configuration and the list of servers are that are known here.
@@ -403,7 +403,7 @@
     pub fn subscribers(&self, rank: Rank, now: Instant) -> Vec<SocketAddr> {
         let own = &self.settings.host;
         self.peers.own_zone_addresses(now, |_, speakers| {
-            speakers::rank(own, std::iter::once(speakers)) == rank
+            representatives::highest_rank(own, std::iter::once(speakers)) == rank
         })
     }
 
@@ -421,7 +421,7 @@
         let own = self.speakers();
         let local = self.peers.own_zone_peers(now);
         let named = local.iter().map(|peer| peer.speakers.as_slice());
-        speakers::rank(&self.settings.host, named.chain([own.as_slice()]))
+        representatives::highest_rank(&self.settings.host, named.chain([own.as_slice()]))
     }
 
     /// Jobs that this process runs or closed a short while ago; sorted by job.
--- a/crates/foxwheel-node/src/peers/views.rs
+++ b/crates/foxwheel-node/src/peers/views.rs
@@ -6,7 +6,7 @@
 use foxwheel_core::ids::{NodeId, Zone};
 use foxwheel_policy::batch::ownership::Worker;
 use foxwheel_policy::quarantine::QuarantineState;
-use foxwheel_policy::speakers::Member;
+use foxwheel_policy::representatives::ZoneProcess;
 
 use crate::peer_calls::StoreStateVersion;
 use crate::peer_messages::{AgedSummary, Heartbeat, WorkerSummary};
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone)]
 pub struct ZonePeer {
     /// The process.
-    pub member: Member,
+    pub member: ZoneProcess,
     /// Where it takes messages.
     pub addr: SocketAddr,
     /// The speakers that it names, first choice first.
@@ -57,7 +57,7 @@
         let live = tables.peers.iter().filter(|peer| peer.is_live(now));
         let local = live.filter(|peer| peer.beat.zone == self.own_zone);
         let peers = local.map(|peer| ZonePeer {
-            member: Member {
+            member: ZoneProcess {
                 host: peer.beat.host.clone(),
                 is_worker: peer.beat.role == Role::Worker,
                 leaving: peer.beat.leaving,
--- a/crates/foxwheel-node/src/store_access.rs
+++ b/crates/foxwheel-node/src/store_access.rs
@@ -8,7 +8,7 @@
 use foxwheel_platform::store::{
     Listing, Object, Store, StoreError, WatchOutcome, Write, WriteOutcome,
 };
-use foxwheel_policy::following;
+use foxwheel_policy::watcher_selection;
 use rand::RngExt;
 use tokio::sync::Notify;
 
@@ -121,7 +121,10 @@
 
     /// Whether the store answers now, by a call that costs a tenth of another.
     pub async fn probe(&self, kind: &str, name: &str) -> Result<(), StoreError> {
-        let answered = self.store.probe(kind, name, following::PROBE_TIMEOUT).await;
+        let answered = self
+            .store
+            .probe(kind, name, watcher_selection::PROBE_TIMEOUT)
+            .await;
         self.note(StoreCall::Probe, &answered);
         answered
     }
--- a/crates/foxwheel-node/src/store_watch.rs
+++ b/crates/foxwheel-node/src/store_watch.rs
@@ -9,7 +9,7 @@
 use foxwheel_platform::{config, servers};
 use foxwheel_policy::membership::BackendServer;
 use foxwheel_policy::server_changes::ServerChange;
-use foxwheel_policy::{following, leaving};
+use foxwheel_policy::{drain_timing, watcher_selection};
 use tokio_util::sync::CancellationToken;
 
 use crate::node::Node;
@@ -96,7 +96,7 @@
         while !must_go_on && !node.should_watch_store(Instant::now()) {
             F::is_current(node).store(false, Ordering::Relaxed);
             revision = None;
-            tokio::time::sleep(following::LOOK_EVERY).await;
+            tokio::time::sleep(watcher_selection::CHECK_INTERVAL).await;
         }
         let step = follow_once(node, &follower, revision).await;
         F::is_current(node).store(step.is_ok(), Ordering::Relaxed);
@@ -127,7 +127,7 @@
 /// writes through peers when the store answers it again.
 async fn probe(node: &Node) {
     loop {
-        tokio::time::sleep(following::PROBE_EVERY).await;
+        tokio::time::sleep(watcher_selection::PROBE_INTERVAL).await;
         let now = Instant::now();
         let reached = node.store.failing_for(now).is_none();
         let follows = node.should_watch_store(now);
@@ -224,7 +224,7 @@
 
 impl Follower for ServerFollower {
     const KIND: &'static str = servers::KIND;
-    const PAUSE: Duration = leaving::CHANGES_PAUSE;
+    const PAUSE: Duration = drain_timing::WATCH_COALESCING_DELAY;
 
     fn is_current(node: &Node) -> &AtomicBool {
         &node.servers_are_current
--- a/crates/foxwheel-node/src/zone_representative.rs
+++ b/crates/foxwheel-node/src/zone_representative.rs
@@ -7,7 +7,7 @@
 
 use foxwheel_core::ids::{NodeId, Zone};
 use foxwheel_policy::membership::ServerState;
-use foxwheel_policy::speakers::Rank;
+use foxwheel_policy::representatives::Rank;
 use foxwheel_policy::zone_loads;
 
 use crate::datagram_sender::DatagramSender;
@@ -60,12 +60,12 @@
 
 /// Passes new summaries of other zones on to those who named this process.
 pub async fn pass_on_summaries(datagram_sender: &DatagramSender, node: &Node, now: Instant) {
-    for rank in [Rank::First, Rank::Second] {
+    for rank in [Rank::Primary, Rank::Secondary] {
         let subscribers = node.subscribers(rank, now);
         if subscribers.is_empty() {
             continue;
         }
-        let summaries = node.peers.summaries_to_forward(rank == Rank::First, now);
+        let summaries = node.peers.summaries_to_forward(rank == Rank::Primary, now);
         if !summaries.is_empty() {
             let message = PeerMessage::Summaries(summaries);
             datagram_sender.send(&message, &subscribers).await;
@@ -83,7 +83,7 @@
 ) {
     if node.peers.apply_cross_zone_loads(&told, now) && !told.passed_on {
         told.passed_on = true;
-        let subscribers = node.subscribers(Rank::First, now);
+        let subscribers = node.subscribers(Rank::Primary, now);
         let message = PeerMessage::GuestLoads(told);
         datagram_sender.send(&message, &subscribers).await;
     }
--- a/crates/foxwheel-policy/src/leaving.rs
+++ b/crates/foxwheel-policy/src/drain_timing.rs
@@ -6,32 +6,32 @@
 
 use std::time::Duration;
 
-use crate::following;
+use crate::watcher_selection;
 
 /// The shortest bound that users have set.
-pub const SHORTEST_BOUND: Duration = Duration::from_millis(2_000);
+pub const MIN_DRAIN_BOUND: Duration = Duration::from_millis(2_000);
 
 /// Pause of a follower after a watch that brought changes: servers register and drain
 /// together, and several changes cost one call.
-pub const CHANGES_PAUSE: Duration = Duration::from_millis(150);
+pub const WATCH_COALESCING_DELAY: Duration = Duration::from_millis(150);
 
 /// Longest time that a request is on its way to a server: two retransmissions at a usual
 /// distance. What has not arrived by then never will.
-pub const ON_ITS_WAY: Duration = Duration::from_millis(700);
+pub const MAX_TRANSIT_TIME: Duration = Duration::from_millis(700);
 
 /// Longest usual wait for the store's or a peer's answer.
 const ANSWER: Duration = Duration::from_millis(50);
 
 /// Longest time from the store's acknowledgement until a process that reaches the store knows
 /// of it, by its own watch or by a follower's word, whichever fails.
-pub fn known_after() -> Duration {
-    let by_watch = CHANGES_PAUSE + ANSWER;
+pub fn max_notification_delay() -> Duration {
+    let by_watch = WATCH_COALESCING_DELAY + ANSWER;
     // Nobody vouches for what it knows any more, so it lists the servers itself.
-    let by_list = following::TOLD_NOTHING + following::LOOK_EVERY + ANSWER;
+    let by_list = watcher_selection::MAX_SYNC_AGE + watcher_selection::CHECK_INTERVAL + ANSWER;
     by_watch.max(by_list)
 }
 
 /// Longest time from the store's acknowledgement until the last request has arrived.
-pub fn last_arrival_after() -> Duration {
-    known_after() + ON_ITS_WAY
+pub fn max_arrival_delay() -> Duration {
+    max_notification_delay() + MAX_TRANSIT_TIME
 }
--- a/crates/foxwheel-policy/src/lib.rs
+++ b/crates/foxwheel-policy/src/lib.rs
@@ -7,27 +7,27 @@
 pub mod backend_server;
 pub mod batch;
 pub mod config_in_force;
-pub mod following;
+pub mod drain_timing;
 pub mod health;
-pub mod leaving;
 pub mod load_reports;
 pub mod membership;
 pub mod moving_average;
 pub mod placement;
 pub mod quarantine;
+pub mod representatives;
 pub mod retry;
 pub mod routes;
 pub mod server_changes;
 pub mod server_index;
-pub mod speakers;
 pub mod stopping;
+pub mod watcher_selection;
 pub mod zone_loads;
 
 /// The decision modules, for `use foxwheel_policy::prelude::*`.
 pub mod prelude {
     pub use crate::{
-        admission, batch, config_in_force, following, health, leaving, load_reports, membership,
-        placement, quarantine, retry, routes, server_changes, server_index, speakers, stopping,
-        zone_loads,
+        admission, batch, config_in_force, drain_timing, health, load_reports, membership,
+        placement, quarantine, representatives, retry, routes, server_changes, server_index,
+        stopping, watcher_selection, zone_loads,
     };
 }
--- a/crates/foxwheel-policy/src/speakers.rs
+++ b/crates/foxwheel-policy/src/representatives.rs
@@ -14,38 +14,38 @@
 /// Silence after which another speaker is named: five heartbeats, so that a lost datagram or
 /// a busy processor changes nothing, and a third of the time after which the views of other
 /// zones count as too old.
-pub const SPEAKER_SILENCE: Duration = Duration::from_millis(500);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Speakers that each process names: the second one has what is needed when the first one
 /// dies, is cut off, or is turned away by the store.
-pub const SPEAKERS: usize = 2;
+pub const MAX_REPRESENTATIVES: usize = 2;
 
 /// What a process is taken for by somebody of its zone, itself included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rank {
     /// Nobody names it.
-    Listener,
+    None,
     /// Somebody names it as the second speaker.
-    Second,
+    Secondary,
     /// Somebody names it as the first speaker.
-    First,
+    Primary,
 }
 
 /// What `host` is taken for by those who named speakers so.
-pub fn rank<'a>(host: &str, named: impl Iterator<Item = &'a [NodeId]>) -> Rank {
+pub fn highest_rank<'a>(host: &str, named: impl Iterator<Item = &'a [NodeId]>) -> Rank {
     let ranks = named.map(
         |speakers| match speakers.iter().position(|one| one == host) {
-            Some(0) => Rank::First,
-            Some(_) => Rank::Second,
-            None => Rank::Listener,
+            Some(0) => Rank::Primary,
+            Some(_) => Rank::Secondary,
+            None => Rank::None,
         },
     );
-    ranks.max().unwrap_or(Rank::Listener)
+    ranks.max().unwrap_or(Rank::None)
 }
 
 /// A process of the zone as another one, or itself, sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Member {
+pub struct ZoneProcess {
     /// Its host.
     pub host: NodeId,
     /// It is a worker: there are few of them, and they know each other across zones.
@@ -59,13 +59,13 @@
 }
 
 /// The speakers among `members`, first choice first.
-pub fn pick(members: &[Member]) -> Vec<NodeId> {
-    let is_fresh = |member: &&Member| member.silent_for < SPEAKER_SILENCE;
-    let mut fresh: Vec<&Member> = members.iter().filter(is_fresh).collect();
+pub fn select(members: &[ZoneProcess]) -> Vec<NodeId> {
+    let is_fresh = |member: &&ZoneProcess| member.silent_for < SILENCE_TIMEOUT;
+    let mut fresh: Vec<&ZoneProcess> = members.iter().filter(is_fresh).collect();
     fresh.sort_unstable_by_key(|member| {
         let last_choice = (member.leaving, !member.store_reached, !member.is_worker);
         (last_choice, &member.host)
     });
-    let picked = fresh.into_iter().take(SPEAKERS);
+    let picked = fresh.into_iter().take(MAX_REPRESENTATIVES);
     picked.map(|member| member.host.clone()).collect()
 }
--- a/crates/foxwheel-policy/tests/leaving.rs
+++ b/crates/foxwheel-policy/tests/drain_timing.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use foxwheel_policy::{following, leaving};
+use foxwheel_policy::{drain_timing, watcher_selection};
 
 /// Each step kept to a bound of its own, chosen as a part of the same two seconds; together
 /// they took more than twice as long.
@@ -10,7 +10,7 @@
 fn the_steps_until_a_leaving_server_gets_nothing_stay_within_its_bound_together() {
     // Scheduling on a host with a tenth of a core.
     let slack = Duration::from_millis(100);
-    assert!(leaving::last_arrival_after() + slack <= leaving::SHORTEST_BOUND);
+    assert!(drain_timing::max_arrival_delay() + slack <= drain_timing::MIN_DRAIN_BOUND);
 }
 
 /// A follower's word must not grow too old between two of its probes while the store is slow.
@@ -18,7 +18,7 @@
 fn a_slow_store_makes_no_process_ask_for_itself() {
     let slow_answer = Duration::from_millis(300);
     let heartbeat = Duration::from_millis(100);
-    let oldest = following::PROBE_EVERY + slow_answer + heartbeat;
-    assert!(oldest < following::TOLD_NOTHING);
-    assert!(slow_answer < following::PROBE_TIMEOUT);
+    let oldest = watcher_selection::PROBE_INTERVAL + slow_answer + heartbeat;
+    assert!(oldest < watcher_selection::MAX_SYNC_AGE);
+    assert!(slow_answer < watcher_selection::PROBE_TIMEOUT);
 }
--- a/crates/foxwheel-policy/tests/speakers.rs
+++ b/crates/foxwheel-policy/tests/representatives.rs
@@ -3,11 +3,13 @@
 
 use std::time::Duration;
 
-use foxwheel_policy::following::{self, Standing};
-use foxwheel_policy::speakers::{self, Member, Rank, SPEAKERS, SPEAKER_SILENCE};
+use foxwheel_policy::representatives::{
+    self, Rank, ZoneProcess, MAX_REPRESENTATIVES, SILENCE_TIMEOUT,
+};
+use foxwheel_policy::watcher_selection::{self, WatchState};
 
-fn member(host: &str) -> Member {
-    Member {
+fn member(host: &str) -> ZoneProcess {
+    ZoneProcess {
         host: host.to_owned(),
         is_worker: host.starts_with("worker"),
         leaving: false,
@@ -16,7 +18,7 @@
     }
 }
 
-fn zone() -> Vec<Member> {
+fn zone() -> Vec<ZoneProcess> {
     ["front-1", "front-2", "front-3", "worker-1"]
         .map(member)
         .to_vec()
@@ -25,20 +27,20 @@
 #[test]
 fn workers_speak_first_and_all_who_hear_the_same_name_the_same() {
     let mut members = zone();
-    assert_eq!(speakers::pick(&members), ["worker-1", "front-1"]);
+    assert_eq!(representatives::select(&members), ["worker-1", "front-1"]);
     members.reverse();
-    assert_eq!(speakers::pick(&members), ["worker-1", "front-1"]);
+    assert_eq!(representatives::select(&members), ["worker-1", "front-1"]);
 }
 
 #[test]
 fn a_silent_leaving_or_cut_off_process_is_replaced() {
     let mut members = zone();
-    members[3].silent_for = SPEAKER_SILENCE;
-    assert_eq!(speakers::pick(&members), ["front-1", "front-2"]);
+    members[3].silent_for = SILENCE_TIMEOUT;
+    assert_eq!(representatives::select(&members), ["front-1", "front-2"]);
     members[0].store_reached = false;
-    assert_eq!(speakers::pick(&members), ["front-2", "front-3"]);
+    assert_eq!(representatives::select(&members), ["front-2", "front-3"]);
     members[1].leaving = true;
-    assert_eq!(speakers::pick(&members), ["front-3", "front-1"]);
+    assert_eq!(representatives::select(&members), ["front-3", "front-1"]);
 }
 
 /// While the store answers nobody the zone still has speakers, and one process alone names
@@ -49,8 +51,8 @@
     for one in &mut members {
         one.store_reached = false;
     }
-    assert_eq!(speakers::pick(&members), ["worker-1", "front-1"]);
-    assert_eq!(speakers::pick(&members[1..2]), ["front-2"]);
+    assert_eq!(representatives::select(&members), ["worker-1", "front-1"]);
+    assert_eq!(representatives::select(&members[1..2]), ["front-2"]);
 }
 
 /// However the processes of a zone hear each other, each finds somebody who follows: the two
@@ -71,11 +73,11 @@
                 }
                 members.push(one);
             }
-            let picked = speakers::pick(&members);
-            assert!(!picked.is_empty() && picked.len() <= SPEAKERS);
+            let picked = representatives::select(&members);
+            assert!(!picked.is_empty() && picked.len() <= MAX_REPRESENTATIVES);
             let all_silent = members
                 .iter()
-                .all(|one| one.host == own || one.silent_for >= SPEAKER_SILENCE);
+                .all(|one| one.host == own || one.silent_for >= SILENCE_TIMEOUT);
             if all_silent {
                 assert_eq!(picked, [own], "it is alone");
             }
@@ -87,40 +89,43 @@
 
 #[test]
 fn who_is_named_or_told_nothing_follows() {
-    let told = Standing {
-        names_itself: false,
-        relied_on_ago: None,
-        told_ago: Some(Duration::from_millis(100)),
+    let told = WatchState {
+        selects_itself: false,
+        selected_by_peer_ago: None,
+        synced_ago: Some(Duration::from_millis(100)),
     };
-    assert!(!following::should_follow(told));
+    assert!(!watcher_selection::should_watch_store(told));
     let follows = [
-        Standing {
-            names_itself: true,
+        WatchState {
+            selects_itself: true,
             ..told
         },
-        Standing {
-            relied_on_ago: Some(Duration::ZERO),
+        WatchState {
+            selected_by_peer_ago: Some(Duration::ZERO),
             ..told
         },
         // The follower died, froze, or lost the store: it tells nothing any more.
-        Standing {
-            told_ago: Some(following::TOLD_NOTHING),
+        WatchState {
+            synced_ago: Some(watcher_selection::MAX_SYNC_AGE),
             ..told
         },
         // It just started and heard nobody.
-        Standing {
-            told_ago: None,
+        WatchState {
+            synced_ago: None,
             ..told
         },
     ];
     for standing in follows {
-        assert!(following::should_follow(standing), "{standing:?}");
+        assert!(
+            watcher_selection::should_watch_store(standing),
+            "{standing:?}"
+        );
     }
-    let no_longer = Standing {
-        relied_on_ago: Some(following::LINGER),
+    let no_longer = WatchState {
+        selected_by_peer_ago: Some(watcher_selection::STOP_WATCHING_DELAY),
         ..told
     };
-    assert!(!following::should_follow(no_longer));
+    assert!(!watcher_selection::should_watch_store(no_longer));
 }
 
 /// Processes that hear each other differently name different speakers: each of those acts.
@@ -133,9 +138,9 @@
         named(&["worker-1", "front-1"]),
         named(&["front-1", "front-2"]),
     ];
-    let rank = |host| speakers::rank(host, all.iter().map(Vec::as_slice));
-    assert_eq!(rank("worker-1"), Rank::First);
-    assert_eq!(rank("front-1"), Rank::First, "by one of them");
-    assert_eq!(rank("front-2"), Rank::Second);
-    assert_eq!(rank("front-3"), Rank::Listener);
+    let rank = |host| representatives::highest_rank(host, all.iter().map(Vec::as_slice));
+    assert_eq!(rank("worker-1"), Rank::Primary);
+    assert_eq!(rank("front-1"), Rank::Primary, "by one of them");
+    assert_eq!(rank("front-2"), Rank::Secondary);
+    assert_eq!(rank("front-3"), Rank::None);
 }
