--- a/crates/foxwheel-node/src/cross_zone_clients.rs
+++ b/crates/foxwheel-node/src/cross_zone_clients.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use foxwheel_core::ids::{Incarnation, NodeId, Zone};
-use foxwheel_policy::load_reports::DEAD_AFTER;
+use foxwheel_policy::load_reports::DEAD_TIMEOUT;
 
 use crate::load_sums::LoadSums;
 use crate::peer_messages::CrossZoneLoads;
@@ -74,7 +74,7 @@
     /// Forgets guests that fell silent; answers when the next one would.
     pub fn forget_silent(&mut self, sums: &mut LoadSums, now: Instant) -> Option<Instant> {
         self.cross_zone_clients.retain_mut(|guest| {
-            let lives = now.duration_since(guest.heard_at) < DEAD_AFTER;
+            let lives = now.duration_since(guest.heard_at) < DEAD_TIMEOUT;
             if !lives {
                 guest.told.remove_from_sums(sums);
             }
@@ -83,7 +83,7 @@
         let deaths = self
             .cross_zone_clients
             .iter()
-            .map(|guest| guest.heard_at + DEAD_AFTER);
+            .map(|guest| guest.heard_at + DEAD_TIMEOUT);
         deaths.min()
     }
 }
--- a/crates/foxwheel-node/src/heartbeat.rs
+++ b/crates/foxwheel-node/src/heartbeat.rs
@@ -11,7 +11,7 @@
 
 use foxwheel_core::ids::Zone;
 use foxwheel_core::metric_names::Counter;
-use foxwheel_policy::load_reports::{self, ChangeClock};
+use foxwheel_policy::load_reports::{self, ReportTimer};
 use foxwheel_policy::quarantine::QuarantineState;
 use foxwheel_policy::representatives::Rank;
 use tokio::net::UdpSocket;
@@ -50,8 +50,8 @@
         sequence,
         heartbeats: 0,
         next_heartbeat_at: Instant::now(),
-        changes: ChangeClock::new(load_reports::CHANGES_GAP),
-        cross_zone_loads: ChangeClock::new(load_reports::GUEST_LOADS_GAP),
+        changes: ReportTimer::new(load_reports::MIN_CHANGES_INTERVAL),
+        cross_zone_loads: ReportTimer::new(load_reports::MIN_CROSS_ZONE_LOADS_INTERVAL),
         visited: Vec::new(),
     };
     tokio::select! {
@@ -73,7 +73,7 @@
             Ok((length, _)) => &buffer[..length],
             Err(e) => {
                 log::warn!(error:% = e; "heartbeat not received");
-                tokio::time::sleep(load_reports::HEARTBEAT_EVERY).await;
+                tokio::time::sleep(load_reports::HEARTBEAT_INTERVAL).await;
                 continue;
             }
         };
@@ -179,15 +179,15 @@
     /// Heartbeats so far.
     heartbeats: u64,
     next_heartbeat_at: Instant,
-    changes: ChangeClock,
-    cross_zone_loads: ChangeClock,
+    changes: ReportTimer,
+    cross_zone_loads: ReportTimer,
     /// Other zones to be told of the load on their servers; sorted.
     visited: Vec<Zone>,
 }
 
 impl Sender {
     async fn run(mut self) {
-        let mut ticks = tokio::time::interval(load_reports::HEARTBEAT_EVERY);
+        let mut ticks = tokio::time::interval(load_reports::HEARTBEAT_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let node = Arc::clone(&self.node);
         loop {
@@ -201,10 +201,10 @@
             let now = Instant::now();
             if let Some(cause) = heartbeat.filter(|_| now >= self.next_heartbeat_at) {
                 let bytes = self.send_heartbeat(cause, now).await;
-                self.next_heartbeat_at = now + load_reports::pause_after(bytes);
+                self.next_heartbeat_at = now + load_reports::min_delay_after(bytes);
             }
             if self.changes.is_due(now) && node.loads.has_changes() {
-                self.changes.note(now);
+                self.changes.record_report(now);
                 self.send_changes(now).await;
             }
             if self.cross_zone_loads.is_due(now) && !self.visited.is_empty() {
@@ -236,7 +236,7 @@
         }
         let message = PeerMessage::Heartbeat(beat.clone());
         let bytes = self.datagram_sender.send(&message, &local).await;
-        if self.heartbeats % load_reports::LOCAL_PER_REMOTE == 1 {
+        if self.heartbeats % load_reports::REPORTS_PER_REMOTE_REPORT == 1 {
             beat.loads.clear();
             let beyond = self
                 .node
@@ -249,8 +249,8 @@
             zone_representative::ask_silent_zones(&self.datagram_sender, &self.node, now).await;
         }
         let per_summary = match self.node.representative_rank(now) {
-            Rank::Primary => Some(load_reports::LOCAL_PER_SUMMARY),
-            Rank::Secondary => Some(load_reports::LOCAL_PER_SECOND_SUMMARY),
+            Rank::Primary => Some(load_reports::REPORTS_PER_SUMMARY),
+            Rank::Secondary => Some(load_reports::REPORTS_PER_SECONDARY_SUMMARY),
             Rank::None => None,
         };
         if per_summary.is_some_and(|per_summary| self.heartbeats % per_summary == 1) {
--- a/crates/foxwheel-node/src/load_table.rs
+++ b/crates/foxwheel-node/src/load_table.rs
@@ -7,7 +7,7 @@
 use foxwheel_core::ids::ServerId;
 use foxwheel_policy::health::Outcomes;
 use foxwheel_policy::membership::ServerKey;
-use foxwheel_policy::zone_loads::Requests;
+use foxwheel_policy::zone_loads::RequestCounts;
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
@@ -74,8 +74,8 @@
 
 impl ServerLoad {
     /// The load alone.
-    pub fn requests(&self) -> Requests {
-        Requests {
+    pub fn requests(&self) -> RequestCounts {
+        RequestCounts {
             online: self.online,
             batch: self.batch,
         }
--- a/crates/foxwheel-node/src/node.rs
+++ b/crates/foxwheel-node/src/node.rs
@@ -19,7 +19,7 @@
 use foxwheel_policy::routes::Config;
 use foxwheel_policy::server_index::{self, ServerIndex};
 use foxwheel_policy::watcher_selection::{self, WatchState};
-use foxwheel_policy::zone_loads::Requests;
+use foxwheel_policy::zone_loads::RequestCounts;
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
@@ -175,7 +175,7 @@
         tried: &[ServerKey],
         now: Instant,
     ) -> Vec<Candidate> {
-        self.sample(service, server_index::MOST_LOCAL, now)
+        self.sample(service, server_index::MAX_LOCAL_SAMPLE, now)
             .iter()
             .filter(|key| !tried.contains(key))
             .filter_map(|key| self.candidate(key, now))
@@ -184,7 +184,7 @@
 
     /// Servers of `service` as places for batch items: a larger sample.
     pub fn batch_candidates(&self, service: &str, now: Instant) -> Vec<Candidate> {
-        self.sample(service, server_index::MOST_FOR_BATCH, now)
+        self.sample(service, server_index::MAX_BATCH_SAMPLE, now)
             .iter()
             .filter_map(|key| self.candidate(key, now))
             .collect()
@@ -194,16 +194,18 @@
         let index = self.server_index();
         let draw = rand::random::<u32>() as usize;
         let mut sampled = Vec::new();
-        for group in index.of_service(service) {
+        for group in index.groups_of_service(service) {
             if group.zone == self.settings.availability_zone {
                 sampled.extend(group.sample(most_local, draw).cloned());
                 continue;
             }
-            let most = server_index::MOST_REMOTE;
+            let most = server_index::MAX_REMOTE_SAMPLE;
             let told = self.peers.summarized_servers(&group.zone, now);
             match told.filter(|_| group.len() > most) {
                 Some(told) => {
-                    let servers = told.iter().filter_map(|one| group.by_fingerprint(*one));
+                    let servers = told
+                        .iter()
+                        .filter_map(|one| group.find_by_fingerprint(*one));
                     sampled.extend(servers.take(most).cloned());
                 }
                 None => sampled.extend(group.sample(most, draw).cloned()),
@@ -241,7 +243,7 @@
     fn candidate_of(&self, member: &membership::Member, key: ServerKey, now: Instant) -> Candidate {
         let server = &member.server;
         let own = self.loads.own_load(&key, now);
-        let own_requests = Requests {
+        let own_requests = RequestCounts {
             online: own.online,
             batch: own.batch,
         };
@@ -250,7 +252,7 @@
                 .other_zone_load(&server.zone, &key, server.slots, own_requests, now);
         let load = elsewhere.unwrap_or_else(|| {
             let (online, batch) = self.peers.in_flight(&key, now);
-            Requests {
+            RequestCounts {
                 online: own.online + online,
                 batch: own.batch + batch,
             }
@@ -273,7 +275,10 @@
     /// When a caller should come back who found every slot of `service` taken.
     pub fn retry_after_full(&self, service: &ServiceName, now: Instant) -> Duration {
         let index = self.server_index();
-        let slots = index.of_service(service).map(|group| group.slots).sum();
+        let slots = index
+            .groups_of_service(service)
+            .map(|group| group.slots)
+            .sum();
         let fronts = self.peers.other_front_count(now) + 1;
         self.hold_times.retry_after(service, slots, fronts, now)
     }
--- a/crates/foxwheel-node/src/other_zones.rs
+++ b/crates/foxwheel-node/src/other_zones.rs
@@ -4,10 +4,10 @@
 use std::time::Instant;
 
 use foxwheel_core::ids::Zone;
-use foxwheel_policy::load_reports::{DEAD_AFTER, PASS_ON_AFTER};
+use foxwheel_policy::load_reports::{DEAD_TIMEOUT, SECONDARY_RELAY_DELAY};
 use foxwheel_policy::membership::ServerKey;
 use foxwheel_policy::quarantine::QuarantineState;
-use foxwheel_policy::zone_loads::{self, Requests, ServerFingerprint};
+use foxwheel_policy::zone_loads::{self, RequestCounts, ServerFingerprint};
 
 use crate::peer_messages::{AgedSummary, WorkerSummary, ZoneSummary};
 
@@ -86,15 +86,15 @@
         zone: &Zone,
         server: &ServerKey,
         slots: u32,
-        own_zone: Requests,
+        own_zone: RequestCounts,
         now: Instant,
-    ) -> Option<Requests> {
+    ) -> Option<RequestCounts> {
         let other = self.live(now).find(|other| other.summary.zone == *zone)?;
         let fingerprint = zone_loads::fingerprint(server);
         let Some(told) = find(&other.summary.servers, fingerprint) else {
-            return Some(zone_loads::untold(slots, own_zone));
+            return Some(zone_loads::estimate_unreported(slots, own_zone));
         };
-        Some(zone_loads::with_own(told, own_zone))
+        Some(zone_loads::estimate_reported(told, own_zone))
     }
 
     /// The servers that a speaker of `zone` told of, if one lives.
@@ -133,7 +133,7 @@
     pub fn workers(&self, now: Instant) -> impl Iterator<Item = (&Zone, &WorkerSummary)> {
         self.live(now).flat_map(move |other| {
             let age = now.duration_since(other.told_at);
-            let lives = move |note: &&WorkerSummary| age + note.silent_for < DEAD_AFTER;
+            let lives = move |note: &&WorkerSummary| age + note.silent_for < DEAD_TIMEOUT;
             let workers = other.summary.workers.iter().filter(lives);
             workers.map(|note| (&other.summary.zone, note))
         })
@@ -155,9 +155,9 @@
             any_news |= is_news;
             let is_left_out = other
                 .passed_on_at
-                .is_none_or(|at| now.duration_since(at) >= PASS_ON_AFTER);
+                .is_none_or(|at| now.duration_since(at) >= SECONDARY_RELAY_DELAY);
             let age = now.duration_since(other.told_at);
-            if age < DEAD_AFTER && (is_first || (is_news && is_left_out)) {
+            if age < DEAD_TIMEOUT && (is_first || (is_news && is_left_out)) {
                 summaries_to_forward.push(AgedSummary {
                     age,
                     summary: other.summary.clone(),
@@ -171,12 +171,15 @@
     }
 
     fn live(&self, now: Instant) -> impl Iterator<Item = &OtherZone> {
-        let lives = move |other: &&OtherZone| now.duration_since(other.told_at) < DEAD_AFTER;
+        let lives = move |other: &&OtherZone| now.duration_since(other.told_at) < DEAD_TIMEOUT;
         self.zones.iter().filter(lives)
     }
 }
 
-fn find(servers: &[(ServerFingerprint, Requests)], server: ServerFingerprint) -> Option<Requests> {
+fn find(
+    servers: &[(ServerFingerprint, RequestCounts)],
+    server: ServerFingerprint,
+) -> Option<RequestCounts> {
     let found = servers.binary_search_by_key(&server, |(server, _)| *server);
     found.ok().map(|at| servers[at].1)
 }
--- a/crates/foxwheel-node/src/peer_messages.rs
+++ b/crates/foxwheel-node/src/peer_messages.rs
@@ -6,7 +6,7 @@
 use foxwheel_policy::batch::ownership::JobClaim;
 use foxwheel_policy::membership::ServerKey;
 use foxwheel_policy::quarantine::QuarantineState;
-use foxwheel_policy::zone_loads::{Requests, ServerFingerprint};
+use foxwheel_policy::zone_loads::{RequestCounts, ServerFingerprint};
 use serde::{Deserialize, Serialize};
 use serde_with::{serde_as, DurationMilliSeconds};
 
@@ -111,7 +111,7 @@
     /// Fronts that live there.
     pub fronts: u32,
     /// Load on the zone's servers from all zones but the one that is told; sorted by server.
-    pub servers: Vec<(ServerFingerprint, Requests)>,
+    pub servers: Vec<(ServerFingerprint, RequestCounts)>,
     /// Starts of servers that the zone found to be gone; sorted.
     pub gone: Vec<ServerKey>,
     /// The zone's workers; sorted by host.
--- a/crates/foxwheel-node/src/peers.rs
+++ b/crates/foxwheel-node/src/peers.rs
@@ -8,9 +8,9 @@
 use std::time::Instant;
 
 use foxwheel_core::ids::Zone;
-use foxwheel_policy::load_reports::DEAD_AFTER;
+use foxwheel_policy::load_reports::DEAD_TIMEOUT;
 use foxwheel_policy::membership::ServerKey;
-use foxwheel_policy::zone_loads::{self, Requests, ServerFingerprint};
+use foxwheel_policy::zone_loads::{self, RequestCounts, ServerFingerprint};
 
 use crate::cross_zone_clients::CrossZoneClients;
 use crate::load_sums::LoadSums;
@@ -163,7 +163,7 @@
     pub fn apply_cross_zone_loads(&self, told: &CrossZoneLoads, now: Instant) -> bool {
         let tables = &mut *self.lock();
         let is_news = tables.cross_zone_clients.take(told, &mut tables.sums, now);
-        tables.expect_death(now + DEAD_AFTER);
+        tables.expect_death(now + DEAD_TIMEOUT);
         is_news
     }
 
@@ -232,26 +232,26 @@
         zone: &Zone,
         server: &ServerKey,
         slots: u32,
-        own: Requests,
+        own: RequestCounts,
         now: Instant,
-    ) -> Option<Requests> {
+    ) -> Option<RequestCounts> {
         if *zone == self.own_zone {
             return None;
         }
         let mut tables = self.lock();
         tables.notice_deaths(now);
         let (online, batch) = tables.sums.get(server);
-        let own_zone = Requests {
+        let own_zone = RequestCounts {
             online: own.online + online,
             batch: own.batch + batch,
         };
         let told = tables.other_zones.load(zone, server, slots, own_zone, now);
         Some(told.unwrap_or_else(|| {
             if tables.peer_directory.of_zone(zone).next().is_some() {
-                return zone_loads::silent(slots, own_zone);
+                return zone_loads::estimate_silent_zone(slots, own_zone);
             }
             let zones = tables.peer_directory.other_zones(&self.own_zone).len() + 1;
-            zone_loads::shared_evenly(zones as u32, own_zone)
+            zone_loads::estimate_zone_without_processes(zones as u32, own_zone)
         }))
     }
 
@@ -303,7 +303,7 @@
 
 impl Peer {
     fn is_live(&self, now: Instant) -> bool {
-        now.duration_since(self.heard_at) < DEAD_AFTER
+        now.duration_since(self.heard_at) < DEAD_TIMEOUT
     }
 }
 
@@ -319,7 +319,7 @@
         if gone_before != self.peers[at].beat.gone {
             self.collect_gone();
         }
-        self.expect_death(now + DEAD_AFTER);
+        self.expect_death(now + DEAD_TIMEOUT);
     }
 
     fn set_load(&mut self, at: usize, load: ServerLoad) {
@@ -345,7 +345,7 @@
         let mut deaths = Vec::new();
         for peer in &mut self.peers {
             match peer.is_live(now) {
-                true => deaths.push(peer.heard_at + DEAD_AFTER),
+                true => deaths.push(peer.heard_at + DEAD_TIMEOUT),
                 false => peer.told.remove_from_sums(&mut self.sums),
             }
         }
--- a/crates/foxwheel-node/src/zone_representative.rs
+++ b/crates/foxwheel-node/src/zone_representative.rs
@@ -143,7 +143,7 @@
     node: &Node,
     told_zone: &Zone,
     now: Instant,
-) -> Vec<(zone_loads::ServerFingerprint, zone_loads::Requests)> {
+) -> Vec<(zone_loads::ServerFingerprint, zone_loads::RequestCounts)> {
     let theirs = node.peers.cross_zone_loads(told_zone, now);
     let directory = node.directory.lock().expect("directory lock");
     let local = directory.members().iter().filter(|member| {
@@ -155,11 +155,11 @@
         let own = node.loads.own_load(&key, now);
         let (online, batch) = node.peers.in_flight(&key, now);
         let (their_online, their_batch) = theirs.get(&key);
-        let load = zone_loads::Requests {
+        let load = zone_loads::RequestCounts {
             online: own.online + online.saturating_sub(their_online),
             batch: own.batch + batch.saturating_sub(their_batch),
         };
         (zone_loads::fingerprint(&key), load, member.server.slots)
     });
-    zone_loads::told_servers(servers.collect())
+    zone_loads::select_freest_servers(servers.collect())
 }
--- a/crates/foxwheel-node/tests/peers.rs
+++ b/crates/foxwheel-node/tests/peers.rs
@@ -13,10 +13,10 @@
 };
 use foxwheel_node::peers::Peers;
 use foxwheel_node::settings::Role;
-use foxwheel_policy::load_reports::{self, DEAD_AFTER};
+use foxwheel_policy::load_reports::{self, DEAD_TIMEOUT};
 use foxwheel_policy::membership::ServerKey;
 use foxwheel_policy::placement::{self, Candidate};
-use foxwheel_policy::zone_loads::{self, Requests};
+use foxwheel_policy::zone_loads::{self, RequestCounts};
 
 fn addr(host: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, host], 7_660))
@@ -67,7 +67,7 @@
     assert!(peers.apply_heartbeat(beat(2, 1, &[]), addr(1), now));
     assert_eq!(peers.in_flight(&server(1), now), (2, 1));
     assert_eq!(peers.live_workers(now).len(), 1);
-    let later = now + DEAD_AFTER;
+    let later = now + DEAD_TIMEOUT;
     assert!(peers.live_workers(later).is_empty());
     assert_eq!(peers.in_flight(&server(1), later), (0, 0));
     assert!(
@@ -99,7 +99,7 @@
 fn a_worker_that_others_hear_lives() {
     let (peers, start) = (peers(), Instant::now());
     peers.apply_heartbeat(beat(2, 1, &[]), addr(1), start);
-    let later = start + DEAD_AFTER + Duration::from_millis(1);
+    let later = start + DEAD_TIMEOUT + Duration::from_millis(1);
     peers.apply_heartbeat(beat(3, 1, &[2]), addr(1), later);
     let workers = peers.live_workers(later);
     let heard: Vec<(&str, bool)> = workers.iter().map(|w| (w.node.as_str(), w.heard)).collect();
@@ -145,8 +145,8 @@
         postcard::from_bytes::<Heartbeat>(&bytes).expect("it decodes"),
         large
     );
-    assert_eq!(load_reports::pause_after(1_000), Duration::ZERO);
-    let pause = load_reports::pause_after(bytes.len());
+    assert_eq!(load_reports::min_delay_after(1_000), Duration::ZERO);
+    let pause = load_reports::min_delay_after(bytes.len());
     let bytes_per_s = bytes.len() as f64 / pause.as_secs_f64();
     assert!(bytes_per_s < 80_000.0, "{bytes_per_s}");
 }
@@ -173,7 +173,7 @@
         !peers.is_reported_dead(&server(2), now),
         "a later start is another one"
     );
-    assert!(!peers.is_reported_dead(&server(1), now + DEAD_AFTER));
+    assert!(!peers.is_reported_dead(&server(1), now + DEAD_TIMEOUT));
     peers.apply_heartbeat(beat(2, 2, &[]), addr(1), now);
     assert!(!peers.is_reported_dead(&server(1), now));
 }
@@ -246,7 +246,7 @@
                 };
                 peers.apply_load_changes(changes, now);
                 let known = &mut told[usize::from(host)];
-                if known.is_some_and(|(at, _)| now.duration_since(at) < DEAD_AFTER) {
+                if known.is_some_and(|(at, _)| now.duration_since(at) < DEAD_TIMEOUT) {
                     *known = Some((now, (online, batch)));
                 }
             } else {
@@ -254,7 +254,7 @@
                 told[usize::from(host)] = Some((now, (online, batch)));
             }
             let live = told.iter().flatten();
-            let live = live.filter(|(at, _)| now.duration_since(*at) < DEAD_AFTER);
+            let live = live.filter(|(at, _)| now.duration_since(*at) < DEAD_TIMEOUT);
             let sum = live.fold((0, 0), |sum, (_, load)| (sum.0 + load.0, sum.1 + load.1));
             assert_eq!(peers.in_flight(&server(1), now), sum);
         }
@@ -263,7 +263,7 @@
 }
 
 fn summary(host: u8, incarnation: u64, sequence: u64, online: u32) -> ZoneSummary {
-    let load = Requests { online, batch: 0 };
+    let load = RequestCounts { online, batch: 0 };
     ZoneSummary {
         zone: "yard".to_owned(),
         host: format!("host-{host}"),
@@ -293,7 +293,7 @@
 
 fn load_in_yard(peers: &Peers, now: Instant) -> Option<u32> {
     let zone = "yard".to_owned();
-    let load = peers.other_zone_load(&zone, &server(1), 8, Requests::default(), now)?;
+    let load = peers.other_zone_load(&zone, &server(1), 8, RequestCounts::default(), now)?;
     Some(load.online)
 }
 
@@ -338,7 +338,7 @@
     peers.apply_summary(aged(1_000, summary(5, 1, 1, 4)), SummarySource::Direct, now);
     assert_eq!(peers.live_workers(now).len(), 1);
     assert_eq!(peers.other_front_count(now), 3);
-    let later = now + DEAD_AFTER - Duration::from_millis(1_000);
+    let later = now + DEAD_TIMEOUT - Duration::from_millis(1_000);
     assert_eq!(
         load_in_yard(&peers, later),
         Some(6),
@@ -358,7 +358,7 @@
     peers.apply_heartbeat(sends, addr(1), now);
     assert_eq!(load_in_yard(&peers, now), Some(6));
     let zone = "yard".to_owned();
-    let untold = peers.other_zone_load(&zone, &server(9), 8, Requests::default(), now);
+    let untold = peers.other_zone_load(&zone, &server(9), 8, RequestCounts::default(), now);
     assert_eq!(untold.expect("somebody speaks for it").total(), 8);
 }
 
@@ -399,7 +399,7 @@
     assert_eq!(of_yard.get(&server(1)), (1, 0));
     let of_attic = peers.cross_zone_loads(&"attic".to_owned(), now);
     assert_eq!(of_attic.get(&server(1)), (0, 0));
-    assert_eq!(peers.in_flight(&server(1), now + DEAD_AFTER), (0, 0));
+    assert_eq!(peers.in_flight(&server(1), now + DEAD_TIMEOUT), (0, 0));
 }
 
 /// Processes of other zones are told only what they must know: a front tells nothing beyond
@@ -502,7 +502,10 @@
     assert!(peers.silent_zone_recipients(now).is_empty());
     peers.apply_summary(aged(0, summary(5, 1, 1, 4)), SummarySource::Forwarded, now);
     assert!(peers.silent_zone_recipients(now).is_empty());
-    assert_eq!(peers.silent_zone_recipients(now + DEAD_AFTER), [[addr(5)]]);
+    assert_eq!(
+        peers.silent_zone_recipients(now + DEAD_TIMEOUT),
+        [[addr(5)]]
+    );
 }
 
 /// A front whose zone is full knows how full another zone's server is of requests that came
@@ -510,7 +513,7 @@
 #[test]
 fn a_full_zone_knows_how_full_another_is() {
     const SLOTS: u32 = 8;
-    let candidate = |zone: &str, load: Requests| Candidate {
+    let candidate = |zone: &str, load: RequestCounts| Candidate {
         id: format!("server of {zone}"),
         zone: zone.to_owned(),
         slots: SLOTS,
@@ -529,10 +532,10 @@
             &"yard".to_owned(),
             &server(1),
             SLOTS,
-            Requests::default(),
+            RequestCounts::default(),
             now,
         );
-        let local = Requests {
+        let local = RequestCounts {
             online: 10,
             batch: 0,
         };
--- a/crates/foxwheel-policy/src/server_index.rs
+++ b/crates/foxwheel-policy/src/server_index.rs
@@ -12,15 +12,15 @@
 use crate::zone_loads::{self, ServerFingerprint};
 
 /// Most servers of the own zone that one choice looks at.
-pub const MOST_LOCAL: usize = 32;
+pub const MAX_LOCAL_SAMPLE: usize = 32;
 
 /// Most servers of each other zone that one choice looks at: what is known of them is older,
 /// and fronts that look at fewer of them crowd less.
-pub const MOST_REMOTE: usize = 16;
+pub const MAX_REMOTE_SAMPLE: usize = 16;
 
 /// Most servers of a service that a worker looks at in one round; the next round, a few tens
 /// of milliseconds later, draws others.
-pub const MOST_FOR_BATCH: usize = 64;
+pub const MAX_BATCH_SAMPLE: usize = 64;
 
 /// The servers of a service in one zone that take new work.
 #[derive(Debug, Clone, Default)]
@@ -66,7 +66,7 @@
     }
 
     /// The groups of `service`.
-    pub fn of_service<'a>(
+    pub fn groups_of_service<'a>(
         &'a self,
         service: &'a str,
     ) -> impl Iterator<Item = &'a ServerGroup> + 'a {
@@ -101,7 +101,7 @@
     }
 
     /// The server with that fingerprint.
-    pub fn by_fingerprint(&self, fingerprint: ServerFingerprint) -> Option<&ServerKey> {
+    pub fn find_by_fingerprint(&self, fingerprint: ServerFingerprint) -> Option<&ServerKey> {
         let found = self
             .by_fingerprint
             .binary_search_by_key(&fingerprint, |(known, _)| *known);
--- a/crates/foxwheel-policy/tests/load_reports.rs
+++ b/crates/foxwheel-policy/tests/load_reports.rs
@@ -2,18 +2,18 @@
 
 use std::time::{Duration, Instant};
 
-use foxwheel_policy::load_reports::{self, ChangeClock};
+use foxwheel_policy::load_reports::{self, ReportTimer};
 
 /// A step of 1,600 requests a second at one front: two changes each, told together.
 #[test]
 fn changes_are_told_at_once_and_together_when_they_are_many() {
     let start = Instant::now();
-    let mut clock = ChangeClock::new(load_reports::CHANGES_GAP);
+    let mut clock = ReportTimer::new(load_reports::MIN_CHANGES_INTERVAL);
     let mut told = 0;
     for change in 0..3_200 {
         let now = start + Duration::from_secs(1) * change / 3_200;
         if clock.is_due(now) {
-            clock.note(now);
+            clock.record_report(now);
             told += 1;
         }
     }
@@ -31,6 +31,7 @@
     let wide = |recipients| (1..=30).filter(move |n| load_reports::is_zone_wide(*n, recipients));
     assert_eq!(wide(8).count(), 30);
     assert_eq!(wide(79).count(), 10);
-    let between = load_reports::HEARTBEAT_EVERY * load_reports::PER_ZONE_WIDE as u32;
-    assert!(between * 4 < load_reports::DEAD_AFTER);
+    let between =
+        load_reports::HEARTBEAT_INTERVAL * load_reports::REPORTS_PER_ZONE_WIDE_REPORT as u32;
+    assert!(between * 4 < load_reports::DEAD_TIMEOUT);
 }
--- a/crates/foxwheel-policy/tests/ownership.rs
+++ b/crates/foxwheel-policy/tests/ownership.rs
@@ -46,7 +46,8 @@
 #[test]
 fn jobs_are_taken_after_a_start_of_the_whole_fleet_once_the_others_were_heard() {
     let started_at = Instant::now();
-    let between_zones = load_reports::HEARTBEAT_EVERY * load_reports::LOCAL_PER_REMOTE as u32;
+    let between_zones =
+        load_reports::HEARTBEAT_INTERVAL * load_reports::REPORTS_PER_REMOTE_REPORT as u32;
     let told_and_one_lost = started_at + between_zones * 3;
     assert!(!ownership::has_heard_all(started_at, told_and_one_lost));
     let after = started_at + between_zones * 4;
--- a/crates/foxwheel-policy/tests/server_index.rs
+++ b/crates/foxwheel-policy/tests/server_index.rs
@@ -2,7 +2,7 @@
 
 use foxwheel_policy::membership::{BackendServer, Directory, ServerState};
 use foxwheel_policy::placement::{self, Candidate};
-use foxwheel_policy::server_index::{ServerIndex, MOST_LOCAL};
+use foxwheel_policy::server_index::{ServerIndex, MAX_LOCAL_SAMPLE};
 use foxwheel_policy::zone_loads;
 use rand::{RngExt, SeedableRng};
 
@@ -31,7 +31,7 @@
 fn a_sample_is_bounded_whole_if_small_and_leaves_no_server_out() {
     for count in [0, 1, 9, 40, 700] {
         let index = index(count);
-        let Some(group) = index.of_service("model").next() else {
+        let Some(group) = index.groups_of_service("model").next() else {
             assert_eq!(count, 0);
             continue;
         };
@@ -39,15 +39,15 @@
         assert_eq!((group.len(), group.slots), (ready, ready as u32 * SLOTS));
         let mut seen = Vec::new();
         for draw in 0..group.len() {
-            let sample: Vec<_> = group.sample(MOST_LOCAL, draw).collect();
-            assert_eq!(sample.len(), ready.min(MOST_LOCAL));
+            let sample: Vec<_> = group.sample(MAX_LOCAL_SAMPLE, draw).collect();
+            assert_eq!(sample.len(), ready.min(MAX_LOCAL_SAMPLE));
             seen.extend(sample.into_iter().cloned());
         }
         seen.sort_unstable();
         seen.dedup();
         assert_eq!(seen.len(), ready);
         for server in &seen {
-            let found = group.by_fingerprint(zone_loads::fingerprint(server));
+            let found = group.find_by_fingerprint(zone_loads::fingerprint(server));
             assert_eq!(found, Some(server));
         }
     }
@@ -60,11 +60,11 @@
     for seed in 0..5 {
         let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
         let index = index(667);
-        let group = index.of_service("model").next().expect("a group");
+        let group = index.groups_of_service("model").next().expect("a group");
         let mut in_flight: Vec<u32> = vec![0; 667];
         let number = |id: &str| -> usize { id["server-".len()..].parse().expect("a number") };
         for _ in 0..group.slots * 9 / 10 {
-            let sample = group.sample(MOST_LOCAL, rng.random_range(0..10_000));
+            let sample = group.sample(MAX_LOCAL_SAMPLE, rng.random_range(0..10_000));
             let candidates: Vec<Candidate> = sample
                 .map(|key| Candidate {
                     id: key.id.clone(),
--- a/crates/foxwheel-policy/tests/zone_loads.rs
+++ b/crates/foxwheel-policy/tests/zone_loads.rs
@@ -2,10 +2,10 @@
 
 use foxwheel_policy::membership::ServerKey;
 use foxwheel_policy::placement::{self, Candidate};
-use foxwheel_policy::zone_loads::{self, Requests, MAX_TOLD_SERVERS};
+use foxwheel_policy::zone_loads::{self, RequestCounts, MAX_REPORTED_SERVERS};
 
-fn online(online: u32) -> Requests {
-    Requests { online, batch: 0 }
+fn online(online: u32) -> RequestCounts {
+    RequestCounts { online, batch: 0 }
 }
 
 /// A step that fills a zone: its fronts send what is too much to another zone, and must count
@@ -16,7 +16,7 @@
     let told = [online(2), online(3), online(2), online(4)];
     let mut sent = [0; 4];
     for _ in 0..17 {
-        let load = |at: usize| zone_loads::with_own(told[at], online(sent[at])).total();
+        let load = |at: usize| zone_loads::estimate_reported(told[at], online(sent[at])).total();
         let least = (0..4).min_by_key(|at| load(*at)).expect("a server");
         sent[least] += 1;
     }
@@ -34,8 +34,8 @@
         };
         (zone_loads::fingerprint(&key), online(at % 10), 8)
     });
-    let told = zone_loads::told_servers(servers.collect());
-    assert_eq!(told.len(), MAX_TOLD_SERVERS);
+    let told = zone_loads::select_freest_servers(servers.collect());
+    assert_eq!(told.len(), MAX_REPORTED_SERVERS);
     assert!(told.iter().all(|(_, load)| load.online <= 1));
     assert!(told.is_sorted_by_key(|(server, _)| *server));
 }
@@ -45,7 +45,7 @@
 #[test]
 fn servers_of_a_silent_zone_are_neither_empty_nor_full() {
     const SLOTS: u32 = 8;
-    let candidate = |zone: &str, load: Requests| Candidate {
+    let candidate = |zone: &str, load: RequestCounts| Candidate {
         id: format!("server of {zone}"),
         zone: zone.to_owned(),
         slots: SLOTS,
@@ -53,7 +53,7 @@
         batch_in_flight: load.batch,
         ..Candidate::default()
     };
-    let silent = candidate("yard", zone_loads::silent(SLOTS, online(0)));
+    let silent = candidate("yard", zone_loads::estimate_silent_zone(SLOTS, online(0)));
     for (local, wanted) in [(7, "hall"), (9, "hall"), (10, "yard")] {
         let candidates = [candidate("hall", online(local)), silent.clone()];
         let pick = placement::pick_online(&candidates, "hall", 0).expect("a server");
@@ -65,6 +65,12 @@
 /// A zone without processes: what this zone sends there the others are taken to send too.
 #[test]
 fn a_zone_without_processes_is_shared() {
-    assert_eq!(zone_loads::shared_evenly(3, online(0)).total(), 0);
-    assert_eq!(zone_loads::shared_evenly(3, online(2)).total(), 6);
+    assert_eq!(
+        zone_loads::estimate_zone_without_processes(3, online(0)).total(),
+        0
+    );
+    assert_eq!(
+        zone_loads::estimate_zone_without_processes(3, online(2)).total(),
+        6
+    );
 }
