--- a/crates/foxwheel-model/src/world.rs
+++ b/crates/foxwheel-model/src/world.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use foxwheel_policy::admission::{ReturnTimes, SlotSupply};
+use foxwheel_policy::admission::{RetrySchedule, SlotSupply};
 use foxwheel_policy::batch::schedule::{self, RunEstimate, WaitingItem};
 use foxwheel_policy::moving_average::MovingAverage;
 use foxwheel_policy::placement::{self, Candidate};
@@ -50,7 +50,7 @@
 
 #[derive(Debug, Default)]
 struct Front {
-    returns: ReturnTimes,
+    returns: RetrySchedule,
     hold_time: MovingAverage,
     /// Requests that wait for a slot and until when, in the order in which they came.
     waiting: VecDeque<(TaskId, Duration)>,
@@ -194,8 +194,8 @@
                 slots: self.scenario.engine.slots,
                 in_flight: own.online + others.online + batch_in_flight,
                 batch_in_flight,
-                own_batch: own.batch,
-                slot_keeper: self.keeper(engine) == Some(process),
+                own_batch_in_flight: own.batch,
+                is_slot_manager: self.keeper(engine) == Some(process),
                 ..Candidate::default()
             }
         });
@@ -364,7 +364,9 @@
             hold_time: hold_time.unwrap_or(ASSUMED_HOLD),
             fronts,
         };
-        self.fronts[front].returns.next(supply, draw, now)
+        self.fronts[front]
+            .returns
+            .next_retry_after(supply, draw, now)
     }
 
     /// Callers return to any front.
@@ -460,7 +462,7 @@
         let process = self.worker_process(worker);
         let candidates = self.candidates(process, worker);
         for (engine, candidate) in candidates.iter().enumerate() {
-            let excess = placement::batch_excess(candidate) as usize;
+            let excess = placement::batch_items_to_preempt(candidate) as usize;
             let runs = self.workers[worker].runs.iter().rev();
             let newest: Vec<TaskId> = runs
                 .filter(|id| self.tasks[**id].engine == engine)
@@ -468,7 +470,7 @@
                 .copied()
                 .collect();
             for id in newest {
-                if self.now - self.tasks[id].sent_at >= placement::LEAST_RUN {
+                if self.now - self.tasks[id].sent_at >= placement::MIN_RUN_TIME {
                     self.stop_run(worker, id);
                 }
             }
@@ -493,7 +495,7 @@
         worker.estimate.note_run(made.into(), self.now - sent_at);
         worker.items[item].made += made;
         worker.items[item].state = ItemState::Waiting {
-            not_before: self.now + placement::PREEMPTED_PAUSE,
+            not_before: self.now + placement::PREEMPTED_RETRY_DELAY,
         };
     }
 
--- a/crates/foxwheel-node/src/attempt.rs
+++ b/crates/foxwheel-node/src/attempt.rs
@@ -9,7 +9,7 @@
 use foxwheel_core::metric_names::Counter;
 use foxwheel_http1::connection::{Connection, ExchangeError, RequestBody};
 use foxwheel_platform::online::{self, ResponseHead};
-use foxwheel_policy::membership::ServerKey;
+use foxwheel_policy::membership::ServerInstance;
 use foxwheel_policy::retry::AttemptOutcome;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -76,7 +76,7 @@
     /// The decoded head.
     pub decoded_head: ResponseHead,
     /// The server.
-    pub server: ServerKey,
+    pub server: ServerInstance,
     node: Arc<Node>,
     request_id: RequestId,
     content: Arc<RequestContent>,
@@ -283,7 +283,7 @@
 /// is sent nothing new.
 async fn bounded<T>(
     node: &Node,
-    server: &ServerKey,
+    server: &ServerInstance,
     patience: Duration,
     deadline: Instant,
     work: impl std::future::Future<Output = T>,
@@ -310,7 +310,7 @@
 /// What a broken exchange says of its server: one that cannot be connected to is sent nothing
 /// for a while; an answer that was lost is a failure; a connection that the server closed
 /// while it was idle says nothing.
-fn note_broken(node: &Node, server: &ServerKey, error: &ExchangeError, is_new: bool) {
+fn note_broken(node: &Node, server: &ServerInstance, error: &ExchangeError, is_new: bool) {
     match error {
         ExchangeError::Connect { .. } => note_suspect(node, server, "no connection"),
         ExchangeError::NotSent { .. } if !is_new => {}
@@ -329,7 +329,7 @@
     let _ = tokio::time::timeout(FINDING_PATIENCE, tokio::spawn(look)).await;
 }
 
-fn note_suspect(node: &Node, server: &ServerKey, reason: &str) {
+fn note_suspect(node: &Node, server: &ServerInstance, reason: &str) {
     if node.loads.mark_suspected(server, Instant::now()) {
         log::info!(server = server.id, reason; "backend server suspected");
     }
--- a/crates/foxwheel-node/src/heartbeat.rs
+++ b/crates/foxwheel-node/src/heartbeat.rs
@@ -12,7 +12,7 @@
 use foxwheel_core::ids::Zone;
 use foxwheel_core::metric_names::Counter;
 use foxwheel_policy::load_reports::{self, ReportTimer};
-use foxwheel_policy::quarantine::QuarantineState;
+use foxwheel_policy::quarantine::QuarantineDigest;
 use foxwheel_policy::representatives::Rank;
 use tokio::net::UdpSocket;
 use tokio_util::sync::CancellationToken;
@@ -138,7 +138,7 @@
 }
 
 /// Has the sender of a message asked, if it knows of other crashes of servers.
-fn hear_quarantine(node: &Node, told: QuarantineState) {
+fn hear_quarantine(node: &Node, told: QuarantineDigest) {
     if told != 0 && told != node.quarantine_state() {
         node.quarantine_update.notify_one();
     }
@@ -208,7 +208,7 @@
                 self.send_changes(now).await;
             }
             if self.cross_zone_loads.is_due(now) && !self.visited.is_empty() {
-                self.cross_zone_loads.note(now);
+                self.cross_zone_loads.record_report(now);
                 self.send_guest_loads(now).await;
             }
         }
--- a/crates/foxwheel-node/src/load_sums.rs
+++ b/crates/foxwheel-node/src/load_sums.rs
@@ -1,6 +1,6 @@
 //! Load on each backend server, summed over the processes that told of it.
 
-use foxwheel_policy::membership::ServerKey;
+use foxwheel_policy::membership::ServerInstance;
 
 use crate::load_table::ServerLoad;
 
@@ -43,14 +43,14 @@
     }
 
     /// Requests in flight at `server`: online and batch.
-    pub fn get(&self, server: &ServerKey) -> (u32, u32) {
+    pub fn get(&self, server: &ServerInstance) -> (u32, u32) {
         match self.position(server) {
             Ok(at) => (self.sums[at].online, self.sums[at].batch),
             Err(_) => (0, 0),
         }
     }
 
-    fn position(&self, server: &ServerKey) -> Result<usize, usize> {
+    fn position(&self, server: &ServerInstance) -> Result<usize, usize> {
         self.sums.binary_search_by(|sum| sum.server.cmp(server))
     }
 }
--- a/crates/foxwheel-node/src/load_table.rs
+++ b/crates/foxwheel-node/src/load_table.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use foxwheel_core::ids::ServerId;
-use foxwheel_policy::health::Outcomes;
-use foxwheel_policy::membership::ServerKey;
+use foxwheel_policy::health::OutcomeHistory;
+use foxwheel_policy::membership::ServerInstance;
 use foxwheel_policy::zone_loads::RequestCounts;
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
@@ -25,11 +25,11 @@
 
 #[derive(Debug, Clone, Default)]
 struct Entry {
-    server: ServerKey,
+    server: ServerInstance,
     online: u32,
     batch: u32,
     suspect_until: Option<Instant>,
-    outcomes: Outcomes,
+    outcomes: OutcomeHistory,
     progress_at: Option<Instant>,
 }
 
@@ -39,7 +39,7 @@
     /// Sorted by server and start.
     entries: Mutex<Vec<Entry>>,
     /// Servers whose load changed since the others were told; sorted.
-    changed: Mutex<Vec<ServerKey>>,
+    changed: Mutex<Vec<ServerInstance>>,
     /// Woken when the load of a server changes.
     pub load_changed: Notify,
     /// Woken when a request ends and its slot is free.
@@ -50,13 +50,13 @@
 #[derive(Debug)]
 pub struct InFlight {
     table: Arc<LoadTable>,
-    server: ServerKey,
+    server: ServerInstance,
     class: WorkClass,
 }
 
 impl InFlight {
     /// The server.
-    pub fn server(&self) -> &ServerKey {
+    pub fn server(&self) -> &ServerInstance {
         &self.server
     }
 }
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerLoad {
     /// The server.
-    pub server: ServerKey,
+    pub server: ServerInstance,
     /// Online requests.
     pub online: u32,
     /// Batch items.
@@ -97,7 +97,7 @@
 
 impl LoadTable {
     /// Counts a request as in flight at `server` until the answer is dropped.
-    pub fn begin_request(self: &Arc<Self>, server: &ServerKey, class: WorkClass) -> InFlight {
+    pub fn begin_request(self: &Arc<Self>, server: &ServerInstance, class: WorkClass) -> InFlight {
         self.with(server, |entry| *entry.count(class) += 1);
         self.note_change(server);
         InFlight {
@@ -108,7 +108,7 @@
     }
 
     /// The load this process puts on `server`.
-    pub fn own_load(&self, server: &ServerKey, now: Instant) -> OwnLoad {
+    pub fn own_load(&self, server: &ServerInstance, now: Instant) -> OwnLoad {
         let entries = self.entries.lock().expect("load lock");
         match entries.binary_search_by(|entry| entry.server.cmp(server)) {
             Ok(at) => OwnLoad {
@@ -159,7 +159,7 @@
         loads.collect()
     }
 
-    fn note_change(&self, server: &ServerKey) {
+    fn note_change(&self, server: &ServerInstance) {
         {
             let mut changed = self.changed.lock().expect("changed servers lock");
             if let Err(at) = changed.binary_search(server) {
@@ -170,7 +170,7 @@
     }
 
     /// Avoids `server` for a while; answers whether that is new.
-    pub fn mark_suspected(&self, server: &ServerKey, now: Instant) -> bool {
+    pub fn mark_suspected(&self, server: &ServerInstance, now: Instant) -> bool {
         self.with(server, |entry| {
             let known = entry.suspect_until.is_some_and(|until| now < until);
             entry.suspect_until = Some(now + SUSPECT_FOR);
@@ -179,12 +179,12 @@
     }
 
     /// Takes note of a request that `server` served, or failed.
-    pub fn record_outcome(&self, server: &ServerKey, failed: bool, now: Instant) {
-        self.with(server, |entry| entry.outcomes.note(failed, now));
+    pub fn record_outcome(&self, server: &ServerInstance, failed: bool, now: Instant) {
+        self.with(server, |entry| entry.outcomes.record(failed, now));
     }
 
     /// `server` sent something: it is not avoided any more.
-    pub fn record_progress(&self, server: &ServerKey, now: Instant) {
+    pub fn record_progress(&self, server: &ServerInstance, now: Instant) {
         self.with(server, |entry| {
             entry.suspect_until = None;
             entry.progress_at = Some(now);
@@ -193,7 +193,7 @@
 
     /// Whether `server` sent nothing for any request of this process for `silence`. One
     /// request may wait long at a full server that is at work on others.
-    pub fn is_silent(&self, server: &ServerKey, silence: Duration, now: Instant) -> bool {
+    pub fn is_silent(&self, server: &ServerInstance, silence: Duration, now: Instant) -> bool {
         self.with(server, |entry| {
             entry
                 .progress_at
@@ -207,7 +207,7 @@
         entries.retain(|entry| entry.online + entry.batch > 0 || !gone.contains(&entry.server.id));
     }
 
-    fn with<T>(&self, server: &ServerKey, act: impl FnOnce(&mut Entry) -> T) -> T {
+    fn with<T>(&self, server: &ServerInstance, act: impl FnOnce(&mut Entry) -> T) -> T {
         let mut entries = self.entries.lock().expect("load lock");
         let at = entries
             .binary_search_by(|entry| entry.server.cmp(server))
--- a/crates/foxwheel-node/src/node.rs
+++ b/crates/foxwheel-node/src/node.rs
@@ -12,7 +12,7 @@
 use foxwheel_policy::batch::ownership::{ClaimStanding, JobClaim};
 use foxwheel_policy::config_in_force::ConfigInForce;
 use foxwheel_policy::drain_timing;
-use foxwheel_policy::membership::{self, BackendServer, Directory, ServerKey};
+use foxwheel_policy::membership::{self, BackendServer, ServerDirectory, ServerInstance};
 use foxwheel_policy::placement::Candidate;
 use foxwheel_policy::quarantine::Quarantine;
 use foxwheel_policy::representatives::{self, Rank, ZoneProcess};
@@ -51,7 +51,7 @@
     /// The operator's configuration in force here.
     pub config: Mutex<ConfigInForce>,
     /// The backend servers known here.
-    pub directory: Mutex<Directory>,
+    pub directory: Mutex<ServerDirectory>,
     /// Index of the directory's servers, and the generation that it shows.
     server_index: Mutex<(u64, Arc<ServerIndex>)>,
     /// This process's load on each backend server.
@@ -87,7 +87,7 @@
     /// The platform's store.
     pub store: StoreAccess,
     /// Connections to backend servers.
-    pub pool: Pool<ServerKey>,
+    pub pool: Pool<ServerInstance>,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Jobs that this process runs or closed a short while ago; sorted by job.
@@ -146,7 +146,7 @@
         let routes = config.routes.len();
         let mut in_force = self.config.lock().expect("config lock");
         let before = in_force.version();
-        if in_force.offer(config) {
+        if in_force.replace_if_newer(config) {
             log::info!(version, before, routes, source; "configuration in force");
             // Others of the zone may wait to hear of it.
             self.urgent_heartbeat.notify_one();
@@ -162,7 +162,7 @@
     pub fn is_synced(&self) -> bool {
         let knows_servers = {
             let directory = self.directory.lock().expect("directory lock");
-            !directory.members().is_empty()
+            !directory.entries().is_empty()
         };
         knows_servers && self.config().is_some()
     }
@@ -172,7 +172,7 @@
     pub fn online_candidates(
         &self,
         service: &str,
-        tried: &[ServerKey],
+        tried: &[ServerInstance],
         now: Instant,
     ) -> Vec<Candidate> {
         self.sample(service, server_index::MAX_LOCAL_SAMPLE, now)
@@ -190,7 +190,7 @@
             .collect()
     }
 
-    fn sample(&self, service: &str, most_local: usize, now: Instant) -> Vec<ServerKey> {
+    fn sample(&self, service: &str, most_local: usize, now: Instant) -> Vec<ServerInstance> {
         let index = self.server_index();
         let draw = rand::random::<u32>() as usize;
         let mut sampled = Vec::new();
@@ -218,29 +218,34 @@
         let directory = self.directory.lock().expect("directory lock");
         let mut index = self.server_index.lock().expect("server index lock");
         if index.0 != directory.generation() {
-            let built = ServerIndex::new(directory.members());
+            let built = ServerIndex::new(directory.entries());
             *index = (directory.generation(), Arc::new(built));
         }
         Arc::clone(&index.1)
     }
 
     /// That start of a server, if it may take work.
-    pub fn candidate(&self, key: &ServerKey, now: Instant) -> Option<Candidate> {
+    pub fn candidate(&self, key: &ServerInstance, now: Instant) -> Option<Candidate> {
         let directory = self.directory.lock().expect("directory lock");
-        let member = directory.usable_member(key, now)?;
+        let member = directory.usable_entry(key, now)?;
         let gone = self.peers.is_reported_dead(key, now);
         (!gone).then(|| self.candidate_of(member, key.clone(), now))
     }
 
     /// The address of that start of a server, if it may take work.
-    pub fn usable_addr(&self, key: &ServerKey, now: Instant) -> Option<SocketAddr> {
+    pub fn usable_addr(&self, key: &ServerInstance, now: Instant) -> Option<SocketAddr> {
         let directory = self.directory.lock().expect("directory lock");
-        let member = directory.usable_member(key, now)?;
+        let member = directory.usable_entry(key, now)?;
         let gone = self.peers.is_reported_dead(key, now);
         (!gone).then_some(member.server.addr)
     }
 
-    fn candidate_of(&self, member: &membership::Member, key: ServerKey, now: Instant) -> Candidate {
+    fn candidate_of(
+        &self,
+        member: &membership::DirectoryEntry,
+        key: ServerInstance,
+        now: Instant,
+    ) -> Candidate {
         let server = &member.server;
         let own = self.loads.own_load(&key, now);
         let own_requests = RequestCounts {
@@ -264,11 +269,11 @@
             slots: server.slots,
             in_flight: load.total(),
             batch_in_flight: load.batch,
-            own_batch: own.batch,
-            lapsed: member.lapsed_until.is_some(),
+            own_batch_in_flight: own.batch,
+            entry_expired: member.grace_until.is_some(),
             suspect: own.is_suspected,
             failure_rate: own.failure_rate,
-            slot_keeper: false,
+            is_slot_manager: false,
         }
     }
 
@@ -284,13 +289,13 @@
     }
 
     /// That start of a server as it is listed.
-    pub fn listed_server(&self, key: &ServerKey) -> Option<BackendServer> {
+    pub fn listed_server(&self, key: &ServerInstance) -> Option<BackendServer> {
         let directory = self.directory.lock().expect("directory lock");
         directory.server(key).cloned()
     }
 
     /// The availability zone of a listed start of a server.
-    pub fn server_zone(&self, key: &ServerKey) -> Option<Zone> {
+    pub fn server_zone(&self, key: &ServerInstance) -> Option<Zone> {
         let directory = self.directory.lock().expect("directory lock");
         let server = directory.server(key);
         server.map(|server| server.zone.clone())
@@ -298,11 +303,11 @@
 
     /// Takes note that another start answered at a server's address: that start is gone for
     /// certain, here and at every peer.
-    pub fn record_dead_instance(&self, server: &ServerKey) {
+    pub fn record_dead_instance(&self, server: &ServerInstance) {
         let now = Instant::now();
         let is_news = {
             let mut directory = self.directory.lock().expect("directory lock");
-            directory.note_gone(server.clone(), now)
+            directory.record_dead_instance(server.clone(), now)
         };
         if is_news {
             log::info!(server = server.id, incarnation = server.incarnation; "another start has the server's address");
@@ -311,9 +316,9 @@
     }
 
     /// Starts of servers that this process found to be gone a short while ago; sorted.
-    pub fn dead_instances(&self, now: Instant) -> Vec<ServerKey> {
+    pub fn dead_instances(&self, now: Instant) -> Vec<ServerInstance> {
         let directory = self.directory.lock().expect("directory lock");
-        directory.gone(now)
+        directory.dead_instances(now)
     }
 
     /// This process, as others reach it.
--- a/crates/foxwheel-node/src/online_request.rs
+++ b/crates/foxwheel-node/src/online_request.rs
@@ -8,7 +8,7 @@
 use foxwheel_core::ids::ServiceName;
 use foxwheel_core::metric_names::{Counter, RefusalReason, RequestKind, RequestOutcome};
 use foxwheel_platform::online::{self, Attempt, CallerRequest};
-use foxwheel_policy::membership::ServerKey;
+use foxwheel_policy::membership::ServerInstance;
 use foxwheel_policy::placement;
 use foxwheel_policy::retry::{AttemptOutcome, Attempts, NextStep};
 use foxwheel_policy::routes::{Route, RouteKind};
@@ -61,7 +61,7 @@
     body: Bytes,
     content: Arc<RequestContent>,
     /// Servers that were tried.
-    pub tried: Vec<ServerKey>,
+    pub tried: Vec<ServerInstance>,
 }
 
 /// What was known of a server when it was chosen.
@@ -124,7 +124,7 @@
     pub async fn open_elsewhere(
         &mut self,
         node: &Arc<Node>,
-        broken: &ServerKey,
+        broken: &ServerInstance,
     ) -> Option<OpenResponse> {
         self.tried.push(broken.clone());
         // The operator's time limit ends with the first event; the caller's does not.
@@ -205,7 +205,10 @@
                         node.hold_times.hold_time(&self.service),
                     ),
                 });
-                return Placed::At(node.loads.begin_request(&pick.key(), WorkClass::Online));
+                return Placed::At(
+                    node.loads
+                        .begin_request(&pick.instance(), WorkClass::Online),
+                );
             }
             let freed = async {
                 tokio::select! {
--- a/crates/foxwheel-node/src/other_zones.rs
+++ b/crates/foxwheel-node/src/other_zones.rs
@@ -5,8 +5,8 @@
 
 use foxwheel_core::ids::Zone;
 use foxwheel_policy::load_reports::{DEAD_TIMEOUT, SECONDARY_RELAY_DELAY};
-use foxwheel_policy::membership::ServerKey;
-use foxwheel_policy::quarantine::QuarantineState;
+use foxwheel_policy::membership::ServerInstance;
+use foxwheel_policy::quarantine::QuarantineDigest;
 use foxwheel_policy::zone_loads::{self, RequestCounts, ServerFingerprint};
 
 use crate::peer_messages::{AgedSummary, WorkerSummary, ZoneSummary};
@@ -84,7 +84,7 @@
     pub fn load(
         &self,
         zone: &Zone,
-        server: &ServerKey,
+        server: &ServerInstance,
         slots: u32,
         own_zone: RequestCounts,
         now: Instant,
@@ -105,7 +105,7 @@
     }
 
     /// Whether a zone found that start of a server to be gone.
-    pub fn is_reported_dead(&self, server: &ServerKey, now: Instant) -> bool {
+    pub fn is_reported_dead(&self, server: &ServerInstance, now: Instant) -> bool {
         self.live(now)
             .any(|other| other.summary.gone.binary_search(server).is_ok())
     }
@@ -122,7 +122,7 @@
     pub fn quarantine_states(
         &self,
         now: Instant,
-    ) -> impl Iterator<Item = (SocketAddr, QuarantineState)> + '_ {
+    ) -> impl Iterator<Item = (SocketAddr, QuarantineDigest)> + '_ {
         let direct = self
             .live(now)
             .filter(|other| other.via == SummarySource::Direct);
--- a/crates/foxwheel-node/src/peer_calls.rs
+++ b/crates/foxwheel-node/src/peer_calls.rs
@@ -12,7 +12,7 @@
 use foxwheel_policy::batch::ledger::{self, LedgerAnswer, LedgerChange};
 use foxwheel_policy::quarantine::CrashReport;
 use foxwheel_policy::routes::Config;
-use foxwheel_policy::server_changes::ServerNews;
+use foxwheel_policy::server_changes::ServerUpdate;
 use serde::{Deserialize, Serialize};
 use serde_with::{serde_as, DurationMilliSeconds};
 use tarpc::tokio_serde::formats::Bincode;
@@ -57,7 +57,7 @@
     /// The configuration in force there, if it is newer.
     pub config: Option<Config>,
     /// The backend servers listed there.
-    pub servers: ServerNews,
+    pub servers: ServerUpdate,
 }
 
 /// Which results to read.
--- a/crates/foxwheel-node/src/peer_messages.rs
+++ b/crates/foxwheel-node/src/peer_messages.rs
@@ -4,8 +4,8 @@
 
 use foxwheel_core::ids::{Incarnation, NodeId, Zone};
 use foxwheel_policy::batch::ownership::JobClaim;
-use foxwheel_policy::membership::ServerKey;
-use foxwheel_policy::quarantine::QuarantineState;
+use foxwheel_policy::membership::ServerInstance;
+use foxwheel_policy::quarantine::QuarantineDigest;
 use foxwheel_policy::zone_loads::{RequestCounts, ServerFingerprint};
 use serde::{Deserialize, Serialize};
 use serde_with::{serde_as, DurationMilliSeconds};
@@ -44,13 +44,13 @@
     /// How new the configuration and the list of servers are that it knows.
     pub knows: StoreStateVersion,
     /// Which crashes of servers it knows of.
-    pub quarantine: QuarantineState,
+    pub quarantine: QuarantineDigest,
     /// The processes of its zone that it takes as speakers, first choice first.
     pub speakers: Vec<NodeId>,
     /// Its load on backend servers; sorted by server and start.
     pub loads: Vec<ServerLoad>,
     /// Starts of servers that it found to be gone a short while ago; sorted.
-    pub gone: Vec<ServerKey>,
+    pub gone: Vec<ServerInstance>,
     /// Jobs it runs or closed a short while ago; sorted by job.
     pub claims: Vec<JobClaim>,
     /// Items of its jobs that could run now and found no slot.
@@ -101,7 +101,7 @@
     /// Where the sender takes calls and heartbeats.
     pub addr: SocketAddr,
     /// Which crashes of servers the sender knows of.
-    pub quarantine: QuarantineState,
+    pub quarantine: QuarantineDigest,
     /// When the sender started, in milliseconds since the Unix epoch.
     pub incarnation: Incarnation,
     /// Grows with each message of an incarnation.
@@ -113,7 +113,7 @@
     /// Load on the zone's servers from all zones but the one that is told; sorted by server.
     pub servers: Vec<(ServerFingerprint, RequestCounts)>,
     /// Starts of servers that the zone found to be gone; sorted.
-    pub gone: Vec<ServerKey>,
+    pub gone: Vec<ServerInstance>,
     /// The zone's workers; sorted by host.
     pub workers: Vec<WorkerSummary>,
 }
--- a/crates/foxwheel-node/src/peer_server.rs
+++ b/crates/foxwheel-node/src/peer_server.rs
@@ -39,7 +39,7 @@
         StoreState {
             is_current,
             config: config.map(|config| config.as_ref().clone()),
-            servers: directory.news_since(known.servers_revision),
+            servers: directory.updates_since(known.servers_revision),
         }
     }
 
--- a/crates/foxwheel-node/src/peers.rs
+++ b/crates/foxwheel-node/src/peers.rs
@@ -9,7 +9,7 @@
 
 use foxwheel_core::ids::Zone;
 use foxwheel_policy::load_reports::DEAD_TIMEOUT;
-use foxwheel_policy::membership::ServerKey;
+use foxwheel_policy::membership::ServerInstance;
 use foxwheel_policy::zone_loads::{self, RequestCounts, ServerFingerprint};
 
 use crate::cross_zone_clients::CrossZoneClients;
@@ -57,7 +57,7 @@
     /// The loads of peers and guests that are counted.
     sums: LoadSums,
     /// Starts of servers that counted peers found gone; sorted.
-    gone: Vec<ServerKey>,
+    gone: Vec<ServerInstance>,
     /// No counted peer or guest dies before; none without any.
     next_death: Option<Instant>,
 }
@@ -219,7 +219,7 @@
 
     /// Requests in flight at `server` from all live processes that told of them: online and
     /// batch.
-    pub fn in_flight(&self, server: &ServerKey, now: Instant) -> (u32, u32) {
+    pub fn in_flight(&self, server: &ServerInstance, now: Instant) -> (u32, u32) {
         let mut tables = self.lock();
         tables.notice_deaths(now);
         tables.sums.get(server)
@@ -230,7 +230,7 @@
     pub fn other_zone_load(
         &self,
         zone: &Zone,
-        server: &ServerKey,
+        server: &ServerInstance,
         slots: u32,
         own: RequestCounts,
         now: Instant,
@@ -262,7 +262,7 @@
     }
 
     /// Whether a live process found that start of a server to be gone.
-    pub fn is_reported_dead(&self, server: &ServerKey, now: Instant) -> bool {
+    pub fn is_reported_dead(&self, server: &ServerInstance, now: Instant) -> bool {
         let mut tables = self.lock();
         tables.notice_deaths(now);
         tables.gone.binary_search(server).is_ok()
@@ -270,7 +270,7 @@
     }
 
     /// Starts of servers that processes of the own zone found gone; sorted.
-    pub fn reported_dead_instances(&self, now: Instant) -> Vec<ServerKey> {
+    pub fn reported_dead_instances(&self, now: Instant) -> Vec<ServerInstance> {
         let mut tables = self.lock();
         tables.notice_deaths(now);
         tables.gone.clone()
--- a/crates/foxwheel-node/src/peers/views.rs
+++ b/crates/foxwheel-node/src/peers/views.rs
@@ -5,7 +5,7 @@
 
 use foxwheel_core::ids::{NodeId, Zone};
 use foxwheel_policy::batch::ownership::Worker;
-use foxwheel_policy::quarantine::QuarantineState;
+use foxwheel_policy::quarantine::QuarantineDigest;
 use foxwheel_policy::representatives::ZoneProcess;
 
 use crate::peer_calls::StoreStateVersion;
@@ -106,7 +106,7 @@
     }
 
     /// Which crashes of servers the processes that are heard know of, and where they take calls.
-    pub fn quarantine_states(&self, now: Instant) -> Vec<(SocketAddr, QuarantineState)> {
+    pub fn quarantine_states(&self, now: Instant) -> Vec<(SocketAddr, QuarantineDigest)> {
         let tables = self.lock();
         let heard = tables.live(now).map(|beat| (beat.addr, beat.quarantine));
         heard
--- a/crates/foxwheel-node/src/quarantine_store.rs
+++ b/crates/foxwheel-node/src/quarantine_store.rs
@@ -84,7 +84,7 @@
         node.crashes_changed.notified().await;
         let unsaved = {
             let quarantine = node.quarantine.lock().expect("quarantine lock");
-            let mut quarantined = quarantine.quarantined_here(Instant::now());
+            let mut quarantined = quarantine.quarantined_locally(Instant::now());
             quarantined.retain(|content| saved.binary_search(content).is_err());
             quarantined
         };
@@ -131,7 +131,7 @@
     let is_old = |object: &&Object| {
         let crashes = decode(object, now_unix).unwrap_or_default();
         let mut ages = crashes.iter().map(|crash| crash.age);
-        ages.all(|age| age >= quarantine::REMEMBERED_FOR)
+        ages.all(|age| age >= quarantine::CRASH_RETENTION)
     };
     let old: Vec<&Object> = listing.objects.iter().filter(is_old).collect();
     for object in &old {
--- a/crates/foxwheel-node/src/request_quarantine.rs
+++ b/crates/foxwheel-node/src/request_quarantine.rs
@@ -10,8 +10,8 @@
 
 use foxwheel_core::ids::ContentFingerprint;
 use foxwheel_core::metric_names::Counter;
-use foxwheel_policy::membership::ServerKey;
-use foxwheel_policy::quarantine::{CrashReport, QuarantineState, SeenCrash, Standing};
+use foxwheel_policy::membership::ServerInstance;
+use foxwheel_policy::quarantine::{ContentStatus, CrashReport, ObservedCrash, QuarantineDigest};
 
 use crate::node::Node;
 use crate::request_content::RequestContent;
@@ -31,9 +31,9 @@
         }
         let content = content.fingerprint();
         let quarantine = self.quarantine.lock().expect("quarantine lock");
-        match quarantine.standing(content, now) {
-            Standing::Quarantined(left) => Some(left),
-            Standing::Clear | Standing::Suspect => None,
+        match quarantine.status(content, now) {
+            ContentStatus::Quarantined(left) => Some(left),
+            ContentStatus::Clear | ContentStatus::Suspect => None,
         }
     }
 
@@ -44,13 +44,13 @@
         }
         let content = content.fingerprint();
         let quarantine = self.quarantine.lock().expect("quarantine lock");
-        quarantine.admits_item(content, now)
+        quarantine.may_run_item(content, now)
     }
 
     /// Takes note that a server crashed while a request with that content was there.
-    pub fn record_crash(&self, content: &ContentFingerprint, crash: SeenCrash) {
+    pub fn record_crash(&self, content: &ContentFingerprint, crash: ObservedCrash) {
         let mut quarantine = self.quarantine.lock().expect("quarantine lock");
-        let is_quarantined = quarantine.note_crash(content, crash, Instant::now());
+        let is_quarantined = quarantine.record_crash(content, crash, Instant::now());
         drop(quarantine);
         self.metrics.incr(Counter::CrashNoted);
         if is_quarantined {
@@ -73,7 +73,7 @@
     }
 
     /// Takes note that `server` answered a request with that content whole.
-    pub fn record_success(&self, content: &RequestContent, server: &ServerKey) {
+    pub fn record_success(&self, content: &RequestContent, server: &ServerInstance) {
         if self.has_no_crashes() {
             return;
         }
@@ -82,7 +82,7 @@
         };
         let content = content.fingerprint();
         let mut quarantine = self.quarantine.lock().expect("quarantine lock");
-        let was_held = quarantine.note_success(content, &server.service);
+        let was_held = quarantine.record_success(content, &server.service);
         drop(quarantine);
         if was_held {
             log::info!(content; "request cleared of crashes");
@@ -96,15 +96,15 @@
     }
 
     /// Stands for the crashes that are known here.
-    pub fn quarantine_state(&self) -> QuarantineState {
-        self.quarantine.lock().expect("quarantine lock").state()
+    pub fn quarantine_state(&self) -> QuarantineDigest {
+        self.quarantine.lock().expect("quarantine lock").digest()
     }
 }
 
 /// Asks each process that tells of another state, once for each state.
 pub async fn sync_crash_reports(node: &Node) {
     // What each process was last asked for; sorted by address.
-    let mut asked: Vec<(SocketAddr, QuarantineState)> = Vec::new();
+    let mut asked: Vec<(SocketAddr, QuarantineDigest)> = Vec::new();
     loop {
         // Both mean that there may be news.
         let _ = tokio::time::timeout(LOOK_EVERY, node.quarantine_update.notified()).await;
--- a/crates/foxwheel-node/src/server_probe.rs
+++ b/crates/foxwheel-node/src/server_probe.rs
@@ -6,8 +6,8 @@
 
 use foxwheel_core::ids::RequestId;
 use foxwheel_http1::connection::{self, Listening};
-use foxwheel_policy::membership::{BackendServer, ServerKey, ServerState};
-use foxwheel_policy::quarantine::SeenCrash;
+use foxwheel_policy::membership::{BackendServer, ServerInstance, ServerState};
+use foxwheel_policy::quarantine::ObservedCrash;
 use foxwheel_policy::zone_loads;
 
 use crate::node::Node;
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone)]
 pub struct CutOffRequest {
     /// The server.
-    pub server: ServerKey,
+    pub server: ServerInstance,
     /// The request's id.
     pub request_id: RequestId,
     /// What the request asks for.
@@ -60,7 +60,7 @@
     let content = run.content.fingerprint();
     log::info!(request_id = run.request_id, content, server = run.server.id, incarnation = run.server.incarnation, fate:? = fate; "answer broke");
     if let Some(server) = ready.filter(|_| fate == ServerLiveness::Ended) {
-        let crash = SeenCrash {
+        let crash = ObservedCrash {
             server: zone_loads::fingerprint(&run.server),
             service: server.service,
             sent_at: run.sent_at,
--- a/crates/foxwheel-node/src/service_hold_times.rs
+++ b/crates/foxwheel-node/src/service_hold_times.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use foxwheel_core::ids::ServiceName;
-use foxwheel_policy::admission::{ReturnTimes, SlotSupply};
+use foxwheel_policy::admission::{RetrySchedule, SlotSupply};
 use foxwheel_policy::moving_average::MovingAverage;
 
 /// Hold time assumed before a request of the service ended: a generation of ordinary length.
@@ -19,7 +19,7 @@
 struct Pace {
     service: ServiceName,
     hold_time: MovingAverage,
-    returns: ReturnTimes,
+    returns: RetrySchedule,
 }
 
 impl ServiceHoldTimes {
@@ -48,7 +48,7 @@
                 hold_time: pace.hold_time(),
                 fronts,
             };
-            pace.returns.next(supply, rand::random(), now)
+            pace.returns.next_retry_after(supply, rand::random(), now)
         })
     }
 
@@ -59,7 +59,7 @@
             let pace = Pace {
                 service: service.clone(),
                 hold_time: MovingAverage::default(),
-                returns: ReturnTimes::default(),
+                returns: RetrySchedule::default(),
             };
             paces.insert(at, pace);
             at
--- a/crates/foxwheel-node/src/state_sync.rs
+++ b/crates/foxwheel-node/src/state_sync.rs
@@ -83,7 +83,7 @@
         node.apply_config(config, "peer");
     }
     let mut directory = node.directory.lock().expect("directory lock");
-    let taken = directory.take_news(knowledge.servers, known.servers_revision, Instant::now());
+    let taken = directory.apply_update(knowledge.servers, known.servers_revision, Instant::now());
     if taken {
         let revision = directory.revision();
         log::info!(peer = host, revision; "backend servers taken from a peer");
--- a/crates/foxwheel-node/src/store_watch.rs
+++ b/crates/foxwheel-node/src/store_watch.rs
@@ -236,12 +236,15 @@
     }
 
     fn lost(&self, node: &Node) {
-        node.directory.lock().expect("directory lock").source_lost();
+        node.directory
+            .lock()
+            .expect("directory lock")
+            .record_source_lost();
     }
 
     fn regained(&self, node: &Node) {
         let mut directory = node.directory.lock().expect("directory lock");
-        directory.source_back(Instant::now());
+        directory.record_source_regained(Instant::now());
     }
 
     fn take_all(&self, node: &Node, objects: Vec<Object>, revision: u64) {
@@ -255,16 +258,16 @@
         self.forget_logged(&spoiled);
         let (servers, spoiled_entries) = (listed.len(), spoiled.len());
         let mut directory = node.directory.lock().expect("directory lock");
-        let taken = directory.take_list(listed, revision, Instant::now());
+        let taken = directory.apply_list(listed, revision, Instant::now());
         for id in spoiled.into_iter().filter(|_| taken) {
-            directory.refuse(id);
+            directory.refuse_entry(id);
         }
         log::info!(servers, spoiled_entries, revision, taken; "backend servers listed");
     }
 
     fn advance(&self, node: &Node, revision: u64) {
         let mut directory = node.directory.lock().expect("directory lock");
-        directory.advance(revision);
+        directory.advance_revision(revision);
         // Others of the zone may wait to hear of it.
         node.urgent_heartbeat.notify_one();
     }
@@ -282,7 +285,7 @@
             ServerChange::Refused(id)
         };
         let mut directory = node.directory.lock().expect("directory lock");
-        directory.take_change(change, revision, Instant::now());
+        directory.apply_change(change, revision, Instant::now());
     }
 }
 
@@ -323,10 +326,10 @@
             let mut directory = node.directory.lock().expect("directory lock");
             // The watch of the servers may wait through an outage that other calls show.
             match failing {
-                true => directory.source_lost(),
-                false => directory.source_back(now),
+                true => directory.record_source_lost(),
+                false => directory.record_source_regained(now),
             }
-            directory.expire(now)
+            directory.remove_expired(now)
         };
         if !gone.is_empty() {
             log::info!(servers:? = gone; "backend servers gone");
--- a/crates/foxwheel-node/src/worker/mod.rs
+++ b/crates/foxwheel-node/src/worker/mod.rs
@@ -16,7 +16,7 @@
 use foxwheel_policy::batch::item::{Ending, ItemState, RunEnd};
 use foxwheel_policy::batch::job;
 use foxwheel_policy::batch::schedule::RunEstimate;
-use foxwheel_policy::membership::ServerKey;
+use foxwheel_policy::membership::ServerInstance;
 use foxwheel_policy::routes::{Config, Route, RouteKind};
 use tokio_util::sync::CancellationToken;
 
@@ -38,7 +38,7 @@
 struct Run {
     job: JobId,
     item: usize,
-    server: ServerKey,
+    server: ServerInstance,
     started_at: Instant,
     output: SharedOutput,
     cancel: CancellationToken,
--- a/crates/foxwheel-node/src/worker/scheduling.rs
+++ b/crates/foxwheel-node/src/worker/scheduling.rs
@@ -6,7 +6,7 @@
 use foxwheel_core::ids::{JobId, ServiceName};
 use foxwheel_policy::batch::ownership;
 use foxwheel_policy::batch::schedule::{self, WaitingItem};
-use foxwheel_policy::membership::ServerKey;
+use foxwheel_policy::membership::ServerInstance;
 use foxwheel_policy::placement::{self, Candidate};
 use foxwheel_policy::routes::Config;
 
@@ -106,7 +106,7 @@
         let mut candidates = self.node.batch_candidates(service, now);
         for candidate in &mut candidates {
             let keeper = ownership::slot_keeper(&candidate.id, &candidate.zone, &workers);
-            candidate.slot_keeper = keeper.is_some_and(|keeper| keeper.node == *own);
+            candidate.is_slot_manager = keeper.is_some_and(|keeper| keeper.node == *own);
         }
         candidates
     }
@@ -114,17 +114,17 @@
     /// Stops runs on servers whose slots online requests need, the newest first.
     pub(super) fn yield_slots(&mut self) {
         let now = Instant::now();
-        let mut servers: Vec<&ServerKey> = self.runs.iter().map(|run| &run.server).collect();
+        let mut servers: Vec<&ServerInstance> = self.runs.iter().map(|run| &run.server).collect();
         servers.sort_unstable();
         servers.dedup();
         for server in servers {
             let Some(candidate) = self.node.candidate(server, now) else {
                 continue;
             };
-            let excess = placement::batch_excess(&candidate) as usize;
+            let excess = placement::batch_items_to_preempt(&candidate) as usize;
             let runs = self.runs.iter().rev().filter(|run| run.server == *server);
             for run in runs.take(excess) {
-                if now.duration_since(run.started_at) >= placement::LEAST_RUN {
+                if now.duration_since(run.started_at) >= placement::MIN_RUN_TIME {
                     run.cancel.cancel();
                 }
             }
@@ -150,7 +150,8 @@
         let node = &worker.node;
         let zone = &node.settings.availability_zone;
         let draw = rand::random::<u32>() as usize;
-        let Some(server) = placement::pick_batch(candidates, zone, draw).map(Candidate::key) else {
+        let Some(server) = placement::pick_batch(candidates, zone, draw).map(Candidate::instance)
+        else {
             // Nothing is looked for again in this round.
             candidates.clear();
             return None;
@@ -158,7 +159,7 @@
         let taken = candidates.iter_mut().find(|one| one.id == server.id)?;
         taken.in_flight += 1;
         taken.batch_in_flight += 1;
-        taken.own_batch += 1;
+        taken.own_batch_in_flight += 1;
         Some(node.loads.begin_request(&server, WorkClass::Batch))
     }
 }
--- a/crates/foxwheel-node/src/zone_representative.rs
+++ b/crates/foxwheel-node/src/zone_representative.rs
@@ -146,12 +146,12 @@
 ) -> Vec<(zone_loads::ServerFingerprint, zone_loads::RequestCounts)> {
     let theirs = node.peers.cross_zone_loads(told_zone, now);
     let directory = node.directory.lock().expect("directory lock");
-    let local = directory.members().iter().filter(|member| {
+    let local = directory.entries().iter().filter(|member| {
         let server = &member.server;
         server.zone == node.settings.availability_zone && server.state == ServerState::Ready
     });
     let servers = local.map(|member| {
-        let key = member.server.key();
+        let key = member.server.instance();
         let own = node.loads.own_load(&key, now);
         let (online, batch) = node.peers.in_flight(&key, now);
         let (their_online, their_batch) = theirs.get(&key);
--- a/crates/foxwheel-node/tests/attempt.rs
+++ b/crates/foxwheel-node/tests/attempt.rs
@@ -47,7 +47,9 @@
     let node = Node::new(settings, cancel.clone());
     let listed = list(&node, server.addr, ServerState::Ready);
     let target = Target {
-        slot: node.loads.begin_request(&listed.key(), WorkClass::Online),
+        slot: node
+            .loads
+            .begin_request(&listed.instance(), WorkClass::Online),
         request_id: "late".to_owned(),
         content: Arc::new(RequestContent::new("POST", "h", "/a", Default::default())),
         expected_wait: Duration::ZERO,
--- a/crates/foxwheel-node/tests/load_table.rs
+++ b/crates/foxwheel-node/tests/load_table.rs
@@ -4,10 +4,10 @@
 use std::time::{Duration, Instant};
 
 use foxwheel_node::load_table::{LoadTable, ServerLoad, WorkClass};
-use foxwheel_policy::membership::ServerKey;
+use foxwheel_policy::membership::ServerInstance;
 
-fn server(incarnation: u64) -> ServerKey {
-    ServerKey {
+fn server(incarnation: u64) -> ServerInstance {
+    ServerInstance {
         id: "server-1".to_owned(),
         incarnation,
     }
--- a/crates/foxwheel-node/tests/peers.rs
+++ b/crates/foxwheel-node/tests/peers.rs
@@ -14,7 +14,7 @@
 use foxwheel_node::peers::Peers;
 use foxwheel_node::settings::Role;
 use foxwheel_policy::load_reports::{self, DEAD_TIMEOUT};
-use foxwheel_policy::membership::ServerKey;
+use foxwheel_policy::membership::ServerInstance;
 use foxwheel_policy::placement::{self, Candidate};
 use foxwheel_policy::zone_loads::{self, RequestCounts};
 
@@ -22,8 +22,8 @@
     SocketAddr::from(([10, 0, 0, host], 7_660))
 }
 
-fn server(incarnation: u64) -> ServerKey {
-    ServerKey {
+fn server(incarnation: u64) -> ServerInstance {
+    ServerInstance {
         id: "server-1".to_owned(),
         incarnation,
     }
@@ -127,7 +127,7 @@
 fn a_large_fleets_heartbeat_is_received_and_sent_more_rarely() {
     let mut large = beat(2, 1, &[]);
     let load = |at| ServerLoad {
-        server: ServerKey {
+        server: ServerInstance {
             id: format!("i-{at:010x}"),
             incarnation: 1_785_312_852_222,
         },
--- a/crates/foxwheel-policy/src/admission.rs
+++ b/crates/foxwheel-policy/src/admission.rs
@@ -43,15 +43,15 @@
 
 /// The return times told to refused callers of one service.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ReturnTimes {
+pub struct RetrySchedule {
     /// When the last refused caller was told to come back.
     last: Option<Instant>,
 }
 
-impl ReturnTimes {
+impl RetrySchedule {
     /// When the caller that is refused now should come back. `draw`, from 0 to 1, spreads
     /// those for whom no slot will be free in time.
-    pub fn next(&mut self, supply: SlotSupply, draw: f64, now: Instant) -> Duration {
+    pub fn next_retry_after(&mut self, supply: SlotSupply, draw: f64, now: Instant) -> Duration {
         // By then every slot that is taken now was freed.
         let earliest = now + supply.hold_time.clamp(LEAST, MOST_TO_FIRST);
         let after_last = self.last.map(|last| last + supply.between_slots());
--- a/crates/foxwheel-policy/src/backend_server.rs
+++ b/crates/foxwheel-policy/src/backend_server.rs
@@ -7,14 +7,14 @@
 
 /// One start of a backend server. Loads, failures and connections belong to it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ServerKey {
+pub struct ServerInstance {
     /// The server's id.
     pub id: ServerId,
     /// Tells its starts apart.
     pub incarnation: Incarnation,
 }
 
-impl std::fmt::Display for ServerKey {
+impl std::fmt::Display for ServerInstance {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.id)
     }
@@ -50,8 +50,8 @@
 
 impl BackendServer {
     /// The start that the entry tells of.
-    pub fn key(&self) -> ServerKey {
-        ServerKey {
+    pub fn instance(&self) -> ServerInstance {
+        ServerInstance {
             id: self.id.clone(),
             incarnation: self.incarnation,
         }
--- a/crates/foxwheel-policy/src/batch/job.rs
+++ b/crates/foxwheel-policy/src/batch/job.rs
@@ -194,7 +194,7 @@
                 }
             }
             RunEnd::NotRun | RunEnd::Broken => self.wait(at, now + RERUN_PAUSE),
-            RunEnd::Preempted => self.wait(at, now + placement::PREEMPTED_PAUSE),
+            RunEnd::Preempted => self.wait(at, now + placement::PREEMPTED_RETRY_DELAY),
             RunEnd::Quarantined => self.wait(at, now + QUARANTINE_PAUSE),
         }
     }
--- a/crates/foxwheel-policy/src/config_in_force.rs
+++ b/crates/foxwheel-policy/src/config_in_force.rs
@@ -13,7 +13,7 @@
 
 impl ConfigInForce {
     /// Puts `config` in force if it is newer than what is; answers whether it did.
-    pub fn offer(&mut self, config: Config) -> bool {
+    pub fn replace_if_newer(&mut self, config: Config) -> bool {
         if self.version() >= Some(config.version) {
             return false;
         }
--- a/crates/foxwheel-policy/src/health.rs
+++ b/crates/foxwheel-policy/src/health.rs
@@ -15,16 +15,16 @@
 
 /// Requests served and failed by one server, the newest counting most.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Outcomes {
+pub struct OutcomeHistory {
     served: f64,
     failed: f64,
     /// When both were last brought up to date.
     at: Option<Instant>,
 }
 
-impl Outcomes {
+impl OutcomeHistory {
     /// Takes note of a request that the server served, or failed.
-    pub fn note(&mut self, failed: bool, now: Instant) {
+    pub fn record(&mut self, failed: bool, now: Instant) {
         let kept = self.kept(now);
         self.served *= kept;
         self.failed *= kept;
--- a/crates/foxwheel-policy/src/placement.rs
+++ b/crates/foxwheel-policy/src/placement.rs
@@ -10,7 +10,7 @@
 use foxwheel_core::ids::{Incarnation, ServerId, Zone};
 use serde::{Deserialize, Serialize};
 
-use crate::membership::ServerKey;
+use crate::membership::ServerInstance;
 
 /// What is known of one server at the time of a choice.
 #[derive(Debug, Clone, Default)]
@@ -28,21 +28,21 @@
     /// Batch items among `in_flight`.
     pub batch_in_flight: u32,
     /// Batch items of this process's own among `batch_in_flight`.
-    pub own_batch: u32,
+    pub own_batch_in_flight: u32,
     /// Its list entry vanished a moment ago.
-    pub lapsed: bool,
+    pub entry_expired: bool,
     /// It has been silent or could not be connected to lately.
     pub suspect: bool,
     /// The share of requests that it is expected to fail, from 0 to 1.
     pub failure_rate: f64,
     /// This process gives out its batch slots.
-    pub slot_keeper: bool,
+    pub is_slot_manager: bool,
 }
 
 impl Candidate {
     /// The start of the server that is meant.
-    pub fn key(&self) -> ServerKey {
-        ServerKey {
+    pub fn instance(&self) -> ServerInstance {
+        ServerInstance {
             id: self.id.clone(),
             incarnation: self.incarnation,
         }
@@ -154,7 +154,7 @@
     /// Slots that batch items leave free at a server. A server with a single slot has none to
     /// spare: batch items run there while it is idle.
     fn reserve(&self, candidate: &Candidate) -> u32 {
-        let share = match candidate.slot_keeper {
+        let share = match candidate.is_slot_manager {
             true => self.keeper_reserve_share,
             false => self.guest_reserve_share,
         };
@@ -196,18 +196,18 @@
 /// Age below which a batch run is not stopped. A run started a moment ago costs its slot
 /// for a few milliseconds more, but stopping it wastes its prompt and its connection, and
 /// an item that fails at once would fail again and again without ever being heard.
-pub const LEAST_RUN: Duration = Duration::from_millis(120);
+pub const MIN_RUN_TIME: Duration = Duration::from_millis(120);
 
 /// Pause before a stopped item runs again, so that it does not return into the same step.
-pub const PREEMPTED_PAUSE: Duration = Duration::from_millis(150);
+pub const PREEMPTED_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// This process's batch items to take off a server so that its online requests have
 /// slots: its share of what all processes have there, rounded up.
-pub fn batch_excess(candidate: &Candidate) -> u32 {
+pub fn batch_items_to_preempt(candidate: &Candidate) -> u32 {
     let over = candidate.in_flight.saturating_sub(candidate.slots);
     let excess = over.min(candidate.batch_in_flight);
-    let share = (excess * candidate.own_batch).div_ceil(candidate.batch_in_flight.max(1));
-    share.min(candidate.own_batch)
+    let share = (excess * candidate.own_batch_in_flight).div_ceil(candidate.batch_in_flight.max(1));
+    share.min(candidate.own_batch_in_flight)
 }
 
 /// The server at which a request waits least, whether or not it has a slot: for callers
@@ -247,7 +247,7 @@
     if candidate.zone != own_zone {
         surcharge += CROSS_ZONE_PENALTY;
     }
-    if candidate.lapsed {
+    if candidate.entry_expired {
         surcharge += LAPSED_PENALTY;
     }
     if candidate.suspect {
--- a/crates/foxwheel-policy/src/quarantine.rs
+++ b/crates/foxwheel-policy/src/quarantine.rs
@@ -22,7 +22,7 @@
 /// Crashes one after the other after which a content is quarantined. Two happen to innocents: a
 /// stream that breaks with its server is resumed at another one, at times just where the
 /// culprit went too.
-pub const ENOUGH_CRASHES: usize = 3;
+pub const CRASHES_TO_QUARANTINE: usize = 3;
 
 /// Time between two crashes from which servers were not lost together: a loss of many is seen
 /// by all within some ten milliseconds.
@@ -42,7 +42,7 @@
 const ITEM_TRIAL_AFTER: Duration = Duration::from_secs(3);
 
 /// How long a crash is remembered.
-pub const REMEMBERED_FOR: Duration = Duration::from_secs(3_600);
+pub const CRASH_RETENTION: Duration = Duration::from_secs(3_600);
 
 /// Most contents remembered, the least suspect and oldest go first; about 100 KB. A lost
 /// availability zone accuses some thousand innocents at once, which must not push out the
@@ -76,11 +76,11 @@
 
 /// Stands for all that a process remembers, so that two can tell whether they remember the
 /// same; 0 for nothing.
-pub type QuarantineState = u64;
+pub type QuarantineDigest = u64;
 
 /// What may be done with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum ContentStatus {
     /// Nothing is held against it.
     Clear,
     /// Servers crashed under it, too few to tell.
@@ -91,7 +91,7 @@
 
 /// A crash as the process saw it that had a request there.
 #[derive(Debug, Clone)]
-pub struct SeenCrash {
+pub struct ObservedCrash {
     /// The start of a server that crashed.
     pub server: ServerFingerprint,
     /// The server's service.
@@ -128,20 +128,20 @@
     /// Sorted by content; at most [`MAX_CONTENTS`].
     accused: Vec<Accused>,
     /// Stands for `accused`; each heartbeat tells it.
-    state: QuarantineState,
+    digest: QuarantineDigest,
 }
 
 impl Accused {
-    fn standing(&self, now: Instant) -> Standing {
+    fn status(&self, now: Instant) -> ContentStatus {
         let held = self.crashes.iter().filter(|crash| !crash.cleared);
         let Some(last) = held.map(|crash| crash.at).max() else {
-            return Standing::Clear;
+            return ContentStatus::Clear;
         };
         let left = (last + QUARANTINED_FOR).saturating_duration_since(now);
-        if self.crashes_in_turn().len() < ENOUGH_CRASHES || left.is_zero() {
-            return Standing::Suspect;
+        if self.crashes_in_turn().len() < CRASHES_TO_QUARANTINE || left.is_zero() {
+            return ContentStatus::Suspect;
         }
-        Standing::Quarantined(left)
+        ContentStatus::Quarantined(left)
     }
 
     /// The crashes, by server, that came one after the other: the request was sent after the
@@ -165,7 +165,7 @@
     }
 
     fn is_quarantined(&self, now: Instant) -> bool {
-        matches!(self.standing(now), Standing::Quarantined(_))
+        matches!(self.status(now), ContentStatus::Quarantined(_))
     }
 
     /// Takes a crash; answers whether that changed anything.
@@ -215,15 +215,15 @@
     }
 
     /// What may be done with a request of that content.
-    pub fn standing(&self, content: &str, now: Instant) -> Standing {
+    pub fn status(&self, content: &str, now: Instant) -> ContentStatus {
         match self.position(content) {
-            Ok(at) => self.accused[at].standing(now),
-            Err(_) => Standing::Clear,
+            Ok(at) => self.accused[at].status(now),
+            Err(_) => ContentStatus::Clear,
         }
     }
 
     /// Whether a batch item of that content may run: also as a trial while it is quarantined.
-    pub fn admits_item(&self, content: &str, now: Instant) -> bool {
+    pub fn may_run_item(&self, content: &str, now: Instant) -> bool {
         let Ok(at) = self.position(content) else {
             return true;
         };
@@ -231,7 +231,7 @@
         if !accused.is_quarantined(now) {
             return true;
         }
-        let trials_left = accused.crashes_in_turn().len() < ENOUGH_CRASHES + ITEM_TRIALS;
+        let trials_left = accused.crashes_in_turn().len() < CRASHES_TO_QUARANTINE + ITEM_TRIALS;
         let held = accused.crashes.iter().filter(|crash| !crash.cleared);
         let last = held.map(|crash| crash.at).max();
         trials_left && last.is_none_or(|last| now >= last + ITEM_TRIAL_AFTER)
@@ -239,8 +239,8 @@
 
     /// Takes note that a server crashed under a request, as this process saw. Answers whether
     /// the content is quarantined by it.
-    pub fn note_crash(&mut self, content: &str, seen: SeenCrash, now: Instant) -> bool {
-        let before = self.standing(content, now);
+    pub fn record_crash(&mut self, content: &str, seen: ObservedCrash, now: Instant) -> bool {
+        let before = self.status(content, now);
         let crash = Crash {
             server: seen.server,
             service: seen.service,
@@ -251,14 +251,15 @@
         };
         self.take(content, crash);
         self.forget(now);
-        self.state = state_of(&self.accused);
-        let after = self.standing(content, now);
-        matches!(after, Standing::Quarantined(_)) && !matches!(before, Standing::Quarantined(_))
+        self.digest = digest_of(&self.accused);
+        let after = self.status(content, now);
+        matches!(after, ContentStatus::Quarantined(_))
+            && !matches!(before, ContentStatus::Quarantined(_))
     }
 
     /// Takes note that a server of `service` answered a request of that content whole. Answers
     /// whether a crash there was held against it: what another service makes of it says nothing.
-    pub fn note_success(&mut self, content: &str, service: &str) -> bool {
+    pub fn record_success(&mut self, content: &str, service: &str) -> bool {
         let Ok(at) = self.position(content) else {
             return false;
         };
@@ -269,7 +270,7 @@
                 crash.cleared = true;
             }
         }
-        self.state = state_of(&self.accused);
+        self.digest = digest_of(&self.accused);
         was_held
     }
 
@@ -278,7 +279,7 @@
         let mut changed = false;
         for report in reports {
             let at = now.checked_sub(report.age);
-            let Some(at) = at.filter(|_| report.age < REMEMBERED_FOR) else {
+            let Some(at) = at.filter(|_| report.age < CRASH_RETENTION) else {
                 continue;
             };
             let crash = Crash {
@@ -292,7 +293,7 @@
             changed |= self.take(&report.content, crash);
         }
         self.forget(now);
-        self.state = state_of(&self.accused);
+        self.digest = digest_of(&self.accused);
         changed
     }
 
@@ -321,7 +322,7 @@
     }
 
     /// Quarantined contents of which this process saw a crash; sorted.
-    pub fn quarantined_here(&self, now: Instant) -> Vec<ContentFingerprint> {
+    pub fn quarantined_locally(&self, now: Instant) -> Vec<ContentFingerprint> {
         let quarantined = self.accused.iter().filter(|accused| {
             let seen_here = accused.crashes.iter().any(|crash| crash.seen_here);
             seen_here && accused.is_quarantined(now)
@@ -330,8 +331,8 @@
     }
 
     /// Stands for all that is remembered.
-    pub fn state(&self) -> QuarantineState {
-        self.state
+    pub fn digest(&self) -> QuarantineDigest {
+        self.digest
     }
 
     fn take(&mut self, content: &str, crash: Crash) -> bool {
@@ -352,7 +353,7 @@
     fn forget(&mut self, now: Instant) {
         for accused in &mut self.accused {
             let crashes = &mut accused.crashes;
-            crashes.retain(|crash| now.duration_since(crash.at) < REMEMBERED_FOR);
+            crashes.retain(|crash| now.duration_since(crash.at) < CRASH_RETENTION);
         }
         self.accused.retain(|accused| !accused.crashes.is_empty());
         while self.accused.len() > MAX_CONTENTS {
@@ -369,7 +370,7 @@
     }
 }
 
-fn state_of(accused: &[Accused]) -> QuarantineState {
+fn digest_of(accused: &[Accused]) -> QuarantineDigest {
     if accused.is_empty() {
         return 0;
     }
--- a/crates/foxwheel-policy/src/server_changes.rs
+++ b/crates/foxwheel-policy/src/server_changes.rs
@@ -23,7 +23,7 @@
 
 /// What a process is told that knows an older list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ServerNews {
+pub enum ServerUpdate {
     /// Its list is as new.
     Nothing,
     /// What changed since, in order.
@@ -46,14 +46,14 @@
 
 /// The last changes.
 #[derive(Debug, Default)]
-pub struct ServerChanges {
+pub struct ChangeLog {
     /// The store's revision behind which no change is missing; none before the first list.
     complete_from: Option<u64>,
     /// In the order of their revisions.
     changes: Vec<(u64, ServerChange)>,
 }
 
-impl ServerChanges {
+impl ChangeLog {
     /// Starts anew behind a whole list.
     pub fn restart(&mut self, revision: u64) {
         self.complete_from = Some(revision);
--- a/crates/foxwheel-policy/src/server_index.rs
+++ b/crates/foxwheel-policy/src/server_index.rs
@@ -7,8 +7,8 @@
 
 use foxwheel_core::ids::{ServiceName, Zone};
 
-use crate::backend_server::{ServerKey, ServerState};
-use crate::membership::Member;
+use crate::backend_server::{ServerInstance, ServerState};
+use crate::membership::DirectoryEntry;
 use crate::zone_loads::{self, ServerFingerprint};
 
 /// Most servers of the own zone that one choice looks at.
@@ -30,7 +30,7 @@
     /// The availability zone.
     pub zone: Zone,
     /// Sorted by server.
-    servers: Vec<ServerKey>,
+    servers: Vec<ServerInstance>,
     /// Sorted by fingerprint; the same servers.
     by_fingerprint: Vec<(ServerFingerprint, usize)>,
     /// Requests that they run at once, together.
@@ -46,7 +46,7 @@
 
 impl ServerIndex {
     /// An index of `members`, which must be sorted by server.
-    pub fn new(members: &[Member]) -> Self {
+    pub fn new(members: &[DirectoryEntry]) -> Self {
         let mut index = Self::default();
         let ready = members
             .iter()
@@ -54,7 +54,7 @@
         for member in ready {
             let server = &member.server;
             let group = index.group_mut(&server.service, &server.zone);
-            group.servers.push(server.key());
+            group.servers.push(server.instance());
             group.slots += server.slots;
         }
         for group in &mut index.groups {
@@ -94,14 +94,14 @@
 impl ServerGroup {
     /// Every server if there are at most `most`, else that many in a row, from the one that
     /// `draw` means on. Rows overlap, so that no server is left out.
-    pub fn sample(&self, most: usize, draw: usize) -> impl Iterator<Item = &ServerKey> {
+    pub fn sample(&self, most: usize, draw: usize) -> impl Iterator<Item = &ServerInstance> {
         let count = self.servers.len();
         let sampled = (0..count.min(most)).map(move |step| (draw + step) % count.max(1));
         sampled.map(|at| &self.servers[at])
     }
 
     /// The server with that fingerprint.
-    pub fn find_by_fingerprint(&self, fingerprint: ServerFingerprint) -> Option<&ServerKey> {
+    pub fn find_by_fingerprint(&self, fingerprint: ServerFingerprint) -> Option<&ServerInstance> {
         let found = self
             .by_fingerprint
             .binary_search_by_key(&fingerprint, |(known, _)| *known);
--- a/crates/foxwheel-policy/src/zone_loads.rs
+++ b/crates/foxwheel-policy/src/zone_loads.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::backend_server::ServerKey;
+use crate::backend_server::ServerInstance;
 
 /// Stands for a start of a server in messages between zones: a third of the key's bytes. Two
 /// servers with one fingerprint, once in 10^13 fleets of 1,000, would count as equally full.
@@ -15,7 +15,7 @@
 pub const MAX_REPORTED_SERVERS: usize = 24;
 
 /// The fingerprint of a start of a server.
-pub fn fingerprint(server: &ServerKey) -> ServerFingerprint {
+pub fn fingerprint(server: &ServerInstance) -> ServerFingerprint {
     let mut hasher = DefaultHasher::new();
     server.hash(&mut hasher);
     hasher.finish()
--- a/crates/foxwheel-policy/tests/health.rs
+++ b/crates/foxwheel-policy/tests/health.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use foxwheel_policy::health::Outcomes;
+use foxwheel_policy::health::OutcomeHistory;
 use foxwheel_policy::placement::{self, Candidate};
 
 fn candidate(id: &str, in_flight: u32, failure_rate: f64) -> Candidate {
@@ -20,13 +20,13 @@
 #[test]
 fn one_failure_says_little_several_say_much_and_all_is_forgotten() {
     let start = Instant::now();
-    let mut outcomes = Outcomes::default();
+    let mut outcomes = OutcomeHistory::default();
     assert_eq!(outcomes.failure_rate(start), 0.0);
-    outcomes.note(true, start);
+    outcomes.record(true, start);
     let once = outcomes.failure_rate(start);
     assert!((0.1..0.25).contains(&once), "{once}");
     for _ in 0..9 {
-        outcomes.note(true, start);
+        outcomes.record(true, start);
     }
     let often = outcomes.failure_rate(start);
     assert!(often > 0.65, "{often}");
@@ -39,9 +39,9 @@
 #[test]
 fn a_failing_server_is_taken_when_the_others_are_full() {
     let now = Instant::now();
-    let mut failing = Outcomes::default();
+    let mut failing = OutcomeHistory::default();
     for at in 0..20 {
-        failing.note(at % 5 < 2, now);
+        failing.record(at % 5 < 2, now);
     }
     let rate = failing.failure_rate(now);
     let pick = |busy| {
@@ -57,9 +57,9 @@
 #[test]
 fn a_lost_answer_now_and_then_takes_no_server_out() {
     let now = Instant::now();
-    let mut outcomes = Outcomes::default();
+    let mut outcomes = OutcomeHistory::default();
     for at in 0..40 {
-        outcomes.note(at % 20 == 0, now);
+        outcomes.record(at % 20 == 0, now);
     }
     let servers = [
         candidate("sound", 4, 0.0),
--- a/crates/foxwheel-policy/tests/membership.rs
+++ b/crates/foxwheel-policy/tests/membership.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use foxwheel_policy::membership::{BackendServer, Directory, ServerState};
+use foxwheel_policy::membership::{BackendServer, ServerDirectory, ServerState};
 
 fn server(id: &str, state: ServerState) -> BackendServer {
     BackendServer {
@@ -17,20 +17,20 @@
     }
 }
 
-fn usable(directory: &Directory) -> Vec<&str> {
+fn usable(directory: &ServerDirectory) -> Vec<&str> {
     usable_at(directory, Instant::now())
 }
 
-fn usable_at(directory: &Directory, now: Instant) -> Vec<&str> {
+fn usable_at(directory: &ServerDirectory, now: Instant) -> Vec<&str> {
     directory
-        .usable("model", now)
+        .usable_servers("model", now)
         .map(|member| member.server.id.as_str())
         .collect()
 }
 
 #[test]
 fn a_draining_server_gets_nothing_and_other_services_are_not_mixed_in() {
-    let mut directory = Directory::default();
+    let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Ready));
     directory.upsert(server("b", ServerState::Ready));
     let mut other = server("c", ServerState::Ready);
@@ -43,24 +43,24 @@
 #[test]
 fn a_removed_entry_is_a_last_resort_for_a_moment_only() {
     let now = Instant::now();
-    let mut directory = Directory::default();
+    let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Ready));
     directory.remove("a", now);
     assert!(directory
-        .usable("model", Instant::now())
-        .all(|member| member.lapsed_until.is_some()));
+        .usable_servers("model", Instant::now())
+        .all(|member| member.grace_until.is_some()));
     // Work must not reach it 2 s after its entry went.
-    let gone = directory.expire(now + Duration::from_millis(1_900));
+    let gone = directory.remove_expired(now + Duration::from_millis(1_900));
     assert_eq!(gone, ["a"]);
     assert!(usable(&directory).is_empty());
 }
 
 #[test]
 fn a_draining_server_whose_entry_goes_is_gone_at_once() {
-    let mut directory = Directory::default();
+    let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Draining));
     directory.remove("a", Instant::now());
-    assert!(directory.members().is_empty());
+    assert!(directory.entries().is_empty());
 }
 
 /// All entries expire while the list's source is away: the servers stay usable until they
@@ -68,33 +68,35 @@
 #[test]
 fn entries_that_lapsed_in_an_outage_are_awaited() {
     let now = Instant::now();
-    let mut directory = Directory::default();
+    let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Ready));
     directory.upsert(server("b", ServerState::Ready));
-    directory.source_lost();
+    directory.record_source_lost();
     let back = now + Duration::from_secs(5);
-    directory.source_back(back);
-    assert!(directory.take_list(Vec::new(), 7, back));
+    directory.record_source_regained(back);
+    assert!(directory.apply_list(Vec::new(), 7, back));
     let soon = back + Duration::from_millis(2_000);
-    assert!(directory.expire(soon).is_empty());
+    assert!(directory.remove_expired(soon).is_empty());
     assert_eq!(usable(&directory), ["a", "b"]);
     directory.upsert(server("a", ServerState::Ready));
     let later = back + Duration::from_millis(2_500);
-    assert_eq!(directory.expire(later), ["b"]);
+    assert_eq!(directory.remove_expired(later), ["b"]);
     assert_eq!(usable(&directory), ["a"]);
 }
 
 #[test]
 fn an_entry_that_comes_back_is_no_last_resort_any_more() {
     let now = Instant::now();
-    let mut directory = Directory::default();
+    let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Ready));
     directory.remove("a", now);
     directory.upsert(server("a", ServerState::Ready));
-    assert!(directory.expire(now + Duration::from_secs(60)).is_empty());
     assert!(directory
-        .usable("model", Instant::now())
-        .all(|member| member.lapsed_until.is_none()));
+        .remove_expired(now + Duration::from_secs(60))
+        .is_empty());
+    assert!(directory
+        .usable_servers("model", Instant::now())
+        .all(|member| member.grace_until.is_none()));
 }
 
 /// A watch that waited through an outage tells of the entries that lapsed before anything
@@ -102,16 +104,19 @@
 #[test]
 fn an_entry_that_vanishes_before_its_source_is_found_again_is_awaited() {
     let now = Instant::now();
-    let mut directory = Directory::default();
+    let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Ready));
-    directory.source_lost();
+    directory.record_source_lost();
     directory.remove("a", now);
-    directory.source_back(now);
+    directory.record_source_regained(now);
     assert!(directory
-        .expire(now + Duration::from_millis(2_300))
+        .remove_expired(now + Duration::from_millis(2_300))
         .is_empty());
     assert_eq!(usable(&directory), ["a"]);
-    assert_eq!(directory.expire(now + Duration::from_millis(2_500)), ["a"]);
+    assert_eq!(
+        directory.remove_expired(now + Duration::from_millis(2_500)),
+        ["a"]
+    );
 }
 
 /// Lists come from the store and from peers. What a peer knew before the last change, or
@@ -121,21 +126,21 @@
 fn an_older_list_never_replaces_a_newer_one() {
     let now = Instant::now();
     let later = now + Duration::from_secs(60);
-    let mut directory = Directory::default();
+    let mut directory = ServerDirectory::default();
     assert_eq!(directory.revision(), None);
     let both = ["a", "b"].map(|id| server(id, ServerState::Ready));
-    assert!(directory.take_list(both.to_vec(), 20, now));
-    assert!(!directory.take_list(Vec::new(), 19, now), "a late answer");
-    directory.expire(later);
+    assert!(directory.apply_list(both.to_vec(), 20, now));
+    assert!(!directory.apply_list(Vec::new(), 19, now), "a late answer");
+    directory.remove_expired(later);
     assert_eq!(usable(&directory), ["a", "b"]);
     // A watch went on to 30: a list of 25 lacks what came since.
     directory.upsert(server("c", ServerState::Ready));
-    directory.advance(30);
-    assert!(!directory.take_list(both.to_vec(), 25, now));
-    directory.expire(later);
+    directory.advance_revision(30);
+    assert!(!directory.apply_list(both.to_vec(), 25, now));
+    directory.remove_expired(later);
     assert_eq!(usable(&directory), ["a", "b", "c"]);
-    assert!(directory.take_list(both[..1].to_vec(), 31, now));
-    directory.expire(later);
+    assert!(directory.apply_list(both[..1].to_vec(), 31, now));
+    directory.remove_expired(later);
     assert_eq!(usable(&directory), ["a"]);
 }
 
@@ -150,45 +155,45 @@
 /// A write of the earlier start may be done late, and a stale read may show it.
 #[test]
 fn an_earlier_start_never_replaces_a_later_one() {
-    let mut directory = Directory::default();
+    let mut directory = ServerDirectory::default();
     directory.upsert(start("a", 2_000, 80));
     directory.upsert(start("a", 1_000, 81));
-    let known = &directory.members()[0].server;
+    let known = &directory.entries()[0].server;
     assert_eq!((known.incarnation, known.addr.port()), (2_000, 80));
     let mut leaving = start("a", 1_000, 81);
     leaving.state = ServerState::Draining;
     directory.upsert(leaving);
     assert_eq!(usable(&directory), ["a"]);
     directory.upsert(start("a", 3_000, 82));
-    assert_eq!(directory.members()[0].server.addr.port(), 82);
+    assert_eq!(directory.entries()[0].server.addr.port(), 82);
 }
 
 /// Its entry goes and another start comes, at any time of day that its host believes in.
 #[test]
 fn a_start_after_a_removal_counts_whatever_its_time() {
     let now = Instant::now();
-    let mut directory = Directory::default();
+    let mut directory = ServerDirectory::default();
     directory.upsert(start("a", 2_000, 80));
     directory.remove("a", now);
     directory.upsert(start("a", 1_000, 81));
-    assert_eq!(directory.members()[0].server.addr.port(), 81);
+    assert_eq!(directory.entries()[0].server.addr.port(), 81);
 }
 
 /// An entry that another writer spoiled names no server; its id is no last resort either.
 #[test]
 fn a_spoiled_entry_takes_its_server_out_and_no_other() {
     let now = Instant::now();
-    let mut directory = Directory::default();
+    let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Ready));
     directory.upsert(server("b", ServerState::Ready));
-    directory.refuse("a");
+    directory.refuse_entry("a");
     assert_eq!(usable(&directory), ["b"]);
     // In a whole list too.
     let listed = vec![server("c", ServerState::Ready)];
-    directory.source_lost();
-    assert!(directory.take_list(listed, 9, now));
+    directory.record_source_lost();
+    assert!(directory.apply_list(listed, 9, now));
     assert_eq!(usable(&directory), ["b", "c"], "b is awaited");
-    directory.refuse("b");
+    directory.refuse_entry("b");
     assert_eq!(usable(&directory), ["c"]);
 }
 
@@ -199,14 +204,17 @@
 fn a_start_that_is_gone_for_certain_takes_no_work() {
     let now = Instant::now();
     let soon = now + Duration::from_secs(1);
-    let mut directory = Directory::default();
+    let mut directory = ServerDirectory::default();
     directory.upsert(start("a", 1_000, 80));
     directory.upsert(start("b", 1_000, 81));
-    let gone = start("a", 1_000, 80).key();
-    assert!(directory.note_gone(gone.clone(), now));
-    assert!(!directory.note_gone(gone.clone(), now), "known already");
+    let gone = start("a", 1_000, 80).instance();
+    assert!(directory.record_dead_instance(gone.clone(), now));
+    assert!(
+        !directory.record_dead_instance(gone.clone(), now),
+        "known already"
+    );
     assert_eq!(usable_at(&directory, soon), ["b"]);
-    assert_eq!(directory.gone(soon), [gone]);
+    assert_eq!(directory.dead_instances(soon), [gone]);
     // The list is read again and still shows it.
     directory.upsert(start("a", 1_000, 80));
     assert_eq!(usable_at(&directory, soon), ["b"]);
@@ -218,10 +226,10 @@
 #[test]
 fn a_start_that_was_called_gone_is_tried_again_later() {
     let now = Instant::now();
-    let mut directory = Directory::default();
+    let mut directory = ServerDirectory::default();
     directory.upsert(start("a", 1_000, 80));
-    directory.note_gone(start("a", 1_000, 80).key(), now);
+    directory.record_dead_instance(start("a", 1_000, 80).instance(), now);
     let later = now + Duration::from_secs(60);
     assert_eq!(usable_at(&directory, later), ["a"]);
-    assert!(directory.gone(later).is_empty());
+    assert!(directory.dead_instances(later).is_empty());
 }
--- a/crates/foxwheel-policy/tests/placement.rs
+++ b/crates/foxwheel-policy/tests/placement.rs
@@ -10,11 +10,11 @@
         slots: 8,
         in_flight,
         batch_in_flight: 0,
-        own_batch: 0,
-        lapsed: false,
+        own_batch_in_flight: 0,
+        entry_expired: false,
         suspect: false,
         failure_rate: 0.0,
-        slot_keeper: false,
+        is_slot_manager: false,
     }
 }
 
@@ -46,7 +46,7 @@
         candidate("c", "there", 7),
     ];
     servers[0].suspect = true;
-    servers[1].lapsed = true;
+    servers[1].entry_expired = true;
     assert_eq!(picked(&servers), Some("c"));
     assert_eq!(picked(&servers[..2]), Some("b"));
     assert_eq!(picked(&servers[..1]), Some("a"));
@@ -80,9 +80,9 @@
 
 #[test]
 fn batch_items_leave_the_reserve_free_and_more_where_another_worker_keeps_the_slots() {
-    let pick = |slot_keeper, in_flight| {
+    let pick = |is_slot_manager, in_flight| {
         let server = Candidate {
-            slot_keeper,
+            is_slot_manager,
             ..candidate("a", "here", in_flight)
         };
         placement::pick_batch(&[server], "here", 0).is_some()
@@ -99,7 +99,7 @@
 fn a_batch_item_takes_the_server_with_room_for_it() {
     let guest = candidate("a", "there", 4);
     let own = Candidate {
-        slot_keeper: true,
+        is_slot_manager: true,
         ..candidate("b", "here", 6)
     };
     for draw in 0..2 {
@@ -114,17 +114,17 @@
 #[test]
 fn idle_servers_of_every_size_take_batch_items() {
     for slots in 1..=64 {
-        for slot_keeper in [true, false] {
+        for is_slot_manager in [true, false] {
             let mut server = Candidate {
                 slots,
-                slot_keeper,
+                is_slot_manager,
                 ..candidate("a", "here", 0)
             };
             while placement::pick_batch(std::slice::from_ref(&server), "here", 0).is_some() {
                 server.in_flight += 1;
             }
             let taken = server.in_flight;
-            assert!(taken > 0, "{slots} slots, keeper {slot_keeper}");
+            assert!(taken > 0, "{slots} slots, keeper {is_slot_manager}");
             assert!(taken < slots || slots == 1, "{slots} slots, {taken} taken");
         }
     }
@@ -134,10 +134,10 @@
 /// share of the excess off, and all together no more than the batch items there.
 #[test]
 fn batch_gives_way_to_a_step_of_online_requests() {
-    let excess = |in_flight, batch_in_flight, own_batch| {
-        placement::batch_excess(&Candidate {
+    let excess = |in_flight, batch_in_flight, own_batch_in_flight| {
+        placement::batch_items_to_preempt(&Candidate {
             batch_in_flight,
-            own_batch,
+            own_batch_in_flight,
             ..candidate("a", "here", in_flight)
         })
     };
--- a/crates/foxwheel-policy/tests/quarantine.rs
+++ b/crates/foxwheel-policy/tests/quarantine.rs
@@ -3,13 +3,16 @@
 use std::time::{Duration, Instant};
 
 use foxwheel_policy::quarantine::{
-    Quarantine, SeenCrash, Standing, ENOUGH_CRASHES, REMEMBERED_FOR,
+    ContentStatus, ObservedCrash, Quarantine, CRASHES_TO_QUARANTINE, CRASH_RETENTION,
 };
 
 const CULPRIT: &str = "culprit";
 
 fn quarantined(quarantine: &Quarantine, content: &str, now: Instant) -> bool {
-    matches!(quarantine.standing(content, now), Standing::Quarantined(_))
+    matches!(
+        quarantine.status(content, now),
+        ContentStatus::Quarantined(_)
+    )
 }
 
 fn after(now: Instant, secs: u64) -> Instant {
@@ -17,8 +20,8 @@
 }
 
 /// A crash of `server` at `at`, 20 ms after the request was sent there.
-fn crash(server: u64, at: Instant) -> SeenCrash {
-    SeenCrash {
+fn crash(server: u64, at: Instant) -> ObservedCrash {
+    ObservedCrash {
         server,
         service: "model".to_owned(),
         sent_at: at - Duration::from_millis(20),
@@ -27,15 +30,15 @@
 }
 
 /// The crash of `server` as the `server`th of several one after the other from `now` on.
-fn in_turn(server: u64, now: Instant) -> SeenCrash {
+fn in_turn(server: u64, now: Instant) -> ObservedCrash {
     crash(server, now + Duration::from_millis(100 * (server % 10)))
 }
 
 /// A process that saw as many crashes of the culprit as are enough.
 fn knowing(now: Instant) -> Quarantine {
     let mut quarantine = Quarantine::default();
-    for server in 0..ENOUGH_CRASHES as u64 {
-        quarantine.note_crash(CULPRIT, in_turn(server, now), now);
+    for server in 0..CRASHES_TO_QUARANTINE as u64 {
+        quarantine.record_crash(CULPRIT, in_turn(server, now), now);
     }
     quarantine
 }
@@ -43,10 +46,10 @@
 #[test]
 fn crashes_seen_by_several_processes_add_up_in_any_order() {
     let now = Instant::now();
-    let seen: Vec<Quarantine> = (0..ENOUGH_CRASHES as u64)
+    let seen: Vec<Quarantine> = (0..CRASHES_TO_QUARANTINE as u64)
         .map(|server| {
             let mut one = Quarantine::default();
-            assert!(!one.note_crash(CULPRIT, in_turn(server, now), now));
+            assert!(!one.record_crash(CULPRIT, in_turn(server, now), now));
             one
         })
         .collect();
@@ -60,8 +63,8 @@
         back.merge(&seen[seen.len() - 1 - at].reports(later), later);
     }
     assert!(quarantined(&forth, CULPRIT, later));
-    assert_eq!(forth.state(), back.state());
-    assert_eq!(forth.standing("another", later), Standing::Clear);
+    assert_eq!(forth.digest(), back.digest());
+    assert_eq!(forth.status("another", later), ContentStatus::Clear);
 }
 
 #[test]
@@ -69,9 +72,9 @@
     let now = Instant::now();
     let mut quarantine = Quarantine::default();
     for _ in 0..10 {
-        quarantine.note_crash(CULPRIT, crash(7, now), now);
+        quarantine.record_crash(CULPRIT, crash(7, now), now);
     }
-    assert_eq!(quarantine.standing(CULPRIT, now), Standing::Suspect);
+    assert_eq!(quarantine.status(CULPRIT, now), ContentStatus::Suspect);
 }
 
 #[test]
@@ -79,20 +82,20 @@
     let now = Instant::now();
     let mut here = knowing(now);
     let mut there = knowing(now);
-    assert!(here.note_success(CULPRIT, "model"));
+    assert!(here.record_success(CULPRIT, "model"));
     assert!(
-        !here.note_success(CULPRIT, "model"),
+        !here.record_success(CULPRIT, "model"),
         "nothing is left to clear"
     );
     // What the other one still holds against it does not come back.
     here.merge(&there.reports(now), now);
-    assert_eq!(here.standing(CULPRIT, now), Standing::Clear);
+    assert_eq!(here.status(CULPRIT, now), ContentStatus::Clear);
     assert!(there.merge(&here.reports(now), now));
-    assert_eq!(there.standing(CULPRIT, now), Standing::Clear);
-    assert_eq!(here.state(), there.state());
+    assert_eq!(there.status(CULPRIT, now), ContentStatus::Clear);
+    assert_eq!(here.digest(), there.digest());
     // New crashes count again.
-    for server in 100..100 + ENOUGH_CRASHES as u64 {
-        here.note_crash(CULPRIT, in_turn(server, now), now);
+    for server in 100..100 + CRASHES_TO_QUARANTINE as u64 {
+        here.record_crash(CULPRIT, in_turn(server, now), now);
     }
     assert!(quarantined(&here, CULPRIT, now));
 }
@@ -101,37 +104,37 @@
 fn after_its_time_a_content_has_one_trial_and_is_forgotten_in_the_end() {
     let now = Instant::now();
     let mut quarantine = knowing(now);
-    let Standing::Quarantined(left) = quarantine.standing(CULPRIT, now) else {
+    let ContentStatus::Quarantined(left) = quarantine.status(CULPRIT, now) else {
         panic!("not quarantined");
     };
     let trial = now + left;
-    assert_eq!(quarantine.standing(CULPRIT, trial), Standing::Suspect);
+    assert_eq!(quarantine.status(CULPRIT, trial), ContentStatus::Suspect);
     assert!(
-        quarantine.note_crash(CULPRIT, crash(50, trial), trial),
+        quarantine.record_crash(CULPRIT, crash(50, trial), trial),
         "one crash is enough"
     );
     assert!(quarantined(&quarantine, CULPRIT, trial));
-    let much_later = trial + REMEMBERED_FOR;
+    let much_later = trial + CRASH_RETENTION;
     quarantine.merge(&[], much_later);
     assert!(quarantine.is_empty());
-    assert_eq!(quarantine.state(), 0);
+    assert_eq!(quarantine.digest(), 0);
 }
 
 #[test]
 fn servers_lost_together_count_once_however_many_saw_it() {
     let now = Instant::now();
     let mut told = Quarantine::default();
-    for round in 0..ENOUGH_CRASHES as u64 {
+    for round in 0..CRASHES_TO_QUARANTINE as u64 {
         assert!(!quarantined(&told, CULPRIT, after(now, round)), "{round}");
         // 20 processes, each with a request of its own at another server.
         for process in 0..20 {
             let mut one = Quarantine::default();
             let seen = crash(100 * round + process, after(now, round));
-            one.note_crash(CULPRIT, seen, after(now, round));
+            one.record_crash(CULPRIT, seen, after(now, round));
             told.merge(&one.reports(after(now, round)), after(now, round));
         }
     }
-    let end = after(now, ENOUGH_CRASHES as u64);
+    let end = after(now, CRASHES_TO_QUARANTINE as u64);
     assert!(
         quarantined(&told, CULPRIT, end),
         "three losses, one after the other"
@@ -143,13 +146,13 @@
 fn crashes_apart_count_though_the_requests_waited_beside_each_other() {
     let now = Instant::now();
     let mut quarantine = Quarantine::default();
-    for server in 0..ENOUGH_CRASHES as u64 {
+    for server in 0..CRASHES_TO_QUARANTINE as u64 {
         let at = now + Duration::from_millis(300 * server);
-        let waited = SeenCrash {
+        let waited = ObservedCrash {
             sent_at: at - Duration::from_secs(2),
             ..crash(server, at)
         };
-        quarantine.note_crash(CULPRIT, waited, at);
+        quarantine.record_crash(CULPRIT, waited, at);
     }
     assert!(quarantined(&quarantine, CULPRIT, after(now, 1)));
 }
@@ -158,7 +161,7 @@
 fn what_another_service_answers_clears_nothing() {
     let now = Instant::now();
     let mut quarantine = knowing(now);
-    assert!(!quarantine.note_success(CULPRIT, "another"));
+    assert!(!quarantine.record_success(CULPRIT, "another"));
     assert!(quarantined(&quarantine, CULPRIT, now));
 }
 
@@ -170,7 +173,7 @@
     for server in 1_000..1_300 {
         for request in 0..16 {
             let content = format!("innocent-{server}-{request}");
-            assert!(!quarantine.note_crash(&content, crash(server, now), after(now, 1)));
+            assert!(!quarantine.record_crash(&content, crash(server, now), after(now, 1)));
         }
     }
     assert!(quarantined(&quarantine, CULPRIT, after(now, 1)));
@@ -189,10 +192,10 @@
             match u.int_in_range(0..=3)? {
                 0 | 1 => {
                     let server = u.int_in_range(0..=7)?;
-                    processes[at].note_crash(&content, in_turn(server, now), now);
+                    processes[at].record_crash(&content, in_turn(server, now), now);
                 }
                 2 => {
-                    processes[at].note_success(&content, "model");
+                    processes[at].record_success(&content, "model");
                 }
                 _ => {
                     let from = u.choose_index(processes.len())?;
@@ -210,7 +213,7 @@
                 }
             }
         }
-        let states: Vec<_> = processes.iter().map(Quarantine::state).collect();
+        let states: Vec<_> = processes.iter().map(Quarantine::digest).collect();
         assert!(states.iter().all(|state| *state == states[0]), "{states:?}");
         Ok(())
     });
@@ -225,21 +228,21 @@
     let mut at = after(now, 1);
     for trial in 0..2 {
         assert!(
-            !quarantine.admits_item(CULPRIT, at),
+            !quarantine.may_run_item(CULPRIT, at),
             "trial {trial} comes too soon"
         );
         at = after(at, 5);
-        assert!(quarantine.admits_item(CULPRIT, at), "trial {trial}");
+        assert!(quarantine.may_run_item(CULPRIT, at), "trial {trial}");
         assert!(
             quarantined(&quarantine, CULPRIT, at),
             "no caller's request is tried"
         );
-        quarantine.note_crash(CULPRIT, crash(50 + trial, at), at);
+        quarantine.record_crash(CULPRIT, crash(50 + trial, at), at);
     }
     assert!(
-        !quarantine.admits_item(CULPRIT, after(at, 60)),
+        !quarantine.may_run_item(CULPRIT, after(at, 60)),
         "it crashed five servers"
     );
-    quarantine.note_success(CULPRIT, "model");
-    assert!(quarantine.admits_item(CULPRIT, at));
+    quarantine.record_success(CULPRIT, "model");
+    assert!(quarantine.may_run_item(CULPRIT, at));
 }
--- a/crates/foxwheel-policy/tests/routing.rs
+++ b/crates/foxwheel-policy/tests/routing.rs
@@ -109,7 +109,7 @@
         for _ in 0..20 {
             let version: u64 = u.int_in_range(1..=30)?;
             let before = in_force.version();
-            let taken = in_force.offer(config(version, Vec::new()));
+            let taken = in_force.replace_if_newer(config(version, Vec::new()));
             assert_eq!(taken, before.is_none_or(|before| version > before));
             assert!(in_force.version() >= before);
         }
@@ -164,7 +164,7 @@
                     0 => newest += u.int_in_range(1..=3)?,
                     1 => {
                         let version = u.int_in_range(0..=newest)?;
-                        in_force.offer(config_of(version, kind));
+                        in_force.replace_if_newer(config_of(version, kind));
                     }
                     2..=4 => {
                         let Some(config) = in_force.get() else {
--- a/crates/foxwheel-policy/tests/server_index.rs
+++ b/crates/foxwheel-policy/tests/server_index.rs
@@ -1,6 +1,6 @@
 //! Choices among samples of many servers.
 
-use foxwheel_policy::membership::{BackendServer, Directory, ServerState};
+use foxwheel_policy::membership::{BackendServer, ServerDirectory, ServerState};
 use foxwheel_policy::placement::{self, Candidate};
 use foxwheel_policy::server_index::{ServerIndex, MAX_LOCAL_SAMPLE};
 use foxwheel_policy::zone_loads;
@@ -9,7 +9,7 @@
 const SLOTS: u32 = 7;
 
 fn index(count: usize) -> ServerIndex {
-    let mut directory = Directory::default();
+    let mut directory = ServerDirectory::default();
     for at in 0..count {
         directory.upsert(BackendServer {
             id: format!("server-{at:04}"),
@@ -24,7 +24,7 @@
             },
         });
     }
-    ServerIndex::new(directory.members())
+    ServerIndex::new(directory.entries())
 }
 
 #[test]
--- a/crates/foxwheel-policy/tests/zone_loads.rs
+++ b/crates/foxwheel-policy/tests/zone_loads.rs
@@ -1,6 +1,6 @@
 //! Load on servers of other zones, as it is estimated from what their zones told a moment ago.
 
-use foxwheel_policy::membership::ServerKey;
+use foxwheel_policy::membership::ServerInstance;
 use foxwheel_policy::placement::{self, Candidate};
 use foxwheel_policy::zone_loads::{self, RequestCounts, MAX_REPORTED_SERVERS};
 
@@ -28,7 +28,7 @@
 #[test]
 fn a_large_zone_tells_of_its_freest_servers() {
     let servers = (0..200).map(|at| {
-        let key = ServerKey {
+        let key = ServerInstance {
             id: format!("server-{at}"),
             incarnation: 1,
         };
