--- a/crates/foxwheel-node/src/batch_front.rs
+++ b/crates/foxwheel-node/src/batch_front.rs
@@ -1,4 +1,5 @@
-//! A front's side of batch jobs: submissions, reads, ends.
+//! Serves the callers' batch job requests at a front: submitting a job, reading its results
+//! and item bodies, and ending it.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -24,32 +25,34 @@
 use crate::responses::{self, CallerResponse};
 use crate::settings::Role;
 
-/// Longest time for storing a submission; the caller waits about four seconds.
-const SUBMIT_TIME: Duration = Duration::from_millis(3_000);
+/// Time limit for storing a submission. Callers wait about four seconds for the response.
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Longest time for recording the end of a job.
-const END_TIME: Duration = Duration::from_millis(3_000);
+/// Time limit for recording the end of a job in the ledger.
+const END_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Longest wait of one read for a first result.
+/// Upper bound on how long a read may wait for its first result.
 const MAX_READ_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Longest time to read a job from the store when no worker answers.
-const LOAD_TIME: Duration = Duration::from_millis(1_000);
+/// Time limit for reading a job from the store when no worker responds.
+const LOAD_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// When a refused call should come again: about a retry of the store.
+/// Value of `retry-after` for calls that fail because the store or the workers are
+/// unavailable; about the time until a store call is retried.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// When a submission over the quota should come again: items finish within seconds.
+/// Value of `retry-after` for submissions over the quota. Items finish within seconds, so
+/// quota becomes free soon.
 const QUOTA_RETRY_AFTER: Duration = Duration::from_millis(800);
 
-/// Workers asked for one read: the one that should run the job, the one that does, and one
-/// more if the job is moving.
-const MAX_WORKERS_ASKED: u32 = 3;
+/// Maximum number of workers that one read queries: the job's first choice, its owner, and
+/// one more in case the job is changing its owner.
+const MAX_WORKERS_QUERIED: u32 = 3;
 
-/// Longest id of a job; it becomes part of object names.
+/// Maximum length of a job id, which becomes part of object names in the store.
 const MAX_ID_BYTES: usize = 128;
 
-/// A front's side of batch jobs.
+/// Serves batch job requests at a front.
 #[derive(Debug)]
 pub struct BatchFront {
     node: Arc<Node>,
@@ -57,7 +60,7 @@
 }
 
 impl BatchFront {
-    /// The calls on jobs at this front.
+    /// Creates the batch service of the front `node`.
     pub fn new(node: Arc<Node>) -> Self {
         Self {
             store: JobStore::new(Arc::clone(&node)),
@@ -65,7 +68,9 @@
         }
     }
 
-    /// Takes a submission to `route`.
+    /// Accepts the job in `body` on `route`, or responds why it cannot be accepted.
+    ///
+    /// The response is 202 only once the job is stored and entered in the ledger.
     pub async fn submit(
         &self,
         caller: &CallerRequest,
@@ -81,7 +86,7 @@
         let items = match batch_api::decode_items(&body) {
             Ok(items) => items,
             Err(e) => {
-                log::warn!(request_id = caller.id, error:% = e; "submission not valid");
+                log::warn!(request_id = caller.id, error:% = e; "job submission is not valid");
                 return responses::text(StatusCode::BAD_REQUEST, &e.to_string());
             }
         };
@@ -94,7 +99,7 @@
             items,
         };
         let received_at = Instant::now();
-        let accepted = self.accept(&job, route).await;
+        let accepted = self.accept_job(&job, route).await;
         let took_ms = received_at.elapsed().as_millis() as u64;
         match accepted {
             Ok(Admission::OverQuota) => {
@@ -109,11 +114,11 @@
                     .metrics
                     .time(Timer::JobAccept, received_at.elapsed());
                 if admission == Admission::Accepted {
-                    self.hand_over(job);
+                    self.send_to_first_choice(job);
                 }
                 responses::empty(StatusCode::ACCEPTED)
             }
-            Err(NotAccepted::Never(e)) => {
+            Err(SubmitError::NotAccepted(e)) => {
                 log::warn!(request_id = job.id, error:% = e, took_ms; "job refused");
                 match e {
                     JobStoreError::ItemTooLarge { .. } => {
@@ -122,52 +127,55 @@
                     _ => responses::not_run(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER),
                 }
             }
-            Err(NotAccepted::Perhaps(e)) => {
-                log::warn!(request_id = job.id, error:% = e, took_ms; "job may be accepted or not");
+            Err(SubmitError::MaybeAccepted(e)) => {
+                log::warn!(request_id = job.id, error:% = e, took_ms; "unknown whether the job was accepted");
                 responses::empty(StatusCode::BAD_GATEWAY)
             }
         }
     }
 
-    async fn accept(&self, job: &JobSpec, route: &Route) -> Result<Admission, NotAccepted> {
-        let deadline = Instant::now() + SUBMIT_TIME;
+    async fn accept_job(&self, job: &JobSpec, route: &Route) -> Result<Admission, SubmitError> {
+        let deadline = Instant::now() + SUBMIT_TIMEOUT;
         self.store
             .split_items(&job.items)
-            .map_err(NotAccepted::Never)?;
-        // Both at once: while the store is slow, one after the other misses the target.
+            .map_err(SubmitError::NotAccepted)?;
+        // Both writes run concurrently: one after the other would exceed the response time
+        // target while the store is slow.
         let saving = self.store.save_job(job, deadline);
-        let (saved, admitted) = tokio::join!(saving, self.admit(job, route, deadline));
-        let admission = admitted.map_err(NotAccepted::Perhaps)?;
+        let (saved, admitted) = tokio::join!(saving, self.admit_to_ledger(job, route, deadline));
+        let admission = admitted.map_err(SubmitError::MaybeAccepted)?;
         match (admission, saved) {
             (Admission::OverQuota, _) => Ok(Admission::OverQuota),
             (Admission::Accepted, Ok(())) => Ok(Admission::Accepted),
-            // The job may have been withdrawn for not being stored; now it is stored.
+            // The ledger entry may have been withdrawn because the job was not stored. It is
+            // stored now, so it is admitted again.
             (Admission::Repeat, Ok(())) => self
-                .admit(job, route, deadline)
+                .admit_to_ledger(job, route, deadline)
                 .await
-                .map_err(NotAccepted::Perhaps),
+                .map_err(SubmitError::MaybeAccepted),
             (_, Err(JobStoreError::Store(e))) if !e.is_not_done() => {
-                Err(NotAccepted::Perhaps(e.into()))
+                Err(SubmitError::MaybeAccepted(e.into()))
             }
-            // Not stored, so no worker can run it, whatever the ledger says.
-            (_, Err(e)) => Err(NotAccepted::Never(e)),
+            // A job that is not stored cannot be run by any worker, even if the ledger
+            // contains it.
+            (_, Err(e)) => Err(SubmitError::NotAccepted(e)),
         }
     }
 
-    async fn admit(
+    async fn admit_to_ledger(
         &self,
         job: &JobSpec,
         route: &Route,
         deadline: Instant,
     ) -> Result<Admission, JobStoreError> {
-        let admit = LedgerChange::Admit {
+        let change = LedgerChange::Admit {
             id: job.id.clone(),
             route: job.route.clone(),
             tokens: job.tokens(),
             quota_tokens: route.quota_tokens,
             now_unix: job.submitted_unix,
         };
-        match self.change_ledger(admit, deadline).await? {
+        match self.change_ledger(change, deadline).await? {
             LedgerAnswer::Admission(admission) => Ok(admission),
             LedgerAnswer::Standing(_) => Err(JobStoreError::Contended),
         }
@@ -181,13 +189,13 @@
         ledger_writer::change_ledger(&self.node, &self.store, None, change, deadline).await
     }
 
-    /// Tells the worker that should run the job. If the call is lost, a worker finds the
-    /// job in the ledger.
-    fn hand_over(&self, job: JobSpec) {
+    /// Sends the job to the worker that is its first choice. If the call fails, a worker
+    /// finds the job in the ledger.
+    fn send_to_first_choice(&self, job: JobSpec) {
         let now = Instant::now();
         let workers = self.node.peers.live_workers(now);
         let Some(first) = ownership::first_choice(&job.id, &workers) else {
-            log::warn!(request_id = job.id; "no live worker, the ledger keeps the job");
+            log::warn!(request_id = job.id; "no live worker; the job stays in the ledger");
             return;
         };
         let Some(addr) = self.worker_addr(&first.node, now) else {
@@ -197,21 +205,21 @@
         tokio::spawn(async move {
             let id = job.id.clone();
             if let Err(e) = node.peer_calls.send_accepted_job(addr, job).await {
-                log::warn!(request_id = id, error:% = e; "job not handed over, the ledger keeps it");
+                log::warn!(request_id = id, error:% = e; "could not send the job to a worker; it stays in the ledger");
             }
         });
     }
 
-    /// Serves a call on a job.
-    pub async fn call(&self, call: JobCall) -> CallerResponse {
+    /// Serves a call on an accepted job.
+    pub async fn serve_call(&self, call: JobCall) -> CallerResponse {
         match call {
-            JobCall::Read { job, from, wait } => self.read(job, from, wait).await,
-            JobCall::Body { job, item } => self.body(job, item).await,
-            JobCall::End { job } => self.end(job).await,
+            JobCall::Read { job, from, wait } => self.read_results(job, from, wait).await,
+            JobCall::Body { job, item } => self.read_item_body(job, item).await,
+            JobCall::End { job } => self.end_job(job).await,
         }
     }
 
-    async fn read(&self, job: JobId, from: usize, wait: Duration) -> CallerResponse {
+    async fn read_results(&self, job: JobId, from: usize, wait: Duration) -> CallerResponse {
         if !is_valid_id(&job) {
             return responses::empty(StatusCode::NOT_FOUND);
         }
@@ -222,91 +230,91 @@
             known_parts: ownership::known_parts(&job, &workers),
             wait: wait.min(MAX_READ_WAIT),
         };
-        let mut asking = Asking::new(self.workers_for(&job));
-        while let Some(addr) = asking.next() {
-            let answer = self
+        let mut query = WorkerQuery::new(self.workers_to_query(&job));
+        while let Some(addr) = query.next_worker() {
+            let response = self
                 .node
                 .peer_calls
                 .read_results(addr, job.clone(), read)
                 .await;
-            asking.take(answer, ResultsResponse::next_peer, &job);
+            query.record_response(response, ResultsResponse::next_peer, &job);
         }
-        let answer = match asking.settled {
-            Some(answer) => answer,
+        let response = match query.result {
+            Some(response) => response,
             None => self.read_from_store(&job, from).await,
         };
-        match answer {
+        match response {
             ResultsResponse::Results {
                 item_count,
                 results,
             } => responses::json(batch_api::encode_read(item_count, from, &results)),
             ResultsResponse::NoSuchJob => {
-                log::warn!(request_id = job; "read of an unknown job");
+                log::warn!(request_id = job; "read of a job that does not exist");
                 responses::empty(StatusCode::NOT_FOUND)
             }
             ResultsResponse::Unsure | ResultsResponse::Elsewhere(_) => {
-                log::warn!(request_id = job; "job not readable now");
+                log::warn!(request_id = job; "job cannot be read at present");
                 responses::not_run(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER)
             }
         }
     }
 
-    async fn body(&self, job: JobId, item: ItemId) -> CallerResponse {
+    async fn read_item_body(&self, job: JobId, item: ItemId) -> CallerResponse {
         if !is_valid_id(&job) {
             return responses::empty(StatusCode::NOT_FOUND);
         }
-        let mut asking = Asking::new(self.workers_for(&job));
-        while let Some(addr) = asking.next() {
+        let mut query = WorkerQuery::new(self.workers_to_query(&job));
+        while let Some(addr) = query.next_worker() {
             let calls = &self.node.peer_calls;
-            let answer = calls.read_item_body(addr, job.clone(), item.clone()).await;
-            asking.take(answer, ItemBodyResponse::next_peer, &job);
+            let response = calls.read_item_body(addr, job.clone(), item.clone()).await;
+            query.record_response(response, ItemBodyResponse::next_peer, &job);
         }
-        let answer = match asking.settled {
-            Some(answer) => answer,
+        let response = match query.result {
+            Some(response) => response,
             None => self.body_from_store(&job, &item).await,
         };
-        match answer {
+        match response {
             ItemBodyResponse::Body(body) => {
-                let mut reply = responses::empty(StatusCode::OK);
-                *reply.body_mut() = responses::full_body(body);
-                reply
+                let mut response = responses::empty(StatusCode::OK);
+                *response.body_mut() = responses::full_body(body);
+                response
             }
             ItemBodyResponse::NoSuchItem => responses::empty(StatusCode::NOT_FOUND),
             ItemBodyResponse::Unsure | ItemBodyResponse::Elsewhere(_) => {
-                log::warn!(request_id = item, job; "item not readable now");
+                log::warn!(request_id = item, job; "item cannot be read at present");
                 responses::not_run(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER)
             }
         }
     }
 
-    async fn end(&self, job: JobId) -> CallerResponse {
+    async fn end_job(&self, job: JobId) -> CallerResponse {
         if !is_valid_id(&job) {
             return responses::empty(StatusCode::NOT_FOUND);
         }
         let now_unix = Duration::from_millis(time::unix_ms());
-        let deadline = Instant::now() + END_TIME;
-        let close = LedgerChange::Close {
+        let deadline = Instant::now() + END_TIMEOUT;
+        let change = LedgerChange::Close {
             id: job.clone(),
             now_unix,
         };
-        match self.change_ledger(close, deadline).await {
+        match self.change_ledger(change, deadline).await {
             Ok(LedgerAnswer::Standing(JobStanding::Closed)) => {
                 log::info!(request_id = job; "job ended by its caller");
-                self.tell_ended(&job);
+                self.notify_workers_of_end(&job);
                 responses::empty(StatusCode::OK)
             }
-            Ok(_) => self.end_unknown(&job).await,
+            Ok(_) => self.end_unlisted_job(&job).await,
             Err(e) => {
-                log::warn!(request_id = job, error:% = e; "end of the job not recorded");
+                log::warn!(request_id = job, error:% = e; "could not record the end of the job");
                 responses::empty(StatusCode::BAD_GATEWAY)
             }
         }
     }
 
-    /// An end of a job that is not in the ledger: it was pruned long after it ended, or
-    /// never was accepted.
-    async fn end_unknown(&self, job: &JobId) -> CallerResponse {
-        let deadline = Instant::now() + LOAD_TIME;
+    /// Responds to the end of a job that is not in the ledger. The job was either pruned
+    /// from it long after it ended, or never accepted.
+    async fn end_unlisted_job(&self, job: &JobId) -> CallerResponse {
+        let deadline = Instant::now() + LOAD_TIMEOUT;
         match self.store.load_job(job, deadline).await {
             Ok(Some(_)) => responses::empty(StatusCode::OK),
             Ok(None) => responses::empty(StatusCode::NOT_FOUND),
@@ -314,26 +322,27 @@
         }
     }
 
-    /// Tells every worker: more than one may believe that it runs the job.
-    fn tell_ended(&self, job: &JobId) {
+    /// Notifies every live worker that the job ended, as more than one may believe that it
+    /// owns the job.
+    fn notify_workers_of_end(&self, job: &JobId) {
         for (_, addr) in self.node.peers.live_processes(Role::Worker, Instant::now()) {
             let node = Arc::clone(&self.node);
             let job = job.clone();
             tokio::spawn(async move {
                 if let Err(e) = node.peer_calls.send_ended_job(addr, job.clone()).await {
-                    log::info!(request_id = job, error:% = e; "worker not told of the end, the ledger tells it");
+                    log::info!(request_id = job, error:% = e; "could not notify a worker that the job ended; it will read it from the ledger");
                 }
             });
         }
     }
 
-    /// Addresses of the workers to ask about a job: its holder, then the one that should
-    /// hold it.
-    fn workers_for(&self, job: &JobId) -> Vec<SocketAddr> {
+    /// Returns the addresses of the workers to query about a job: its owners, then its first
+    /// choice.
+    fn workers_to_query(&self, job: &JobId) -> Vec<SocketAddr> {
         let now = Instant::now();
         let workers = self.node.peers.live_workers(now);
-        let holders = workers.iter().filter(|worker| worker.holds(job));
-        let mut hosts: Vec<&str> = holders.map(|worker| worker.node.as_str()).collect();
+        let owners = workers.iter().filter(|worker| worker.holds(job));
+        let mut hosts: Vec<&str> = owners.map(|worker| worker.node.as_str()).collect();
         if let Some(first) = ownership::first_choice(job, &workers) {
             hosts.push(&first.node);
         }
@@ -359,14 +368,14 @@
             },
             Ok(None) => ResultsResponse::NoSuchJob,
             Err(e) => {
-                log::info!(request_id = job, error:% = e; "job not read from the store");
+                log::info!(request_id = job, error:% = e; "could not read the job from the store");
                 ResultsResponse::Unsure
             }
         }
     }
 
     async fn body_from_store(&self, job: &JobId, item: &ItemId) -> ItemBodyResponse {
-        let deadline = Instant::now() + LOAD_TIME;
+        let deadline = Instant::now() + LOAD_TIMEOUT;
         match self.store.load_job(job, deadline).await {
             Ok(found) => found
                 .and_then(|job| job.items.into_iter().find(|spec| spec.id == *item))
@@ -374,71 +383,73 @@
                     ItemBodyResponse::Body(spec.body)
                 }),
             Err(e) => {
-                log::info!(request_id = item, error:% = e; "item not read from the store");
+                log::info!(request_id = item, error:% = e; "could not read the item from the store");
                 ItemBodyResponse::Unsure
             }
         }
     }
 
     async fn progress_from_store(&self, job: &JobId) -> Result<Option<JobProgress>, JobStoreError> {
-        let deadline = Instant::now() + LOAD_TIME;
+        let deadline = Instant::now() + LOAD_TIMEOUT;
         self.store.load_progress(job, deadline).await
     }
 }
 
-/// Asking workers about a job, one after the other, until an answer settles the question.
-struct Asking<A> {
+/// Queries workers about a job one after the other until a response is conclusive.
+struct WorkerQuery<R> {
     workers: VecDeque<SocketAddr>,
-    /// Questions that may still be asked.
-    left: u32,
-    /// The answer that settles it.
-    settled: Option<A>,
+    /// Number of workers that may still be queried.
+    queries_left: u32,
+    /// The conclusive response.
+    result: Option<R>,
 }
 
-impl<A> Asking<A> {
+impl<R> WorkerQuery<R> {
     fn new(workers: Vec<SocketAddr>) -> Self {
         Self {
             workers: workers.into(),
-            left: MAX_WORKERS_ASKED,
-            settled: None,
+            queries_left: MAX_WORKERS_QUERIED,
+            result: None,
         }
     }
 
-    /// The next worker to ask; none once the question is settled.
-    fn next(&mut self) -> Option<SocketAddr> {
-        if self.settled.is_some() || self.left == 0 {
+    /// Returns the next worker to query, or `None` if there is a conclusive response, no
+    /// worker is left or the limit is reached.
+    fn next_worker(&mut self) -> Option<SocketAddr> {
+        if self.result.is_some() || self.queries_left == 0 {
             return None;
         }
-        self.left -= 1;
+        self.queries_left -= 1;
         self.workers.pop_front()
     }
 
-    fn take(
+    fn record_response(
         &mut self,
-        answer: Result<A, PeerError>,
-        next_peer: impl Fn(&A) -> NextPeer,
+        response: Result<R, PeerError>,
+        next_peer: impl Fn(&R) -> NextPeer,
         job: &JobId,
     ) {
-        match answer {
-            Ok(answer) => match next_peer(&answer) {
-                NextPeer::Nobody => self.settled = Some(answer),
-                NextPeer::Worker(holder) => self.workers.push_front(holder),
+        match response {
+            Ok(response) => match next_peer(&response) {
+                NextPeer::Nobody => self.result = Some(response),
+                NextPeer::Worker(owner) => self.workers.push_front(owner),
                 NextPeer::Others => {}
             },
-            Err(e) => log::info!(request_id = job, error:% = e; "worker did not answer a read"),
+            Err(e) => log::info!(request_id = job, error:% = e; "worker did not respond to a read"),
         }
     }
 }
 
-enum NotAccepted {
-    /// No part of the job will run through this submission.
-    Never(JobStoreError),
-    /// The ledger may come to name the job.
-    Perhaps(JobStoreError),
+/// Why a submission was not confirmed as accepted.
+enum SubmitError {
+    /// The job was not accepted and no item of it runs because of this submission.
+    NotAccepted(JobStoreError),
+    /// The job may be in the ledger, or enter it later.
+    MaybeAccepted(JobStoreError),
 }
 
-/// Whether an id can stand in a path and an object's name.
+/// Returns whether an id can be used in paths and object names.
 fn is_valid_id(id: &str) -> bool {
-    let valid = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
-    !id.is_empty() && id.len() <= MAX_ID_BYTES && id.bytes().all(valid)
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
+    !id.is_empty() && id.len() <= MAX_ID_BYTES && id.bytes().all(is_allowed)
 }
--- a/crates/foxwheel-node/src/front.rs
+++ b/crates/foxwheel-node/src/front.rs
@@ -210,7 +210,7 @@
             return responses::empty(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
         }
         if let Some(call) = job_call(&config, &head, &caller) {
-            return self.batch.call(call).await;
+            return self.batch.serve_call(call).await;
         }
         let Some(route) = config.match_route(&caller.host, &caller.path).cloned() else {
             log::warn!(request_id = caller.id, host = caller.host, path = caller.path, version = config.version; "no route");
