--- a/crates/foxwheel-node/src/item_run.rs
+++ b/crates/foxwheel-node/src/item_run.rs
@@ -1,4 +1,4 @@
-//! One run of a batch item at a backend server.
+//! Runs a batch item once at a backend server and collects its output.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -18,37 +18,39 @@
 use crate::node::Node;
 use crate::request_content::RequestContent;
 
-/// Longest wait for the first event: an engine that does not begin within it is full.
-const FIRST_EVENT_PATIENCE: Duration = Duration::from_millis(4_000);
+/// Time limit for the first event of a run. An engine that does not start within it has no
+/// free slot.
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// How long an item may wait behind online requests that came in the same step before its
-/// server counts as silent.
+/// How long an item may wait behind online requests that arrived in the same engine step
+/// before its server counts as silent.
 const EXPECTED_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Longest pause between events before the run goes on elsewhere.
-const EVENT_PATIENCE: Duration = Duration::from_millis(1_500);
+/// Maximum time between two events. When it passes, the run ends and the item continues at
+/// another server.
+const EVENT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// An item's output, shared between its run and the checkpoints of its worker.
+/// The output of an item, shared between its run and the checkpoints of its worker.
 pub type SharedOutput = Arc<Mutex<PartialOutput>>;
 
-/// What to run and where.
+/// A batch item and the slot at a backend server where it runs.
 #[derive(Debug)]
 pub struct ItemRun {
-    /// The item's job, for the log.
+    /// The item's job; only written to the log.
     pub job: JobId,
-    /// Host header of the job's route.
+    /// Value of the `host` header: the host of the job's route.
     pub host: String,
-    /// The item.
+    /// The item to run.
     pub item: ItemSpec,
-    /// Output of earlier runs; the run appends to it.
+    /// Output of earlier runs. This run resumes behind its last event and appends to it.
     pub output: SharedOutput,
-    /// The slot taken at the server.
+    /// The slot that the run occupies at its server.
     pub slot: InFlight,
-    /// Cancelled to free the slot or when the job ends.
+    /// Cancelled to stop the run when its slot is needed or its job ends.
     pub cancel: CancellationToken,
 }
 
-/// Runs the item; answers how the run ended.
+/// Runs the item once and returns how the run ended.
 pub async fn run_item(node: Arc<Node>, run: ItemRun) -> RunEnd {
     let server = run.slot.server().clone();
     let ItemRun {
@@ -59,15 +61,15 @@
         slot,
         cancel,
     } = run;
-    let started = Instant::now();
+    let started_at = Instant::now();
     let resumed_after = last_event_id(&output);
-    let running = run_to_end(&node, &host, &item, slot, &output);
+    let running = send_and_read(&node, &host, &item, slot, &output);
     let (end, reason) = tokio::select! {
         biased;
         ended = running => ended,
-        () = cancel.cancelled() => (RunEnd::Preempted, "slot needed or job ended".to_owned()),
+        () = cancel.cancelled() => (RunEnd::Preempted, "its slot was needed or its job ended".to_owned()),
     };
-    let took_ms = started.elapsed().as_millis() as u64;
+    let took_ms = started_at.elapsed().as_millis() as u64;
     log::info!(request_id = item.id, job, server = server.id, end:? = end, reason, resumed_after, last_event = last_event_id(&output), took_ms; "item run ended");
     node.metrics.incr(match end {
         RunEnd::Whole => Counter::RunWhole,
@@ -82,7 +84,7 @@
     output.lock().expect("output lock").last_event_id
 }
 
-async fn run_to_end(
+async fn send_and_read(
     node: &Arc<Node>,
     host: &str,
     item: &ItemSpec,
@@ -101,7 +103,7 @@
     let body = Bytes::from(item.body.clone());
     let content = RequestContent::new(Method::POST.as_str(), host, &item.path, body);
     if !node.can_run_item(&content, Instant::now()) {
-        // It waits for a trial, or until its route lets it be given up.
+        // The item waits until it may be tried again, or until its route allows giving it up.
         return (RunEnd::Quarantined, "servers crashed under it".to_owned());
     }
     let target = Target {
@@ -109,11 +111,11 @@
         request_id: item.id.clone(),
         content: Arc::new(content),
         expected_wait: EXPECTED_WAIT,
-        deadline: Instant::now() + FIRST_EVENT_PATIENCE,
+        deadline: Instant::now() + FIRST_EVENT_TIMEOUT,
         head_deadline: None,
     };
     match attempt::send(node, target, request).await {
-        Ok(answer) => read_answer(answer, output).await,
+        Ok(response) => read_response(response, output).await,
         Err(failure) => match failure.outcome {
             AttemptOutcome::NotSent | AttemptOutcome::Gone | AttemptOutcome::Rejected => {
                 (RunEnd::NotRun, failure.reason)
@@ -123,43 +125,45 @@
     }
 }
 
-async fn read_answer(mut answer: OpenResponse, output: &SharedOutput) -> (RunEnd, String) {
-    let status = answer.decoded_head.status;
-    if status.is_success() && !answer.decoded_head.not_run {
-        return read_events(answer, output).await;
+async fn read_response(mut response: OpenResponse, output: &SharedOutput) -> (RunEnd, String) {
+    let status = response.decoded_head.status;
+    if status.is_success() && !response.decoded_head.not_run {
+        return read_events(response, output).await;
     }
     let end = match status {
-        _ if answer.decoded_head.not_run => RunEnd::NotRun,
+        _ if response.decoded_head.not_run => RunEnd::NotRun,
         StatusCode::UNPROCESSABLE_ENTITY => RunEnd::Impossible,
         StatusCode::INTERNAL_SERVER_ERROR => RunEnd::Failed,
         _ => RunEnd::Broken,
     };
-    let whole = answer.read_full_body(Instant::now() + EVENT_PATIENCE).await;
-    if whole.is_ok() {
-        answer.finish();
+    let body = response
+        .read_full_body(Instant::now() + EVENT_TIMEOUT)
+        .await;
+    if body.is_ok() {
+        response.finish();
     }
     (end, format!("server answered {}", status.as_u16()))
 }
 
-async fn read_events(mut answer: OpenResponse, output: &SharedOutput) -> (RunEnd, String) {
+async fn read_events(mut response: OpenResponse, output: &SharedOutput) -> (RunEnd, String) {
     let mut splitter = EventSplitter::default();
-    let mut patience = FIRST_EVENT_PATIENCE;
+    let mut timeout = FIRST_EVENT_TIMEOUT;
     loop {
-        match answer.next_frame(Instant::now() + patience).await {
+        match response.next_frame(Instant::now() + timeout).await {
             BodyFrame::Data(data) => splitter.push(&data),
             BodyFrame::End if splitter.has_partial_event() => {
-                return (RunEnd::Broken, "ended within an event".to_owned())
+                return (RunEnd::Broken, "stream ended within an event".to_owned())
             }
             BodyFrame::End if last_event_id(output).is_none() => {
-                return (RunEnd::Broken, "ended without an event".to_owned())
+                return (RunEnd::Broken, "stream ended without an event".to_owned())
             }
             BodyFrame::End => {
-                answer.finish();
+                response.finish();
                 return (RunEnd::Whole, String::new());
             }
             BodyFrame::CutOff(reason) => return (RunEnd::Broken, reason),
         }
-        patience = EVENT_PATIENCE;
+        timeout = EVENT_TIMEOUT;
         while let Some(event) = splitter.next_event() {
             let Some(id) = event.id else { continue };
             let mut output = output.lock().expect("output lock");
--- a/crates/foxwheel-node/src/job_store.rs
+++ b/crates/foxwheel-node/src/job_store.rs
@@ -1,11 +1,13 @@
-//! Batch jobs in the platform's store: what is written where, and how writes whose answers
-//! are lost are settled.
+//! Reads and writes batch jobs in the platform's store. A write whose response is lost is
+//! repeated until its outcome is known.
 //!
-//! - a job as submitted: created once, before it stands in the ledger;
-//! - the ledger of accepted jobs: replaced only at the revision it was read at;
+//! The store holds four kinds of objects:
+//!
+//! - jobs as submitted: created once and never changed;
+//! - the ledger of accepted jobs: replaced only at the revision at which it was read;
 //! - parts of results, numbered from 0: each created once;
-//! - how far each worker's items got: replaced by the process that wrote it, read by whoever
-//!   adopts a job, and removed long after.
+//! - checkpoints, the progress of each worker's items: replaced by the process that wrote
+//!   them, read by workers that take over a job, and removed some time later.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -30,87 +32,89 @@
 const LEDGER_KIND: &str = "foxwheel-ledger";
 const LEDGER_NAME: &str = "jobs";
 
-/// Share of the largest value that one object's payload may take; the rest is left for
-/// field names and escapes.
-const VALUE_SHARE: f64 = 0.8;
+/// Share of the store's maximum value size that the payload of one object may use. The rest
+/// is left for field names and escapes.
+const PAYLOAD_SHARE: f64 = 0.8;
 
-/// Longest time to settle one write whose answer was lost.
-const SETTLE_TIME: Duration = Duration::from_secs(6);
+/// Time limit for creating a part of results, including retries after lost responses.
+const CREATE_PART_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A job's first object; the items beyond `parts` follow in objects of their own.
+/// The first object of a job. Items that do not fit into it are in `more_parts` further
+/// objects.
 #[derive(Serialize, Deserialize)]
 struct JobRecord {
     job: JobSpec,
     more_parts: u32,
 }
 
-/// How far the jobs of one worker got.
+/// The progress of the jobs of one worker.
 #[derive(Serialize, Deserialize)]
 struct CheckpointRecord {
-    /// When it was saved, since the Unix epoch.
+    /// Time of the save, since the Unix epoch.
     #[serde(rename = "saved_unix_ms")]
     #[serde(with = "serde_with::As::<serde_with::DurationMilliSeconds<u64>>")]
     saved_unix: Duration,
     jobs: Vec<JobCheckpoint>,
 }
 
-/// What became of creating a part of results.
+/// Outcome of creating a part of results.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum PartCreated {
-    /// It stands as given.
-    Done,
-    /// Another process created it with these results.
-    Taken(Vec<ItemResult>),
+pub enum PartCreation {
+    /// The part is stored with the given results.
+    Created,
+    /// Another process created the part before, with these results.
+    AlreadyExists(Vec<ItemResult>),
 }
 
-/// Why a job could not be stored or read.
+/// Error of storing or reading a job.
 #[derive(Debug, thiserror::Error)]
 pub enum JobStoreError {
-    /// The store failed.
+    /// A call to the store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// A stored value is not what this version writes.
-    #[error("stored {what} is not readable: {source}")]
+    /// A stored value does not have the format that this version writes.
+    #[error("cannot decode stored {what}: {source}")]
     Format {
-        /// Which value.
+        /// What the value holds.
         what: String,
-        /// The decoder's error.
+        /// The error of the decoder.
         source: serde_json::Error,
     },
-    /// One item alone is larger than a value may be.
-    #[error("item '{item}' is larger than the store's values may be")]
+    /// A single item does not fit into one value of the store.
+    #[error("item '{item}' is larger than the store's maximum value size")]
     ItemTooLarge {
-        /// The item's id.
+        /// Id of the item.
         item: String,
     },
-    /// The ledger kept changing under this process's updates.
-    #[error("the ledger was changed by others until the time was up")]
+    /// Other processes kept changing the ledger until the time limit of the update.
+    #[error("other processes kept changing the ledger until the time limit")]
     Contended,
 }
 
-/// Jobs in the platform's store.
+/// Access to the batch jobs in the platform's store.
 #[derive(Debug)]
 pub struct JobStore {
     node: Arc<Node>,
-    /// The newest ledger seen and its revision; a hint that an update checks.
-    cached: Mutex<Option<(u64, Ledger)>>,
+    /// The newest known ledger and its revision. It may be outdated: a write based on it
+    /// succeeds only if the revision still matches.
+    cached_ledger: Mutex<Option<(u64, Ledger)>>,
 }
 
 impl JobStore {
-    /// Access to the jobs through `node`'s store.
+    /// Creates access to the jobs through the store connection of `node`.
     pub fn new(node: Arc<Node>) -> Self {
         Self {
             node,
-            cached: Mutex::default(),
+            cached_ledger: Mutex::default(),
         }
     }
 
-    /// Stores a job unless it is stored already.
+    /// Stores a job. Does nothing if it is stored already.
     pub async fn save_job(&self, job: &JobSpec, deadline: Instant) -> Result<(), JobStoreError> {
         let chunks = self.split_items(&job.items)?;
         for (number, chunk) in chunks.iter().enumerate().skip(1) {
             let spec = encode(&chunk);
-            let name = numbered(&job.id, number as u32);
+            let name = numbered_name(&job.id, number as u32);
             self.create(JOB_PARTS_KIND, name, spec, deadline).await?;
         }
         let record = JobRecord {
@@ -125,7 +129,7 @@
         Ok(())
     }
 
-    /// A stored job, or none.
+    /// Returns a stored job, or `None` if it is not stored or one of its parts is missing.
     pub async fn load_job(
         &self,
         id: &JobId,
@@ -137,7 +141,7 @@
         let record: JobRecord = decode("job", object.spec)?;
         let mut job = record.job;
         for number in 1..=record.more_parts {
-            let name = numbered(id, number);
+            let name = numbered_name(id, number);
             let Some(part) = self.get(JOB_PARTS_KIND, &name, deadline).await? else {
                 return Ok(None);
             };
@@ -147,7 +151,7 @@
         Ok(Some(job))
     }
 
-    /// A stored job with the results stored so far, or none.
+    /// Returns a job with the results stored so far, or `None` if the job is not stored.
     pub async fn load_progress(
         &self,
         id: &JobId,
@@ -167,54 +171,60 @@
         Ok(Some(progress))
     }
 
-    /// The results of part `number`, or none if it was not created yet.
+    /// Returns the results in part `number` of a job, or `None` if that part does not exist
+    /// yet.
     pub async fn load_part(
         &self,
         id: &JobId,
         number: u32,
         deadline: Instant,
     ) -> Result<Option<Vec<ItemResult>>, JobStoreError> {
-        let name = numbered(id, number);
+        let name = numbered_name(id, number);
         match self.get(RESULTS_KIND, &name, deadline).await? {
             Some(object) => Ok(Some(decode("part of results", object.spec)?)),
             None => Ok(None),
         }
     }
 
-    /// Creates part `number` of a job's results.
+    /// Creates part `number` of the results of a job.
     pub async fn create_part(
         &self,
         id: &JobId,
         number: u32,
         results: &[ItemResult],
-    ) -> Result<PartCreated, JobStoreError> {
-        let deadline = Instant::now() + SETTLE_TIME;
-        let name = numbered(id, number);
+    ) -> Result<PartCreation, JobStoreError> {
+        let deadline = Instant::now() + CREATE_PART_TIMEOUT;
+        let name = numbered_name(id, number);
         let existing = self
             .create(RESULTS_KIND, name, encode(&results), deadline)
             .await?;
         let Some(object) = existing else {
-            return Ok(PartCreated::Done);
+            return Ok(PartCreation::Created);
         };
         let stored: Vec<ItemResult> = decode("part of results", object.spec)?;
         if stored == results {
-            // This process's own write, whose answer was lost.
-            Ok(PartCreated::Done)
+            // An earlier write of this process, whose response was lost.
+            Ok(PartCreation::Created)
         } else {
-            Ok(PartCreated::Taken(stored))
+            Ok(PartCreation::AlreadyExists(stored))
         }
     }
 
-    /// Saves how far the jobs of this worker got, in place of what this process saved before;
-    /// answers the bytes. What the host's process before it saved stays, as its jobs may not
-    /// be adopted yet. Jobs that do not fit into one object go into further ones.
+    /// Saves the progress of this worker's jobs and returns the number of bytes written.
+    ///
+    /// This replaces earlier checkpoints of this process. Checkpoints of a previous process
+    /// on the same host stay, as its jobs may not have been taken over yet. Jobs that do not
+    /// fit into one object go into further objects.
     pub async fn save_checkpoints(&self, jobs: &[JobCheckpoint]) -> Result<usize, StoreError> {
         let encoded: Vec<EncodedJson> = jobs.iter().map(encode).collect();
         let process = format!("{}.{}", self.node.settings.host, self.node.incarnation);
         let saved_unix_ms = time::unix_ms();
         let mut bytes = 0;
-        for (number, group) in groups(&encoded, self.part_bytes()).into_iter().enumerate() {
-            let name = numbered(&process, number as u32);
+        for (number, group) in group_by_size(&encoded, self.max_part_bytes())
+            .into_iter()
+            .enumerate()
+        {
+            let name = numbered_name(&process, number as u32);
             let jobs = group.join(",");
             let spec = format!("{{\"saved_unix_ms\":{saved_unix_ms},\"jobs\":[{jobs}]}}");
             bytes += spec.len();
@@ -223,30 +233,32 @@
         Ok(bytes)
     }
 
-    /// How far jobs got, as their workers last saved it. An object of another writer is
-    /// passed over.
+    /// Returns the progress of all jobs as their workers last saved it. Objects that cannot
+    /// be decoded are skipped.
     pub async fn load_checkpoints(&self) -> Result<Vec<JobCheckpoint>, StoreError> {
         let listing = self.node.store.list(CHECKPOINTS_KIND).await?;
         let mut saved = Vec::new();
         for object in listing.objects {
             match decode::<CheckpointRecord>("checkpoint", object.spec) {
                 Ok(record) => saved.extend(record.jobs),
-                Err(e) => log::warn!(name = object.name, error:% = e; "checkpoint passed over"),
+                Err(e) => {
+                    log::warn!(name = object.name, error:% = e; "cannot decode a checkpoint; skipping it")
+                }
             }
         }
         Ok(saved)
     }
 
-    /// Removes checkpoints that were saved before `before_unix`: their jobs ended or were
-    /// adopted since. Answers how many.
+    /// Removes checkpoints that were saved before `before_unix` (since the Unix epoch) and
+    /// returns how many. Their jobs have ended or been taken over since.
     pub async fn prune_checkpoints(&self, before_unix: Duration) -> Result<usize, StoreError> {
         let listing = self.node.store.list(CHECKPOINTS_KIND).await?;
-        let is_old = |object: &Object| {
+        let is_expired = |object: &Object| {
             let record = decode::<CheckpointRecord>("checkpoint", object.spec.clone());
             record.map_or(true, |record| record.saved_unix < before_unix)
         };
-        let old: Vec<Object> = listing.objects.into_iter().filter(is_old).collect();
-        for object in &old {
+        let expired: Vec<Object> = listing.objects.into_iter().filter(is_expired).collect();
+        for object in &expired {
             let delete = Write::Delete {
                 kind: CHECKPOINTS_KIND.to_owned(),
                 name: object.name.clone(),
@@ -254,10 +266,10 @@
             };
             self.node.store.write(&delete).await?;
         }
-        Ok(old.len())
+        Ok(expired.len())
     }
 
-    /// Writes an object in place of whatever stands there.
+    /// Writes an object unconditionally, replacing any existing one.
     async fn put(&self, kind: &str, name: String, spec: EncodedJson) -> Result<(), StoreError> {
         let replace = Write::Replace {
             kind: kind.to_owned(),
@@ -276,55 +288,58 @@
         Ok(())
     }
 
-    /// Most bytes of results in one part.
-    pub fn part_bytes(&self) -> usize {
-        (self.node.settings.store_value_bytes as f64 * VALUE_SHARE) as usize
+    /// Returns the maximum payload of one object in bytes.
+    pub fn max_part_bytes(&self) -> usize {
+        (self.node.settings.store_value_bytes as f64 * PAYLOAD_SHARE) as usize
     }
 
-    /// The ledger as it is now.
+    /// Reads the current ledger from the store.
     pub async fn read_ledger(&self, deadline: Instant) -> Result<Ledger, JobStoreError> {
-        Ok(self.fresh_ledger(deadline).await?.1)
+        Ok(self.fetch_ledger(deadline).await?.1)
     }
 
-    /// Changes the ledger: `change` alters it and answers something, and is asked again
-    /// whenever the ledger turns out to be another one. A ledger that `change` leaves as it
-    /// is was read within this call. An error means that the change may come into force.
+    /// Applies `change` to the ledger and returns the value that `change` returns.
+    ///
+    /// `change` is called again on a newer ledger whenever the write is rejected because
+    /// another process changed the ledger. If `change` leaves the ledger unchanged, nothing is
+    /// written, but it has then seen a ledger that was read during this call. After an error
+    /// the change may still take effect.
     pub async fn update_ledger<T>(
         &self,
         deadline: Instant,
         mut change: impl FnMut(&mut Ledger) -> T,
     ) -> Result<T, JobStoreError> {
-        let mut known = self.cached.lock().expect("ledger lock").clone();
-        let mut fresh = false;
+        let mut candidate = self.cached_ledger.lock().expect("ledger lock").clone();
+        let mut is_fresh = false;
         let mut backoff = Backoff::default();
         loop {
-            let (revision, ledger) = match known.take() {
-                Some(known) => known,
+            let (revision, ledger) = match candidate.take() {
+                Some(candidate) => candidate,
                 None => {
-                    fresh = true;
-                    self.fresh_ledger(deadline).await?
+                    is_fresh = true;
+                    self.fetch_ledger(deadline).await?
                 }
             };
             let mut changed = ledger.clone();
-            let answer = change(&mut changed);
+            let result = change(&mut changed);
             if changed == ledger {
-                if fresh {
-                    return Ok(answer);
+                if is_fresh {
+                    return Ok(result);
                 }
                 continue;
             }
-            match self.put_ledger(revision, &changed).await {
+            match self.write_ledger(revision, &changed).await {
                 Ok(WriteOutcome::Done(object)) => {
-                    self.cache(object.revision, changed);
-                    return Ok(answer);
+                    self.cache_ledger(object.revision, changed);
+                    return Ok(result);
                 }
                 Ok(WriteOutcome::Conflict(Some(object))) if !object.spec.is_null() => {
-                    known = Some((object.revision, decode("ledger", object.spec)?));
-                    fresh = true;
+                    candidate = Some((object.revision, decode("ledger", object.spec)?));
+                    is_fresh = true;
                 }
                 Ok(WriteOutcome::Conflict(_) | WriteOutcome::Missing) => {}
                 Err(e) if Instant::now() >= deadline => return Err(e.into()),
-                // Done or not, the next look at the ledger tells.
+                // The write may have been done; the next read of the ledger shows it.
                 Err(_) => {
                     self.node
                         .store
@@ -338,7 +353,11 @@
         }
     }
 
-    async fn put_ledger(&self, revision: u64, ledger: &Ledger) -> Result<WriteOutcome, StoreError> {
+    async fn write_ledger(
+        &self,
+        revision: u64,
+        ledger: &Ledger,
+    ) -> Result<WriteOutcome, StoreError> {
         let spec = encode(ledger);
         let kind = LEDGER_KIND.to_owned();
         let name = LEDGER_NAME.to_owned();
@@ -354,25 +373,27 @@
         store_relay::write(&self.node, &write).await
     }
 
-    async fn fresh_ledger(&self, deadline: Instant) -> Result<(u64, Ledger), JobStoreError> {
+    async fn fetch_ledger(&self, deadline: Instant) -> Result<(u64, Ledger), JobStoreError> {
         let object = self.get(LEDGER_KIND, LEDGER_NAME, deadline).await?;
-        let known = match object {
+        let fetched = match object {
             Some(object) => (object.revision, decode("ledger", object.spec)?),
             None => (NO_LEDGER, Ledger::default()),
         };
-        self.cache(known.0, known.1.clone());
-        Ok(known)
+        self.cache_ledger(fetched.0, fetched.1.clone());
+        Ok(fetched)
     }
 
-    fn cache(&self, revision: u64, ledger: Ledger) {
-        let mut cached = self.cached.lock().expect("ledger lock");
-        if cached.as_ref().is_none_or(|(known, _)| *known < revision) {
+    fn cache_ledger(&self, revision: u64, ledger: Ledger) {
+        let mut cached = self.cached_ledger.lock().expect("ledger lock");
+        if cached.as_ref().is_none_or(|(cached, _)| *cached < revision) {
             *cached = Some((revision, ledger));
         }
     }
 
-    /// Creates an object, settling lost answers. Answers the object that stands there if
-    /// it was not created by the last try.
+    /// Creates an object, retrying after errors and lost responses until `deadline`.
+    ///
+    /// Returns `None` if the last try created the object, otherwise the object that existed
+    /// at that time; an earlier try whose response was lost may have created it.
     async fn create(
         &self,
         kind: &str,
@@ -386,8 +407,8 @@
             spec,
         };
         let mut backoff = Backoff::default();
-        // An earlier try whose answer was lost may be done late.
-        let mut perhaps_done = None;
+        // Error of an earlier try whose response was lost. The store may still perform it.
+        let mut unknown_outcome = None;
         loop {
             match store_relay::write(&self.node, &write).await {
                 Ok(WriteOutcome::Done(_)) => return Ok(None),
@@ -399,11 +420,11 @@
                         return Ok(Some(object));
                     }
                 }
-                Err(e) if Instant::now() >= deadline => return Err(perhaps_done.unwrap_or(e)),
-                // A write that was done after all is met as a conflict.
+                Err(e) if Instant::now() >= deadline => return Err(unknown_outcome.unwrap_or(e)),
+                // If the write was done after all, the next try reports a conflict.
                 Err(e) => {
                     if !e.is_not_done() {
-                        perhaps_done = Some(e);
+                        unknown_outcome = Some(e);
                     }
                     self.node
                         .store
@@ -423,37 +444,38 @@
         store_relay::get_with_retries(&self.node, kind, name, deadline).await
     }
 
-    /// Splits items into chunks that fit into one value each; at least one chunk.
+    /// Splits items into chunks that fit into one value each. There is always at least one
+    /// chunk.
     pub fn split_items<'a>(
         &self,
         items: &'a [ItemSpec],
     ) -> Result<Vec<&'a [ItemSpec]>, JobStoreError> {
-        let limit = self.part_bytes();
+        let limit_bytes = self.max_part_bytes();
         let mut chunks = Vec::new();
         let mut start = 0;
         let mut bytes = 0;
         for (at, item) in items.iter().enumerate() {
-            let size = encode(item).len();
-            if size > limit {
+            let size_bytes = encode(item).len();
+            if size_bytes > limit_bytes {
                 return Err(JobStoreError::ItemTooLarge {
                     item: item.id.clone(),
                 });
             }
-            if bytes + size > limit {
+            if bytes + size_bytes > limit_bytes {
                 chunks.push(&items[start..at]);
                 start = at;
                 bytes = 0;
             }
-            bytes += size;
+            bytes += size_bytes;
         }
         chunks.push(&items[start..]);
         Ok(chunks)
     }
 }
 
-/// Groups of values that fit into `max_bytes` each; a value that does not fit alone is left
-/// out.
-fn groups(values: &[EncodedJson], max_bytes: usize) -> Vec<Vec<&str>> {
+/// Groups values so that each group has at most `max_bytes`. Values that are larger on their
+/// own are left out.
+fn group_by_size(values: &[EncodedJson], max_bytes: usize) -> Vec<Vec<&str>> {
     let mut groups: Vec<Vec<&str>> = Vec::new();
     let mut bytes = max_bytes;
     for value in values.iter().filter(|value| value.len() <= max_bytes) {
@@ -467,10 +489,10 @@
     groups
 }
 
-/// Stands for the revision of a ledger that does not exist yet; the store counts from 1.
+/// Revision of a ledger that does not exist yet. The store counts revisions from 1.
 const NO_LEDGER: u64 = 0;
 
-fn numbered(id: &str, number: u32) -> String {
+fn numbered_name(id: &str, number: u32) -> String {
     format!("{id}-{number}")
 }
 
--- a/crates/foxwheel-node/src/ledger_writer.rs
+++ b/crates/foxwheel-node/src/ledger_writer.rs
@@ -1,10 +1,10 @@
-//! Changes of the ledger, made by one worker for all processes.
+//! Changes the ledger through one worker, the ledger writer, on behalf of all processes.
 //!
-//! Load pattern: bursts of submissions at all fronts, also while the store takes a quarter
-//! of a second for each call. Processes that change the ledger each by itself meet each
-//! other's changes and write twice; the keeper knows the newest ledger and writes all
-//! changes that wait at once. It only saves calls and time: any process may change the
-//! ledger, which is replaced only at the revision it was read at.
+//! Load pattern: bursts of submissions arrive at all fronts, also while the store takes a
+//! quarter of a second for each call. If each process changed the ledger by itself, the
+//! writes would conflict and be repeated. The ledger writer knows the newest ledger and
+//! writes all waiting changes at once. It only saves calls and time: any process may change
+//! the ledger, as each write replaces it only at the revision at which it was read.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -18,65 +18,67 @@
 use crate::peer_calls::RelayedResult;
 use crate::settings::Role;
 
-/// Stands for the ledger where workers are ranked for a job.
-const LEDGER_RANK: &str = "ledger";
+/// Key by which the workers are ranked to choose the ledger writer. Jobs use their id.
+const LEDGER_RANK_KEY: &str = "ledger";
 
-/// Longest time for one write of the ledger with all changes that wait.
-const WRITE_TIME: Duration = Duration::from_millis(1_200);
+/// Time limit for one write of the ledger with all waiting changes.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-type Waiting = (LedgerChange, oneshot::Sender<RelayedResult<LedgerAnswer>>);
+/// A waiting change and where its result is sent.
+type WaitingChange = (LedgerChange, oneshot::Sender<RelayedResult<LedgerAnswer>>);
 
-/// Changes that wait at a worker.
+/// The changes that wait at this worker for the next write of the ledger.
 #[derive(Debug, Default)]
 pub struct LedgerWriter {
-    waiting: Mutex<Vec<Waiting>>,
+    waiting: Mutex<Vec<WaitingChange>>,
     wake: Notify,
 }
 
 impl LedgerWriter {
-    /// Makes `change` with the next write.
+    /// Applies `change` with the next write of the ledger and returns its result, or
+    /// `Unknown` if the write failed.
     pub async fn submit(&self, change: LedgerChange) -> RelayedResult<LedgerAnswer> {
-        let (answer, answered) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         {
-            let mut waiting = self.waiting.lock().expect("ledger keeper lock");
-            waiting.push((change, answer));
+            let mut waiting = self.waiting.lock().expect("ledger writer lock");
+            waiting.push((change, sender));
         }
         self.wake.notify_one();
-        answered
+        receiver
             .await
-            .unwrap_or_else(|_| RelayedResult::Unknown("the keeper stopped".to_owned()))
+            .unwrap_or_else(|_| RelayedResult::Unknown("the ledger writer stopped".to_owned()))
     }
 
-    /// Writes changes for as long as the process lives.
+    /// Writes waiting changes. Never returns.
     pub async fn run(&self, store: &JobStore) {
         loop {
             self.wake.notified().await;
             let batch = {
-                let mut waiting = self.waiting.lock().expect("ledger keeper lock");
+                let mut waiting = self.waiting.lock().expect("ledger writer lock");
                 std::mem::take(&mut *waiting)
             };
             if !batch.is_empty() {
-                write(store, batch).await;
+                write_changes(store, batch).await;
             }
         }
     }
 }
 
-async fn write(store: &JobStore, batch: Vec<Waiting>) {
-    let deadline = Instant::now() + WRITE_TIME;
+async fn write_changes(store: &JobStore, batch: Vec<WaitingChange>) {
+    let deadline = Instant::now() + WRITE_TIMEOUT;
     let written = store.update_ledger(deadline, |ledger| {
         let changes = batch.iter().map(|(change, _)| ledger.apply(change));
         changes.collect::<Vec<_>>()
     });
     match written.await {
-        Ok(answers) => {
-            for ((_, sender), answer) in batch.into_iter().zip(answers) {
-                // Whoever asked may have given up.
-                let _ = sender.send(RelayedResult::Settled(answer));
+        Ok(results) => {
+            for ((_, sender), result) in batch.into_iter().zip(results) {
+                // The receiver is dropped if the caller gave up.
+                let _ = sender.send(RelayedResult::Settled(result));
             }
         }
         Err(e) => {
-            log::warn!(changes = batch.len(), error:% = e; "ledger not written");
+            log::warn!(changes = batch.len(), error:% = e; "could not write the ledger");
             for (_, sender) in batch {
                 let _ = sender.send(RelayedResult::Unknown(e.to_string()));
             }
@@ -84,8 +86,8 @@
     }
 }
 
-/// Makes `change` through the keeper, or by itself if the keeper does not settle it. `own`
-/// is this process's part as a keeper, if it is a worker.
+/// Applies `change` through the ledger writer, or directly if the ledger writer does not
+/// confirm it. `own` is this process's ledger writer if it is a worker.
 pub async fn change_ledger(
     node: &Arc<Node>,
     store: &JobStore,
@@ -95,21 +97,21 @@
 ) -> Result<LedgerAnswer, JobStoreError> {
     let now = Instant::now();
     let workers = node.peers.live_workers(now);
-    let keeper = ownership::first_choice(LEDGER_RANK, &workers);
+    let writer = ownership::first_choice(LEDGER_RANK_KEY, &workers);
     let own_host = &node.settings.host;
-    // A worker is not among its own peers: it is the keeper if it outranks them.
+    // A worker is not among its own peers, so it is the ledger writer if it outranks them.
     let is_own = own.is_some()
-        && keeper.is_none_or(|keeper| ownership::outranks(LEDGER_RANK, own_host, &keeper.node));
-    let kept = match (own, keeper) {
+        && writer.is_none_or(|writer| ownership::outranks(LEDGER_RANK_KEY, own_host, &writer.node));
+    let written = match (own, writer) {
         (Some(own), _) if is_own => Some(own.submit(change.clone()).await),
-        (_, Some(keeper)) => {
+        (_, Some(writer)) => {
             let live = node.peers.live_processes(Role::Worker, now);
-            let found = live.iter().find(|(host, _)| *host == keeper.node);
+            let found = live.iter().find(|(host, _)| *host == writer.node);
             match found {
                 Some((_, addr)) if !node.peer_calls.has_failed_recently(*addr, now) => {
-                    let asked = node.peer_calls.change_ledger(*addr, change.clone()).await;
-                    asked
-                        .inspect_err(|e| log::info!(error:% = e; "ledger keeper did not answer"))
+                    let result = node.peer_calls.change_ledger(*addr, change.clone()).await;
+                    result
+                        .inspect_err(|e| log::info!(error:% = e; "ledger writer did not respond"))
                         .ok()
                 }
                 Some(_) | None => None,
@@ -117,8 +119,8 @@
         }
         _ => None,
     };
-    if let Some(RelayedResult::Settled(answer)) = kept {
-        return Ok(answer);
+    if let Some(RelayedResult::Settled(result)) = written {
+        return Ok(result);
     }
     store
         .update_ledger(deadline, |ledger| ledger.apply(&change))
--- a/crates/foxwheel-node/src/result_store.rs
+++ b/crates/foxwheel-node/src/result_store.rs
@@ -1,4 +1,4 @@
-//! Storing the results of jobs part by part, and closing jobs that are whole.
+//! Stores the results of jobs in parts and closes jobs whose results are all stored.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,20 +6,21 @@
 use foxwheel_core::ids::JobId;
 use foxwheel_policy::batch::ledger::LedgerChange;
 
-use crate::job_store::{JobStoreError, PartCreated};
+use crate::job_store::{JobStoreError, PartCreation};
 use crate::ledger_poll;
 use crate::store_access::Backoff;
 use crate::worker_jobs::WorkerJobs;
 
-/// Stores the finished results of `job`, which are due at `due_unix`, part by part; closes
-/// the job when it is whole.
+/// Stores the finished results of `job` in parts, and closes the job once all its results
+/// are stored. `due_unix` is the time since the Unix epoch by which the results are due; it
+/// only affects the log.
 pub async fn store_results(jobs: Arc<WorkerJobs>, job: JobId, due_unix: Duration) {
     if let Err(e) = store_parts(&jobs, &job, due_unix).await {
-        log::warn!(job, error:% = e; "results not stored, trying again");
+        log::warn!(job, error:% = e; "could not store the results; retrying");
         tokio::time::sleep(Backoff::default().next_delay()).await;
     }
-    let finished = jobs.with_entry(&job, |entry| entry.progress.is_listed());
-    if finished == Some(true) {
+    let all_stored = jobs.with_entry(&job, |entry| entry.progress.is_listed());
+    if all_stored == Some(true) {
         close_job(&jobs, &job).await;
     }
     jobs.with_entry(&job, |entry| entry.storing = false);
@@ -31,7 +32,7 @@
     job: &JobId,
     due_unix: Duration,
 ) -> Result<(), JobStoreError> {
-    let max_bytes = jobs.store.part_bytes();
+    let max_bytes = jobs.store.max_part_bytes();
     loop {
         let next = jobs.with_entry(job, |entry| {
             (entry.progress.parts, entry.progress.next_part(max_bytes))
@@ -40,29 +41,30 @@
             return Ok(());
         };
         match jobs.store.create_part(job, number, &results).await? {
-            PartCreated::Done => {
+            PartCreation::Created => {
                 let on_time = ledger_poll::unix_now() <= due_unix;
                 log::info!(job, part = number, results = results.len(), on_time; "results stored");
                 jobs.apply_part(job, number, results);
             }
-            PartCreated::Taken(others) => {
-                log::info!(job, part = number, results = others.len(); "results of another worker met");
-                jobs.apply_part(job, number, others);
+            PartCreation::AlreadyExists(stored) => {
+                log::info!(job, part = number, results = stored.len(); "another worker stored this part before");
+                jobs.apply_part(job, number, stored);
             }
         }
     }
 }
 
-/// Marks a job as closed in the ledger; the next look at the ledger repeats a failure.
+/// Marks a job as closed in the ledger. If that fails, the job stays open and this is tried
+/// again.
 async fn close_job(jobs: &WorkerJobs, job: &JobId) {
     let now_unix = ledger_poll::unix_now();
     let deadline = Instant::now() + ledger_poll::LEDGER_UPDATE_TIMEOUT;
-    let close = LedgerChange::Close {
+    let change = LedgerChange::Close {
         id: job.clone(),
         now_unix,
     };
-    match jobs.change_ledger(close, deadline).await {
+    match jobs.change_ledger(change, deadline).await {
         Ok(_) => jobs.end_job(job, "completion"),
-        Err(e) => log::warn!(job, error:% = e; "job not closed, trying again"),
+        Err(e) => log::warn!(job, error:% = e; "could not close the job; retrying"),
     }
 }
--- a/crates/foxwheel-node/src/retirement_watch.rs
+++ b/crates/foxwheel-node/src/retirement_watch.rs
@@ -1,46 +1,46 @@
-//! Emptying this host when the operator asks for it.
+//! Watches the store for requests to retire this host, hands its jobs over when one comes,
+//! and reports when the host is empty.
 
 use std::time::Duration;
 
 use foxwheel_core::ids::NodeId;
-
 use foxwheel_platform::retirement::{self, Progress};
-
 use foxwheel_platform::store::{Object, StoreError, WatchOutcome, Write, WriteOutcome};
 
 use crate::node::Node;
 use crate::store_access::Backoff;
 
-/// Longest wait of one watch for retirements.
-const RETIREMENT_WATCH: Duration = Duration::from_secs(25);
+/// How long one watch call waits for changes.
+const WATCH_WAIT: Duration = Duration::from_secs(25);
 
-/// How often it is looked whether jobs are left.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Interval at which it is checked whether this worker still owns jobs.
+const OWNED_JOBS_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Follows the operator's requests for as long as the process lives.
+/// Watches for retirement requests of the operator and carries them out. Never returns.
 pub async fn run(node: &Node) {
     let mut backoff = Backoff::default();
     loop {
-        if let Err(e) = retire_when_asked(node).await {
-            log::debug!(error:% = e; "retirements not followed");
+        if let Err(e) = retire_when_requested(node).await {
+            log::debug!(error:% = e; "could not watch retirement requests");
             node.store.wait_before_retry(backoff.next_delay()).await;
         }
     }
 }
 
-/// Waits until the operator asks to empty this host, and empties it.
-async fn retire_when_asked(node: &Node) -> Result<(), StoreError> {
+/// Waits until the operator asks to retire this host, hands its jobs over, and then waits
+/// until the process must stop. Returns early if the watch has to start over.
+async fn retire_when_requested(node: &Node) -> Result<(), StoreError> {
     let own = &node.settings.host;
     let listing = node.store.list(retirement::KIND).await?;
-    let mut asked = listing
+    let mut requested = listing
         .objects
         .iter()
         .any(|object| is_requested(own, object));
     let mut revision = listing.revision;
-    while !asked {
+    while !requested {
         let watched = node
             .store
-            .watch(retirement::KIND, revision, RETIREMENT_WATCH)
+            .watch(retirement::KIND, revision, WATCH_WAIT)
             .await?;
         match watched {
             WatchOutcome::HistoryExpired => return Ok(()),
@@ -49,7 +49,7 @@
                 revision: next,
             } => {
                 revision = next;
-                asked = changes
+                requested = changes
                     .iter()
                     .any(|change| !change.removed && is_requested(own, &change.object));
             }
@@ -59,10 +59,10 @@
     write_retirement(node, Progress::Running).await;
     node.retiring.cancel();
     while node.has_owned_jobs() {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(OWNED_JOBS_CHECK_INTERVAL).await;
     }
     write_retirement(node, Progress::Completed).await;
-    log::info!(host = own; "retired: nothing is held here");
+    log::info!(host = own; "retired: this host owns no jobs");
     node.leaving.cancelled().await;
     Ok(())
 }
