--- a/crates/foxwheel-node/src/worker/checkpointing.rs
+++ b/crates/foxwheel-node/src/worker/checkpointing.rs
@@ -1,4 +1,4 @@
-//! Saving how far the items of this worker's jobs got.
+//! Saves checkpoints: the progress of the items of this worker's jobs.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,18 +10,19 @@
 use crate::worker::Worker;
 use crate::worker_jobs::WorkerJobs;
 
-/// The checkpoints of one worker.
+/// State of the checkpoints of one worker.
 #[derive(Debug, Default)]
 pub(super) struct Checkpoints {
     clock: CheckpointClock,
-    /// One is on its way to the store.
+    /// Whether a checkpoint is being written to the store.
     saving: Arc<AtomicBool>,
-    /// Tells whether anything changed since the last one.
-    last: u64,
+    /// Fingerprint of the last checkpoint, to skip checkpoints without changes.
+    last_fingerprint: u64,
 }
 
 impl Worker {
-    /// Saves the progress of the jobs that this worker runs, if that is due.
+    /// Starts to save the progress of the jobs that this worker owns, if a checkpoint is due
+    /// and something changed since the last one.
     pub(super) fn save_progress(&mut self) {
         let now = Instant::now();
         let checkpoints = &self.checkpoints;
@@ -29,42 +30,43 @@
             return;
         }
         let jobs = self.job_checkpoints();
-        let bytes = jobs.iter().map(text_bytes).sum();
+        let bytes = jobs.iter().map(output_bytes).sum();
         let checkpoints = &mut self.checkpoints;
         checkpoints.clock.note(bytes, now);
         let current = fingerprint(&jobs);
-        if jobs.is_empty() || current == checkpoints.last {
+        if jobs.is_empty() || current == checkpoints.last_fingerprint {
             return;
         }
-        checkpoints.last = current;
+        checkpoints.last_fingerprint = current;
         checkpoints.saving.store(true, Ordering::Relaxed);
         let saving = Arc::clone(&checkpoints.saving);
-        let store = Arc::clone(&self.jobs);
+        let worker_jobs = Arc::clone(&self.jobs);
         tokio::spawn(async move {
-            save(&store, &jobs).await;
+            save_checkpoints(&worker_jobs, &jobs).await;
             saving.store(false, Ordering::Relaxed);
         });
     }
 
-    /// Whether a checkpoint is on its way to the store. A later one must not overtake it.
+    /// Returns whether a checkpoint is being written to the store. No other checkpoint may be
+    /// written meanwhile, as the older one could replace it.
     pub(super) fn is_saving(&self) -> bool {
         self.checkpoints.saving.load(Ordering::Relaxed)
     }
 
-    /// Saves the progress whether or not that is due. The answered flag is set when it is
-    /// saved, or could not be.
+    /// Starts to save the progress even if no checkpoint is due. The returned flag is set once
+    /// the attempt has finished, whether or not it succeeded.
     pub(super) fn save_progress_now(&mut self) -> Arc<AtomicBool> {
         let jobs = self.job_checkpoints();
-        let saved = Arc::new(AtomicBool::new(jobs.is_empty()));
-        let (done, store) = (Arc::clone(&saved), Arc::clone(&self.jobs));
+        let finished = Arc::new(AtomicBool::new(jobs.is_empty()));
+        let (flag, worker_jobs) = (Arc::clone(&finished), Arc::clone(&self.jobs));
         tokio::spawn(async move {
             if !jobs.is_empty() {
-                save(&store, &jobs).await;
+                save_checkpoints(&worker_jobs, &jobs).await;
             }
-            done.store(true, Ordering::Relaxed);
-            store.wake.notify_one();
+            flag.store(true, Ordering::Relaxed);
+            worker_jobs.wake.notify_one();
         });
-        saved
+        finished
     }
 
     fn job_checkpoints(&mut self) -> Vec<JobCheckpoint> {
@@ -81,14 +83,14 @@
     }
 }
 
-async fn save(store: &WorkerJobs, jobs: &[JobCheckpoint]) {
-    match store.store.save_checkpoints(jobs).await {
-        Ok(bytes) => log::info!(jobs = jobs.len(), bytes; "progress saved"),
-        Err(e) => log::info!(jobs = jobs.len(), error:% = e; "progress not saved"),
+async fn save_checkpoints(worker_jobs: &WorkerJobs, jobs: &[JobCheckpoint]) {
+    match worker_jobs.store.save_checkpoints(jobs).await {
+        Ok(bytes) => log::info!(jobs = jobs.len(), bytes; "checkpoint saved"),
+        Err(e) => log::info!(jobs = jobs.len(), error:% = e; "could not save the checkpoint"),
     }
 }
 
-fn text_bytes(job: &JobCheckpoint) -> usize {
+fn output_bytes(job: &JobCheckpoint) -> usize {
     job.items.iter().map(|item| item.output.text.len()).sum()
 }
 
--- a/crates/foxwheel-node/src/worker/mod.rs
+++ b/crates/foxwheel-node/src/worker/mod.rs
@@ -1,8 +1,8 @@
-//! Running batch jobs: which item runs next and where, when results are stored, taking over
-//! jobs of workers that died, and leaving.
+//! Runs batch jobs at a worker: schedules their items, stores results, takes over the jobs of
+//! dead workers, and hands its own jobs over when the process leaves.
 //!
-//! [`scheduling`] starts and stops runs, [`ownership`] takes and leaves jobs,
-//! [`checkpointing`] saves how far they got.
+//! [`scheduling`] starts and stops runs, [`ownership`] takes over and releases jobs, and
+//! [`checkpointing`] saves their progress.
 
 mod checkpointing;
 mod ownership;
@@ -26,15 +26,16 @@
 use crate::worker_jobs::{JobEntry, WorkerJobs};
 use crate::{ledger_poll, result_store, retirement_watch};
 
-/// Longest pause between looks at what could run.
-const SCHEDULE_EVERY: Duration = Duration::from_millis(50);
+/// Maximum time between two scheduling rounds.
+const SCHEDULE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Least time between two looks for news of peers alone: each look goes over all jobs and the
-/// servers they run at, and with a dozen fronts in the zone changes of load come every few
-/// milliseconds. An item then starts this much later, of some hundred that it runs.
-const PEER_NEWS_PAUSE: Duration = Duration::from_millis(10);
+/// Minimum time between two scheduling rounds that are caused by updates of peers only. Each
+/// round goes over all jobs and the servers where they run, and with a dozen fronts in the
+/// zone load changes arrive every few milliseconds. An item may start this much later, which
+/// is little compared with its run time of some hundred milliseconds.
+const PEER_UPDATE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A run of an item under way.
+/// A run of an item that is in progress.
 struct Run {
     job: JobId,
     item: usize,
@@ -44,33 +45,33 @@
     cancel: CancellationToken,
 }
 
-/// A worker's running state.
+/// The scheduler of a worker.
 pub struct Worker {
     node: Arc<Node>,
     jobs: Arc<WorkerJobs>,
     runs: Vec<Run>,
     ended: tokio::sync::mpsc::UnboundedSender<EndedRun>,
-    /// How long items run.
+    /// Estimate of how long items run.
     estimate: RunEstimate,
     checkpoints: Checkpoints,
-    /// Jobs of the ledger that nobody runs and since when; sorted by job.
-    unheld: Vec<(JobId, Instant)>,
-    /// Jobs that other workers told of at the last look; sorted.
-    told_elsewhere: Vec<JobId>,
-    /// Set while the process must leave.
+    /// Jobs of the ledger without an owner, and since when; sorted by job.
+    unowned: Vec<(JobId, Instant)>,
+    /// Jobs that other workers reported in the last round; sorted.
+    reported_by_others: Vec<JobId>,
+    /// Set while the process is leaving.
     leaving: Option<Leaving>,
     started_at: Instant,
 }
 
-/// How far a leaving worker has handed over its jobs.
+/// The steps in which a leaving worker hands over its jobs.
 enum Leaving {
-    /// Its runs were told to stop; what they got so far comes in.
+    /// The runs have been cancelled; their output so far is being collected.
     StoppingRuns,
-    /// The progress of its items is on its way to the store, so that whoever takes the jobs
-    /// goes on there. Set when it is saved, or could not be.
+    /// The progress of the items is being saved, so that the next owners resume there. The
+    /// flag is set once the attempt has finished, whether or not it succeeded.
     SavingProgress(Arc<AtomicBool>),
-    /// Others may take its jobs.
-    Released,
+    /// Jobs are released to other workers as soon as their finished results are stored.
+    ReleasingJobs,
 }
 
 struct EndedRun {
@@ -78,14 +79,13 @@
     item: usize,
     end: RunEnd,
     output: SharedOutput,
-    /// Events that the run brought.
+    /// Number of events received in the run.
     new_events: u64,
-    /// How long it took.
-    took: Duration,
+    elapsed: Duration,
 }
 
-/// Runs batch jobs until nothing is left to do after the process was told to leave, or
-/// until cancelled.
+/// Runs batch jobs. Returns when cancelled, or when the process is stopping and all jobs have
+/// been handed over.
 pub async fn run(node: Arc<Node>, jobs: Arc<WorkerJobs>, cancel: CancellationToken) {
     let (ended, mut ended_runs) = tokio::sync::mpsc::unbounded_channel();
     let mut worker = Worker {
@@ -95,50 +95,50 @@
         ended,
         estimate: RunEstimate::default(),
         checkpoints: Checkpoints::default(),
-        unheld: Vec::new(),
-        told_elsewhere: Vec::new(),
+        unowned: Vec::new(),
+        reported_by_others: Vec::new(),
         leaving: None,
         started_at: Instant::now(),
     };
     let background = tokio::spawn(run_background(Arc::clone(&node), Arc::clone(&jobs)));
-    let (ledger_sender, mut ledger_news) = tokio::sync::mpsc::channel(1);
-    let reading = tokio::spawn(ledger_poll::poll_ledger(Arc::clone(&jobs), ledger_sender));
-    let mut looked_at = Instant::now();
+    let (ledger_sender, mut ledger_updates) = tokio::sync::mpsc::channel(1);
+    let ledger_polling = tokio::spawn(ledger_poll::poll_ledger(Arc::clone(&jobs), ledger_sender));
+    let mut last_round_at = Instant::now();
     loop {
         let peer_update = async {
             node.peer_update.notified().await;
-            tokio::time::sleep_until((looked_at + PEER_NEWS_PAUSE).into()).await;
+            tokio::time::sleep_until((last_round_at + PEER_UPDATE_INTERVAL).into()).await;
         };
         tokio::select! {
             () = cancel.cancelled() => break,
-            Some(ended) = ended_runs.recv() => worker.take_end(ended),
-            Some(open) = ledger_news.recv() => worker.take_ledger(&open),
+            Some(ended) = ended_runs.recv() => worker.record_run_end(ended),
+            Some(open) = ledger_updates.recv() => worker.take_over_unowned(&open),
             () = node.loads.slot_freed.notified() => {}
             () = peer_update => {}
             () = jobs.wake.notified() => {}
-            () = tokio::time::sleep(SCHEDULE_EVERY) => {}
+            () = tokio::time::sleep(SCHEDULE_INTERVAL) => {}
         }
-        looked_at = Instant::now();
-        worker.yield_jobs();
-        worker.notice_orphans();
-        worker.yield_slots();
+        last_round_at = Instant::now();
+        worker.release_duplicate_jobs();
+        worker.check_abandoned_jobs();
+        worker.free_online_slots();
         worker.store_results();
         worker.save_progress();
-        if worker.is_done() {
+        if worker.advance_leaving() {
             break;
         }
         worker.start_items();
     }
     background.abort();
-    reading.abort();
+    ledger_polling.abort();
 }
 
 impl Worker {
-    fn take_end(&mut self, ended: EndedRun) {
+    fn record_run_end(&mut self, ended: EndedRun) {
         self.runs
             .retain(|run| run.job != ended.job || run.item != ended.item);
         let output = ended.output.lock().expect("output lock").clone();
-        self.estimate.note_run(ended.new_events, ended.took);
+        self.estimate.note_run(ended.new_events, ended.elapsed);
         if ended.end == RunEnd::Whole {
             self.estimate.note_whole(output.events());
         }
@@ -157,19 +157,19 @@
 
     fn max_failures(&self, job: &JobId) -> u32 {
         let config = self.node.config();
-        let of_route = |entry: &mut JobEntry| {
+        let route_limit = |entry: &mut JobEntry| {
             let spec = &entry.progress.spec;
             let route = config.as_ref()?.match_route(&spec.host, &spec.path)?;
             Some(route.max_attempts)
         };
-        // Without a route nothing is given up for failures.
+        // Without a route no item is given up because of failures.
         self.jobs
-            .with_entry(job, of_route)
+            .with_entry(job, route_limit)
             .flatten()
             .unwrap_or(u32::MAX)
     }
 
-    fn start(&mut self, item: usize, run: ItemRun) {
+    fn start_run(&mut self, item: usize, run: ItemRun) {
         self.runs.push(Run {
             job: run.job.clone(),
             item,
@@ -183,23 +183,24 @@
         tokio::spawn(async move {
             let job = run.job.clone();
             let output = Arc::clone(&run.output);
-            let events = |output: &SharedOutput| output.lock().expect("output lock").events();
-            let events_before = events(&output);
+            let event_count = |output: &SharedOutput| output.lock().expect("output lock").events();
+            let events_before = event_count(&output);
             let started_at = Instant::now();
             let end = item_run::run_item(node, run).await;
-            // The scheduler is gone only when the process stops.
+            // Sending fails only when the process stops and the scheduler has been dropped.
             let _ = ended.send(EndedRun {
                 job,
                 item,
                 end,
-                new_events: events(&output) - events_before,
-                took: started_at.elapsed(),
+                new_events: event_count(&output) - events_before,
+                elapsed: started_at.elapsed(),
                 output,
             });
         });
     }
 
-    /// Stores finished results whose time has come, and closes jobs that are whole.
+    /// Starts to store the results of jobs for which it is time, and to close jobs whose
+    /// results are all stored.
     fn store_results(&mut self) {
         let now = Instant::now();
         let config = self.node.config();
@@ -213,11 +214,11 @@
                 let due_in = due_unix(entry, config).saturating_sub(ledger_poll::unix_now());
                 nearly_due = entry.progress.is_nearly_due(due_in);
             }
-            let store = nearly_due || entry.progress.should_store(now, leaving);
-            if store && !entry.storing {
+            let should_store = nearly_due || entry.progress.should_store(now, leaving);
+            if should_store && !entry.storing {
                 entry.storing = true;
                 let due_unix = config.as_ref().map(|config| due_unix(entry, config));
-                // Nothing is late that no configuration gives a time for.
+                // Without a configuration there is no due time, so nothing is late.
                 let due_unix = due_unix.unwrap_or(Duration::MAX);
                 due.push((entry.progress.spec.id.clone(), due_unix));
             }
@@ -232,9 +233,12 @@
         self.jobs.evict_unused(now);
     }
 
-    /// Whether a leaving worker has nothing left. Hands its jobs over on the way, at once:
-    /// items that wait would stand still while others run on for seconds.
-    fn is_done(&mut self) -> bool {
+    /// Performs the next step of leaving if the process is leaving. Returns whether all jobs
+    /// have been handed over and the process must stop.
+    ///
+    /// All jobs are handed over at once rather than as their runs end, because waiting items
+    /// would make no progress while other items run on for seconds.
+    fn advance_leaving(&mut self) -> bool {
         if !self.node.is_leaving() {
             self.leaving = None;
             return false;
@@ -244,30 +248,30 @@
                 for run in &self.runs {
                     run.cancel.cancel();
                 }
-                log::info!(runs = self.runs.len(); "leaving, runs stopped");
+                log::info!(runs = self.runs.len(); "leaving; cancelled all runs");
                 self.leaving = Some(Leaving::StoppingRuns);
             }
             Some(Leaving::StoppingRuns) if self.runs.is_empty() && !self.is_saving() => {
                 self.leaving = Some(Leaving::SavingProgress(self.save_progress_now()));
             }
             Some(Leaving::SavingProgress(saved)) if saved.load(Ordering::Relaxed) => {
-                self.leaving = Some(Leaving::Released);
+                self.leaving = Some(Leaving::ReleasingJobs);
             }
-            Some(Leaving::Released) => self.release_stored(),
+            Some(Leaving::ReleasingJobs) => self.release_stored(),
             Some(Leaving::StoppingRuns | Leaving::SavingProgress(_)) => {}
         }
         self.runs.is_empty() && !self.node.has_owned_jobs() && self.node.leaving.is_cancelled()
     }
 
-    /// Leaves the jobs to others whose finished results are stored.
+    /// Releases the jobs whose finished results are all stored.
     fn release_stored(&mut self) {
-        let mut idle = Vec::new();
+        let mut stored = Vec::new();
         self.jobs.for_each_owned(|entry| {
             if !entry.storing && entry.progress.unstored_since.is_none() {
-                idle.push(entry.progress.spec.id.clone());
+                stored.push(entry.progress.spec.id.clone());
             }
         });
-        for job in idle {
+        for job in stored {
             log::info!(job; "job released");
             self.jobs.release_job(&job);
         }
@@ -280,14 +284,16 @@
         .filter(|route| route.kind == RouteKind::Batch)
 }
 
-/// When a job's results are due, since the Unix epoch; at once without a route.
+/// Returns when the results of a job are due, since the Unix epoch. Without a route they are
+/// due at once.
 fn due_unix(entry: &JobEntry, config: &Config) -> Duration {
     let spec = &entry.progress.spec;
     let target = batch_route(config, &spec.host, &spec.path).map(|route| route.completion_target);
     spec.submitted_unix + target.unwrap_or_default()
 }
 
-/// Gives up what may be given up.
+/// Gives up the unfinished items of a job if the job is overdue. `known_for` is how long this
+/// worker has been running.
 fn give_up_overdue(entry: &mut JobEntry, config: &Config, known_for: Duration, now: Instant) {
     let spec = &entry.progress.spec;
     let age = ledger_poll::unix_now().saturating_sub(spec.submitted_unix);
@@ -295,12 +301,13 @@
     if !job::is_overdue(route, age, known_for) || entry.progress.is_finished() {
         return;
     }
-    log::warn!(job = spec.id, age_ms = age.as_millis() as u64, routed = route.is_some(); "rest of the job given up");
+    log::warn!(job = spec.id, age_ms = age.as_millis() as u64, routed = route.is_some(); "job is overdue; giving up its unfinished items");
     entry.progress.give_up_rest(now);
     entry.cancel.cancel();
 }
 
-/// What goes on beside the scheduling of items.
+/// Runs the worker's tasks other than scheduling: pruning the store, watching for retirement
+/// requests and writing the ledger.
 async fn run_background(node: Arc<Node>, jobs: Arc<WorkerJobs>) {
     tokio::join!(
         ledger_poll::prune_stored(&node, &jobs),
--- a/crates/foxwheel-node/src/worker/ownership.rs
+++ b/crates/foxwheel-node/src/worker/ownership.rs
@@ -1,4 +1,4 @@
-//! Which jobs this worker takes over, and which it leaves to others.
+//! Decides which jobs this worker takes over and which it releases to other workers.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,7 +9,7 @@
 use crate::worker::Worker;
 
 impl Worker {
-    /// The live workers with this one.
+    /// Returns the live workers, including this one.
     pub(super) fn all_workers(&self, now: Instant) -> Vec<ownership::Worker> {
         let settings = &self.node.settings;
         let mut workers = self.node.peers.live_workers(now);
@@ -25,63 +25,66 @@
         workers
     }
 
-    /// Leaves jobs to workers that run them too.
-    pub(super) fn yield_jobs(&mut self) {
+    /// Releases jobs that another worker owns as well and should keep.
+    pub(super) fn release_duplicate_jobs(&mut self) {
         let others = self.node.peers.live_workers(Instant::now());
         let own = &self.node.settings.host;
-        let mut yielded = Vec::new();
+        let mut duplicates = Vec::new();
         self.jobs.for_each_owned(|entry| {
             let job = &entry.progress.spec.id;
             if ownership::should_yield(job, own, entry.progress.parts, &others) {
-                yielded.push(job.clone());
+                duplicates.push(job.clone());
             }
         });
-        for job in yielded {
-            log::info!(job; "job left to another worker that runs it too");
+        for job in duplicates {
+            log::info!(job; "releasing a job that another worker owns as well");
             self.jobs.release_job(&job);
         }
     }
 
-    /// Has the ledger read at once when a worker that ran a job is silent or gave it back.
-    pub(super) fn notice_orphans(&mut self) {
+    /// Requests a read of the ledger when a job is no longer reported by any other worker,
+    /// because its owner is silent or released it.
+    pub(super) fn check_abandoned_jobs(&mut self) {
         let workers = self.node.peers.live_workers(Instant::now());
         let claims = workers.iter().flat_map(|worker| &worker.claims);
-        let mut told: Vec<JobId> = claims.map(|claim| claim.job.clone()).collect();
-        told.sort_unstable();
-        told.dedup();
-        let gone = |job: &&JobId| told.binary_search(job).is_err();
-        let orphaned = self.told_elsewhere.iter().filter(gone).count();
-        if orphaned > 0 {
-            log::info!(jobs = orphaned; "jobs no longer told of by other workers");
+        let mut reported: Vec<JobId> = claims.map(|claim| claim.job.clone()).collect();
+        reported.sort_unstable();
+        reported.dedup();
+        let is_abandoned = |job: &&JobId| reported.binary_search(job).is_err();
+        let abandoned = self.reported_by_others.iter().filter(is_abandoned).count();
+        if abandoned > 0 {
+            log::info!(jobs = abandoned; "other workers no longer report some jobs; reading the ledger");
             self.jobs.ledger_poll_request.notify_one();
         }
-        self.told_elsewhere = told;
+        self.reported_by_others = reported;
     }
 
-    /// Looks at the open jobs of the ledger: takes those that nobody runs.
-    pub(super) fn take_ledger(&mut self, open: &[JobId]) {
+    /// Starts to take over those of the ledger's `open_jobs` that have no owner and that this
+    /// worker should take.
+    pub(super) fn take_over_unowned(&mut self, open_jobs: &[JobId]) {
         let now = Instant::now();
-        // Right after the start nobody was heard yet.
-        let heard = ownership::has_heard_all(self.started_at, now);
+        // Right after the start no heartbeat of the other workers has been received yet.
+        let knows_workers = ownership::has_heard_all(self.started_at, now);
         let workers = self.all_workers(now);
         let own = self.node.settings.host.clone();
-        let before = std::mem::take(&mut self.unheld);
-        for job in open {
+        let previous = std::mem::take(&mut self.unowned);
+        for job in open_jobs {
             if workers.iter().any(|worker| worker.holds(job)) {
                 continue;
             }
-            let known = before.binary_search_by(|(id, _)| id.cmp(job));
-            let since = known.map_or(now, |at| before[at].1);
-            self.unheld.push((job.clone(), since));
-            let first = ownership::first_choice(job, &workers).is_some_and(|w| w.node == own);
-            let take = ownership::should_take(job, &own, &workers, since, now)
-                && (first || !self.jobs.was_recently_missing(job, now));
-            if heard && take && !self.node.is_leaving() {
+            let known = previous.binary_search_by(|(id, _)| id.cmp(job));
+            let since = known.map_or(now, |at| previous[at].1);
+            self.unowned.push((job.clone(), since));
+            let is_first_choice =
+                ownership::first_choice(job, &workers).is_some_and(|w| w.node == own);
+            let should_take = ownership::should_take(job, &own, &workers, since, now)
+                && (is_first_choice || !self.jobs.was_recently_missing(job, now));
+            if knows_workers && should_take && !self.node.is_leaving() {
                 let jobs = Arc::clone(&self.jobs);
                 let job = job.clone();
                 tokio::spawn(async move {
                     if let Err(e) = jobs.take_over(&job).await {
-                        log::warn!(job, error:% = e; "job not adopted");
+                        log::warn!(job, error:% = e; "could not take over the job");
                     }
                 });
             }
--- a/crates/foxwheel-node/src/worker/scheduling.rs
+++ b/crates/foxwheel-node/src/worker/scheduling.rs
@@ -1,4 +1,5 @@
-//! Which items run next and at which servers, and which runs give way to online requests.
+//! Decides which items run next and at which servers, and which runs are stopped to free
+//! slots for online requests.
 
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
@@ -15,7 +16,7 @@
 use crate::load_table::{InFlight, WorkClass};
 use crate::worker::{batch_route, Worker};
 
-/// A job with items that wait.
+/// A job whose items may be waiting.
 struct WaitingJob {
     job: JobId,
     host: String,
@@ -23,7 +24,7 @@
 }
 
 impl Worker {
-    /// Starts waiting items while servers have slots.
+    /// Starts waiting items while servers have free slots.
     pub(super) fn start_items(&mut self) {
         if self.leaving.is_some() {
             return;
@@ -34,7 +35,7 @@
         let now = Instant::now();
         let (jobs, mut items) = self.waiting_items(&config, now);
         schedule::sort(&mut items, ledger_poll::unix_now());
-        let mut places = Places::default();
+        let mut slots = BatchSlots::default();
         let mut without_slot = 0;
         for item in items {
             let job = &jobs[item.job];
@@ -42,20 +43,21 @@
                 continue;
             };
             let service = route.pick_service(rand::random());
-            let slot = places.take(self, service, now);
+            let slot = slots.take_slot(self, service, now);
             let Some(slot) = slot else {
                 without_slot += 1;
                 continue;
             };
-            // A job that was dropped since it was looked at gives its slot back.
-            if let Some(run) = self.run_of(job, item.item, slot) {
-                self.start(item.item, run);
+            // If the job has left memory since its items were collected, dropping the slot
+            // returns it.
+            if let Some(run) = self.prepare_run(job, item.item, slot) {
+                self.start_run(item.item, run);
             }
         }
         self.node.set_waiting_items(without_slot);
     }
 
-    /// Items that could run now, with the jobs that their numbers mean.
+    /// Returns the items that could run now, and the jobs to which their `job` indexes refer.
     fn waiting_items(&self, config: &Config, now: Instant) -> (Vec<WaitingJob>, Vec<WaitingItem>) {
         let (mut jobs, mut items) = (Vec::new(), Vec::new());
         self.jobs.for_each_owned(|entry| {
@@ -84,8 +86,9 @@
         (jobs, items)
     }
 
-    /// Marks an item as running; none if its job is not in memory any more.
-    fn run_of(&self, job: &WaitingJob, item: usize, slot: InFlight) -> Option<ItemRun> {
+    /// Marks an item as running and returns its run, or `None` if its job is no longer in
+    /// memory.
+    fn prepare_run(&self, job: &WaitingJob, item: usize, slot: InFlight) -> Option<ItemRun> {
         self.jobs.with_entry(&job.job, |entry| {
             entry.progress.start(item);
             ItemRun {
@@ -99,20 +102,21 @@
         })
     }
 
-    /// The servers of `service` as places for batch items.
+    /// Returns the servers of `service` as candidates for batch items, and marks those whose
+    /// batch slots this worker manages.
     fn batch_candidates(&self, service: &str, now: Instant) -> Vec<Candidate> {
         let workers = self.all_workers(now);
         let own = &self.node.settings.host;
         let mut candidates = self.node.batch_candidates(service, now);
         for candidate in &mut candidates {
-            let keeper = ownership::slot_keeper(&candidate.id, &candidate.zone, &workers);
-            candidate.is_slot_manager = keeper.is_some_and(|keeper| keeper.node == *own);
+            let manager = ownership::slot_keeper(&candidate.id, &candidate.zone, &workers);
+            candidate.is_slot_manager = manager.is_some_and(|manager| manager.node == *own);
         }
         candidates
     }
 
-    /// Stops runs on servers whose slots online requests need, the newest first.
-    pub(super) fn yield_slots(&mut self) {
+    /// Stops runs at servers whose slots online requests need, the newest runs first.
+    pub(super) fn free_online_slots(&mut self) {
         let now = Instant::now();
         let mut servers: Vec<&ServerInstance> = self.runs.iter().map(|run| &run.server).collect();
         servers.sort_unstable();
@@ -132,14 +136,19 @@
     }
 }
 
-/// Places for batch items at the servers of each service, as one look at their load shows
-/// them; what is taken counts.
+/// The batch slots at the servers of each service within one scheduling round. The servers'
+/// load is read once per service, and slots taken in the round are counted.
 #[derive(Default)]
-struct Places(Vec<(ServiceName, Vec<Candidate>)>);
+struct BatchSlots(Vec<(ServiceName, Vec<Candidate>)>);
 
-impl Places {
-    /// Takes a slot at a server of `service`; none if none is free.
-    fn take(&mut self, worker: &Worker, service: &ServiceName, now: Instant) -> Option<InFlight> {
+impl BatchSlots {
+    /// Takes a slot at a server of `service`, or returns `None` if none is free.
+    fn take_slot(
+        &mut self,
+        worker: &Worker,
+        service: &ServiceName,
+        now: Instant,
+    ) -> Option<InFlight> {
         let known = self.0.iter().position(|(name, _)| name == service);
         let at = known.unwrap_or_else(|| {
             let candidates = worker.batch_candidates(service, now);
@@ -152,14 +161,14 @@
         let draw = rand::random::<u32>() as usize;
         let Some(server) = placement::pick_batch(candidates, zone, draw).map(Candidate::instance)
         else {
-            // Nothing is looked for again in this round.
+            // No other item of this round searches the service's servers again.
             candidates.clear();
             return None;
         };
-        let taken = candidates.iter_mut().find(|one| one.id == server.id)?;
-        taken.in_flight += 1;
-        taken.batch_in_flight += 1;
-        taken.own_batch_in_flight += 1;
+        let candidate = candidates.iter_mut().find(|one| one.id == server.id)?;
+        candidate.in_flight += 1;
+        candidate.batch_in_flight += 1;
+        candidate.own_batch_in_flight += 1;
         Some(node.loads.begin_request(&server, WorkClass::Batch))
     }
 }
--- a/crates/foxwheel-node/src/worker_jobs.rs
+++ b/crates/foxwheel-node/src/worker_jobs.rs
@@ -1,4 +1,5 @@
-//! The jobs in a worker's memory: those it runs, and those it only reads for callers.
+//! Keeps jobs in a worker's memory: the jobs that it owns and runs, and the jobs that it only
+//! reads for callers.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -19,50 +20,53 @@
 use crate::peer_calls::{ItemBodyResponse, ResultsQuery, ResultsResponse};
 use crate::settings::Role;
 
-/// How often a job that another worker runs is looked up again for a reader.
-const REFRESH_EVERY: Duration = Duration::from_millis(500);
+/// Minimum time between two reads of the store for new results of a job that another worker
+/// owns.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest time to read a job from the store for a caller.
-const LOAD_TIME: Duration = Duration::from_millis(600);
+/// Time limit for reading a job from the store for a caller. Taking over a job may take four
+/// times as long.
+const LOAD_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long a closed job is told of, so that readers elsewhere know how many parts its
-/// results have. Several times the silence after which a process counts as dead.
-const TELL_CLOSED: Duration = Duration::from_secs(10);
+/// How long a closed job is reported to other processes, so that they know how many parts its
+/// results have. This is several times the time after which a silent process counts as dead.
+const REPORT_CLOSED_DURATION: Duration = Duration::from_secs(10);
 
-/// How long a worker that is not a job's first choice leaves it to that one after it found
-/// it not stored: each look of each worker is a call.
-const LOOK_AGAIN_AFTER: Duration = Duration::from_secs(20);
+/// How long a worker that is not a job's first choice does not try to take over a job that it
+/// did not find in the store. Each try of each worker is a call to the store.
+const MISSING_JOB_RETRY_DELAY: Duration = Duration::from_secs(20);
 
-/// How long saved progress serves the jobs that are adopted together: they are within some
-/// hundred milliseconds after a worker died.
-const READ_CHECKPOINTS_AGAIN_AFTER: Duration = Duration::from_millis(1_000);
+/// How long checkpoints that were read are reused. The jobs of a dead worker are taken over
+/// within some hundred milliseconds of each other, so one read serves them all.
+const CHECKPOINT_CACHE_TTL: Duration = Duration::from_millis(1_000);
 
-/// How long a job that nobody reads stays in memory after it ended: its results are readable
-/// for two minutes, and each read of a job that is not in memory costs three calls or more.
-const KEEP_UNREAD: Duration = Duration::from_secs(120);
+/// How long an ended job stays in memory after it was last read or changed. Its results are
+/// readable for two minutes, and each read of a job that is not in memory costs three calls
+/// or more.
+const UNUSED_JOB_TTL: Duration = Duration::from_secs(120);
 
-/// Most bytes of such jobs, the ones unread for longest go first: half of the memory that a
-/// process may take for control.
-const MAX_UNREAD_BYTES: usize = 16_000_000;
+/// Maximum size of the jobs in memory that this worker does not run; the least recently used
+/// jobs are evicted first. This is half of the memory that a process may use for control.
+const MAX_UNUSED_BYTES: usize = 16_000_000;
 
 /// A job in memory.
 #[derive(Debug)]
 pub struct JobEntry {
-    /// Its progress.
+    /// Progress of the job's items.
     pub progress: JobProgress,
-    /// This worker runs it.
+    /// Whether this worker owns the job and runs its items.
     pub owned: bool,
-    /// A part of its results is being stored.
+    /// Whether results of the job are being stored.
     pub storing: bool,
-    /// When it was closed.
+    /// When the job was closed, if it was.
     closed_at: Option<Instant>,
-    /// Cancelled when no item of it may run any more.
+    /// Cancelled when the items of the job must stop running.
     pub cancel: CancellationToken,
-    /// Woken when results are listed.
-    listed: Arc<Notify>,
-    /// When the store was last asked for more parts.
+    /// Notified when more results become readable.
+    results_listed: Arc<Notify>,
+    /// When the store was last queried for more parts.
     refreshed_at: Instant,
-    /// When it was last read or changed.
+    /// When the job was last read or changed.
     used_at: Instant,
 }
 
@@ -70,48 +74,49 @@
 #[derive(Debug)]
 pub struct WorkerJobs {
     node: Arc<Node>,
-    /// The jobs in the platform's store.
+    /// Access to the jobs in the platform's store.
     pub store: JobStore,
-    /// Changes of the ledger that wait here.
+    /// Writes changes of the ledger while this worker is the ledger writer.
     pub ledger_writer: LedgerWriter,
     /// Sorted by job id.
     entries: Mutex<Vec<JobEntry>>,
-    /// Jobs of the ledger that were not in the store, and when; sorted by job.
-    not_stored: Mutex<Vec<(JobId, Instant)>>,
-    /// Progress that workers saved, and when it was read.
-    checkpoints: tokio::sync::Mutex<Option<(Instant, Arc<Vec<JobCheckpoint>>)>>,
-    /// Woken when there may be something to run.
+    /// Jobs of the ledger that were not found in the store, and when; sorted by job.
+    missing_jobs: Mutex<Vec<(JobId, Instant)>>,
+    /// The checkpoints of all workers, and when they were read.
+    cached_checkpoints: tokio::sync::Mutex<Option<(Instant, Arc<Vec<JobCheckpoint>>)>>,
+    /// Notified when the scheduler may have something to do.
     pub wake: Notify,
-    /// Woken when the ledger should be read at once.
+    /// Notified when the ledger should be read before its next interval.
     pub ledger_poll_request: Notify,
 }
 
 impl WorkerJobs {
-    /// No jobs yet.
+    /// Creates an empty set of jobs.
     pub fn new(node: Arc<Node>) -> Arc<Self> {
         Arc::new(Self {
             store: JobStore::new(Arc::clone(&node)),
             ledger_writer: LedgerWriter::default(),
             node,
             entries: Mutex::default(),
-            not_stored: Mutex::default(),
-            checkpoints: tokio::sync::Mutex::default(),
+            missing_jobs: Mutex::default(),
+            cached_checkpoints: tokio::sync::Mutex::default(),
             wake: Notify::new(),
             ledger_poll_request: Notify::new(),
         })
     }
 
-    /// Runs a job that was just accepted, unless it is known.
+    /// Starts to run a job that was just accepted. Does nothing if the worker is leaving, or if
+    /// it owns the job already or knows that it ended.
     pub fn start_new_job(&self, job: JobSpec) {
         if self.node.is_leaving() {
-            // It stands in the ledger: another worker takes it.
+            // The job is in the ledger; another worker takes it over.
             return;
         }
         log::info!(job = job.id, items = job.items.len(); "job taken");
         self.insert(JobProgress::new(job), true);
     }
 
-    /// Changes the ledger, through its keeper if that answers.
+    /// Changes the ledger through [`ledger_writer::change_ledger`].
     pub async fn change_ledger(
         &self,
         change: LedgerChange,
@@ -121,28 +126,30 @@
         ledger_writer::change_ledger(&self.node, &self.store, own, change, deadline).await
     }
 
-    /// Runs a job that no live worker runs, from what the store has of it.
+    /// Takes over a job that no live worker owns, and resumes it from its stored results and
+    /// checkpoints.
     pub async fn take_over(&self, id: &JobId) -> Result<(), JobStoreError> {
-        let deadline = Instant::now() + 4 * LOAD_TIME;
+        let deadline = Instant::now() + 4 * LOAD_TIMEOUT;
         match self.store.load_progress(id, deadline).await? {
             Some(mut progress) => {
-                let restored = self.restore(&mut progress).await;
+                let restored = self.restore_checkpoints(&mut progress).await;
                 let listed = progress.listed.len();
                 log::info!(job = id, listed, parts = progress.parts, restored; "job adopted");
                 self.insert(progress, true);
             }
-            // Its front answered no acceptance; its client may come again.
-            None => self.note_not_stored(id, Instant::now()),
+            // The front has not confirmed the job, and its client may submit it again.
+            None => self.record_missing(id, Instant::now()),
         }
         Ok(())
     }
 
-    /// Takes over what the workers before saved of a job; answers for how many items.
-    async fn restore(&self, progress: &mut JobProgress) -> usize {
+    /// Adds the progress saved by the job's earlier owners to `progress`. Returns the number
+    /// of items with saved progress.
+    async fn restore_checkpoints(&self, progress: &mut JobProgress) -> usize {
         let saved = match self.saved_checkpoints().await {
             Ok(saved) => saved,
             Err(e) => {
-                log::info!(job = progress.spec.id, error:% = e; "no saved progress");
+                log::info!(job = progress.spec.id, error:% = e; "could not read checkpoints; resuming without them");
                 return 0;
             }
         };
@@ -157,165 +164,172 @@
         items
     }
 
-    /// What workers saved; read once for all jobs that are adopted at one time.
+    /// Returns the checkpoints of all workers. They are read once for all jobs that are taken
+    /// over at the same time.
     async fn saved_checkpoints(&self) -> Result<Arc<Vec<JobCheckpoint>>, JobStoreError> {
-        let mut known = self.checkpoints.lock().await;
-        if let Some((read_at, saved)) = known.as_ref() {
-            if read_at.elapsed() < READ_CHECKPOINTS_AGAIN_AFTER {
+        let mut cached = self.cached_checkpoints.lock().await;
+        if let Some((read_at, saved)) = cached.as_ref() {
+            if read_at.elapsed() < CHECKPOINT_CACHE_TTL {
                 return Ok(Arc::clone(saved));
             }
         }
         let saved = Arc::new(self.store.load_checkpoints().await?);
-        *known = Some((Instant::now(), Arc::clone(&saved)));
+        *cached = Some((Instant::now(), Arc::clone(&saved)));
         Ok(saved)
     }
 
-    fn note_not_stored(&self, id: &JobId, now: Instant) {
+    fn record_missing(&self, id: &JobId, now: Instant) {
         log::info!(job = id; "job of the ledger is not in the store");
-        let mut missing = self.not_stored.lock().expect("missing jobs lock");
-        missing.retain(|(_, at)| now.duration_since(*at) < LOOK_AGAIN_AFTER);
+        let mut missing = self.missing_jobs.lock().expect("missing jobs lock");
+        missing.retain(|(_, at)| now.duration_since(*at) < MISSING_JOB_RETRY_DELAY);
         match missing.binary_search_by(|(job, _)| job.cmp(id)) {
             Ok(at) => missing[at].1 = now,
             Err(at) => missing.insert(at, (id.clone(), now)),
         }
     }
 
-    /// Whether a job was not in the store a short while ago.
+    /// Returns whether a recent attempt to take over the job did not find it in the store.
     pub fn was_recently_missing(&self, id: &JobId, now: Instant) -> bool {
-        let missing = self.not_stored.lock().expect("missing jobs lock");
+        let missing = self.missing_jobs.lock().expect("missing jobs lock");
         let found = missing.binary_search_by(|(job, _)| job.cmp(id));
-        found.is_ok_and(|at| now.duration_since(missing[at].1) < LOOK_AGAIN_AFTER)
+        found.is_ok_and(|at| now.duration_since(missing[at].1) < MISSING_JOB_RETRY_DELAY)
     }
 
-    /// Stops a job's items; what is listed stays readable.
+    /// Ends a job and stops its items. The results listed so far stay readable. `by` names
+    /// what ended the job, for the log.
     pub fn end_job(&self, id: &str, by: &str) {
         let ended = self.with_entry(id, |entry| {
-            let news = entry.owned && !entry.progress.ended;
+            let newly_ended = entry.owned && !entry.progress.ended;
             entry.progress.ended = true;
             entry.owned = false;
             entry.closed_at.get_or_insert_with(Instant::now);
             entry.cancel.cancel();
-            news
+            newly_ended
         });
         if ended == Some(true) {
             log::info!(job = id, by; "job ended");
-            self.publish_held();
+            self.publish_claims();
         }
     }
 
-    /// Stops running a job without ending it: another worker goes on.
+    /// Stops running a job without ending it, so that another worker takes it over.
     pub fn release_job(&self, id: &str) {
         self.with_entry(id, |entry| {
             entry.owned = false;
             entry.cancel.cancel();
             entry.cancel = CancellationToken::new();
         });
-        self.publish_held();
+        self.publish_claims();
     }
 
-    /// Does `act` with the job `id`, if it is in memory.
-    pub fn with_entry<T>(&self, id: &str, act: impl FnOnce(&mut JobEntry) -> T) -> Option<T> {
+    /// Calls `action` with the job `id` and returns its result, or `None` if the job is not in
+    /// memory.
+    pub fn with_entry<T>(&self, id: &str, action: impl FnOnce(&mut JobEntry) -> T) -> Option<T> {
         let mut entries = self.entries.lock().expect("jobs lock");
         let at = position(&entries, id).ok()?;
-        Some(act(&mut entries[at]))
+        Some(action(&mut entries[at]))
     }
 
-    /// Does `act` with every job that this worker runs.
-    pub fn for_each_owned(&self, mut act: impl FnMut(&mut JobEntry)) {
+    /// Calls `action` with each job that this worker owns.
+    pub fn for_each_owned(&self, mut action: impl FnMut(&mut JobEntry)) {
         let mut entries = self.entries.lock().expect("jobs lock");
         for entry in entries.iter_mut().filter(|entry| entry.owned) {
-            act(entry);
+            action(entry);
         }
     }
 
-    /// Takes a part of results as stored and wakes readers.
+    /// Records that part `number` of the job's results is stored with `results`, and wakes
+    /// waiting readers.
     pub fn apply_part(&self, id: &str, number: u32, results: Vec<ItemResult>) {
         self.with_entry(id, |entry| {
             entry.progress.take_part(number, results);
             entry.used_at = Instant::now();
-            entry.listed.notify_waiters();
+            entry.results_listed.notify_waiters();
         });
-        self.publish_held();
+        self.publish_claims();
     }
 
-    /// Drops jobs that ended and that nobody read for a while, and saved progress that was read
-    /// for jobs adopted before: megabytes in a large fleet.
+    /// Evicts jobs that this worker does not run and nobody has read recently, and cached
+    /// checkpoints, which are megabytes in a large fleet.
     pub fn evict_unused(&self, now: Instant) {
-        if let Ok(mut known) = self.checkpoints.try_lock() {
-            let is_old = |read_at: Instant| {
-                now.saturating_duration_since(read_at) >= READ_CHECKPOINTS_AGAIN_AFTER
-            };
-            known.take_if(|(read_at, _)| is_old(*read_at));
+        if let Ok(mut cached) = self.cached_checkpoints.try_lock() {
+            let is_expired =
+                |read_at: Instant| now.saturating_duration_since(read_at) >= CHECKPOINT_CACHE_TTL;
+            cached.take_if(|(read_at, _)| is_expired(*read_at));
         }
         let mut entries = self.entries.lock().expect("jobs lock");
-        let is_kept = |entry: &JobEntry| entry.owned || entry.storing;
+        let is_in_use = |entry: &JobEntry| entry.owned || entry.storing;
         entries.retain(|entry| {
-            is_kept(entry) || now.saturating_duration_since(entry.used_at) < KEEP_UNREAD
+            is_in_use(entry) || now.saturating_duration_since(entry.used_at) < UNUSED_JOB_TTL
         });
-        let unread = entries.iter().filter(|entry| !is_kept(entry));
-        let mut by_use: Vec<(Instant, usize)> = unread
+        let unused = entries.iter().filter(|entry| !is_in_use(entry));
+        let mut by_last_use: Vec<(Instant, usize)> = unused
             .map(|entry| (entry.used_at, entry.progress.bytes()))
             .collect();
-        by_use.sort_unstable_by(|a, b| b.cmp(a));
+        by_last_use.sort_unstable_by(|a, b| b.cmp(a));
         let mut bytes = 0;
-        let too_many = by_use.into_iter().find(|(_, of_entry)| {
-            bytes += of_entry;
-            bytes > MAX_UNREAD_BYTES
+        let first_evicted = by_last_use.into_iter().find(|(_, entry_bytes)| {
+            bytes += entry_bytes;
+            bytes > MAX_UNUSED_BYTES
         });
-        if let Some((unread_since, _)) = too_many {
-            entries.retain(|entry| is_kept(entry) || entry.used_at > unread_since);
+        if let Some((last_use, _)) = first_evicted {
+            entries.retain(|entry| is_in_use(entry) || entry.used_at > last_use);
         }
     }
 
-    /// Where another worker that is heard runs the job, if this one does not.
+    /// Returns the address of another worker that owns the job and sends heartbeats, or `None`
+    /// if there is none or this worker owns the job.
     pub fn remote_owner(&self, id: &JobId) -> Option<SocketAddr> {
         if self.with_entry(id, |entry| entry.owned) == Some(true) {
             return None;
         }
         let now = Instant::now();
         let workers = self.node.peers.live_workers(now);
-        let holder = workers
+        let owner = workers
             .iter()
             .find(|worker| worker.heard && worker.holds(id))?;
         let live = self.node.peers.live_processes(Role::Worker, now);
-        let found = live.into_iter().find(|(host, _)| *host == holder.node);
+        let found = live.into_iter().find(|(host, _)| *host == owner.node);
         found.map(|(_, addr)| addr)
     }
 
-    /// Reads results for a caller.
+    /// Reads results of a job for a caller. If there are none yet, waits for the first result
+    /// up to the wait time of the query.
     pub async fn read_results(&self, id: &JobId, read: ResultsQuery) -> ResultsResponse {
-        let until = Instant::now() + read.wait;
+        let deadline = Instant::now() + read.wait;
         loop {
-            match self.ensure(id, read.known_parts).await {
+            match self.ensure_loaded(id, read.known_parts).await {
                 Ok(true) => {}
                 Ok(false) => return ResultsResponse::NoSuchJob,
                 Err(e) => {
-                    log::warn!(job = id, error:% = e; "job not readable for a caller");
+                    log::warn!(job = id, error:% = e; "could not read the job for a caller");
                     return ResultsResponse::Unsure;
                 }
             }
-            let Some((answer, listed)) = self.with_entry(id, |entry| entry.read(read)) else {
+            let Some((response, results_listed)) = self.with_entry(id, |entry| entry.read(read))
+            else {
                 return ResultsResponse::Unsure;
             };
             let now = Instant::now();
             let empty =
-                matches!(&answer, ResultsResponse::Results { results, .. } if results.is_empty());
-            if !empty || now >= until {
-                return answer;
+                matches!(&response, ResultsResponse::Results { results, .. } if results.is_empty());
+            if !empty || now >= deadline {
+                return response;
             }
-            let pause = (until - now).min(REFRESH_EVERY);
-            // A wake-up between the look and this wait costs one pause.
-            let _ = tokio::time::timeout(pause, listed.notified()).await;
+            let timeout = (deadline - now).min(REFRESH_INTERVAL);
+            // A notification between the read above and this wait is missed and costs one
+            // timeout.
+            let _ = tokio::time::timeout(timeout, results_listed.notified()).await;
         }
     }
 
-    /// Reads an item's body for a caller.
+    /// Reads the body of an item for a caller.
     pub async fn read_item_body(&self, id: &JobId, item: &ItemId) -> ItemBodyResponse {
-        match self.ensure(id, 0).await {
+        match self.ensure_loaded(id, 0).await {
             Ok(true) => {}
             Ok(false) => return ItemBodyResponse::NoSuchItem,
             Err(e) => {
-                log::warn!(job = id, request_id = item, error:% = e; "item not readable for a caller");
+                log::warn!(job = id, request_id = item, error:% = e; "could not read the item for a caller");
                 return ItemBodyResponse::Unsure;
             }
         }
@@ -333,14 +347,16 @@
         }
     }
 
-    /// Brings a job into memory for a reader, with `known_parts` of its results at least;
-    /// answers whether it exists.
-    async fn ensure(&self, id: &JobId, known_parts: u32) -> Result<bool, JobStoreError> {
-        let deadline = Instant::now() + LOAD_TIME;
+    /// Loads a job into memory for a reader, with at least `known_parts` parts of its results.
+    /// Returns whether the job exists.
+    async fn ensure_loaded(&self, id: &JobId, known_parts: u32) -> Result<bool, JobStoreError> {
+        let deadline = Instant::now() + LOAD_TIMEOUT;
         let workers = self.node.peers.live_workers(Instant::now());
         let known_parts = known_parts.max(ownership::known_parts(id, &workers));
-        let look = self.with_entry(id, |entry| entry.should_look(known_parts, Instant::now()));
-        match look {
+        let refresh = self.with_entry(id, |entry| {
+            entry.should_refresh(known_parts, Instant::now())
+        });
+        match refresh {
             Some(true) => {
                 self.load_missing_parts(id, deadline).await?;
                 return Ok(true);
@@ -357,8 +373,8 @@
         }
     }
 
-    /// Takes every part that was stored since the last look; a caller may have read them
-    /// all from another worker.
+    /// Loads every part that was stored since the last read of the store. A caller may have
+    /// read all of them from another worker.
     async fn load_missing_parts(&self, id: &JobId, deadline: Instant) -> Result<(), JobStoreError> {
         while let Some(number) = self.with_entry(id, |entry| entry.next_part()).flatten() {
             match self.store.load_part(id, number, deadline).await? {
@@ -369,21 +385,21 @@
         Ok(())
     }
 
-    fn insert(&self, progress: JobProgress, held: bool) {
+    fn insert(&self, progress: JobProgress, owned: bool) {
         {
             let mut entries = self.entries.lock().expect("jobs lock");
             match position(&entries, &progress.spec.id) {
-                Ok(at) => entries[at].refresh(progress, held),
-                Err(at) => entries.insert(at, JobEntry::new(progress, held)),
+                Ok(at) => entries[at].update(progress, owned),
+                Err(at) => entries.insert(at, JobEntry::new(progress, owned)),
             }
         }
-        if held {
-            self.publish_held();
+        if owned {
+            self.publish_claims();
             self.wake.notify_one();
         }
     }
 
-    fn publish_held(&self) {
+    fn publish_claims(&self) {
         let now = Instant::now();
         let claims = {
             let entries = self.entries.lock().expect("jobs lock");
@@ -396,40 +412,42 @@
 }
 
 impl JobEntry {
-    fn new(progress: JobProgress, held: bool) -> Self {
+    fn new(progress: JobProgress, owned: bool) -> Self {
         let now = Instant::now();
         Self {
             progress,
-            owned: held,
+            owned,
             storing: false,
             closed_at: None,
             cancel: CancellationToken::new(),
-            listed: Arc::new(Notify::new()),
+            results_listed: Arc::new(Notify::new()),
             refreshed_at: now,
             used_at: now,
         }
     }
 
-    /// Takes a newer reading of the store, and whether this worker runs the job now.
-    fn refresh(&mut self, loaded: JobProgress, held: bool) {
+    /// Applies progress that was loaded from the store, unless it is older than what is known,
+    /// and sets whether this worker owns the job. Owned and ended jobs stay as they are.
+    fn update(&mut self, loaded: JobProgress, owned: bool) {
         if self.owned || self.progress.ended {
             return;
         }
         if loaded.parts >= self.progress.parts {
             self.progress = loaded;
         }
-        self.owned = held;
+        self.owned = owned;
         self.used_at = Instant::now();
     }
 
-    /// What this worker tells the others of the job.
+    /// Returns what this worker reports of the job to other processes, or `None` if it neither
+    /// owns the job nor closed it recently.
     fn claim(&self, now: Instant) -> Option<JobClaim> {
         let standing = if self.owned {
             ClaimStanding::Held
         } else {
             let closed_at = self.closed_at?;
-            let recent = now.duration_since(closed_at) < TELL_CLOSED;
-            recent.then_some(ClaimStanding::Closed)?
+            let is_recent = now.duration_since(closed_at) < REPORT_CLOSED_DURATION;
+            is_recent.then_some(ClaimStanding::Closed)?
         };
         Some(JobClaim {
             job: self.progress.spec.id.clone(),
@@ -443,29 +461,29 @@
         let mut bytes = 0;
         let listed = self.progress.listed.iter().skip(read.from);
         let results = listed.take_while(|result| {
-            let first = bytes == 0;
+            let is_first = bytes == 0;
             bytes += result.output.len();
-            first || bytes <= read.max_bytes
+            is_first || bytes <= read.max_bytes
         });
-        let answer = ResultsResponse::Results {
+        let response = ResultsResponse::Results {
             item_count: self.progress.spec.items.len(),
             results: results.cloned().collect(),
         };
-        (answer, Arc::clone(&self.listed))
+        (response, Arc::clone(&self.results_listed))
     }
 
-    /// Whether a reader may be missing parts: some are known to be stored, or another
-    /// worker runs the job and the last look is a while ago.
-    fn should_look(&mut self, known_parts: u32, now: Instant) -> bool {
-        let current = self.owned || self.storing || self.progress.is_listed();
-        let stale = !current && now.duration_since(self.refreshed_at) >= REFRESH_EVERY;
-        if stale {
+    /// Returns whether the store may hold parts that are not in memory: other workers report
+    /// more parts, or another worker owns the job and the store was not read recently.
+    fn should_refresh(&mut self, known_parts: u32, now: Instant) -> bool {
+        let is_current = self.owned || self.storing || self.progress.is_listed();
+        let is_stale = !is_current && now.duration_since(self.refreshed_at) >= REFRESH_INTERVAL;
+        if is_stale {
             self.refreshed_at = now;
         }
-        stale || self.progress.parts < known_parts
+        is_stale || self.progress.parts < known_parts
     }
 
-    /// The number of the next part, unless every result is listed.
+    /// Returns the number of the next part to load, or `None` if every result is listed.
     fn next_part(&self) -> Option<u32> {
         (!self.progress.is_listed()).then_some(self.progress.parts)
     }
