--- a/crates/foxwheel-agent/src/main.rs
+++ b/crates/foxwheel-agent/src/main.rs
@@ -6,11 +6,11 @@
 #[actix_web::main]
 async fn main() -> std::io::Result<()> {
     telemetry::init_logging();
-    let settings: AgentSettings = cli::server_settings(
+    let settings: AgentSettings = cli::load_settings_or_exit(
         "foxwheel-agent",
         "The foxwheel agent beside one backend server: local queue, membership, drain.",
     );
-    let cancel = shutdown::on_signal();
+    let cancel = shutdown::cancel_on_signal();
     let host = settings.host.clone();
     let agent = server::start(settings, cancel).await?;
     log::info!("agent for {host} listening on {}", agent.addr);
--- a/crates/foxwheel-agent/src/proxy.rs
+++ b/crates/foxwheel-agent/src/proxy.rs
@@ -33,12 +33,12 @@
         QueueError::Draining => "refused.draining",
         QueueError::Full => "refused.queue_full",
     });
-    http::not_run(status, code, error.to_string(), Some(retry_after_s))
+    http::not_run_response(status, code, error.to_string(), Some(retry_after_s))
 }
 
 fn rejected_by_gate(counters: &Counters, workspace: &str) -> HttpResponse {
     counters.incr("refused.batch_gate");
-    http::not_run(
+    http::not_run_response(
         StatusCode::TOO_MANY_REQUESTS,
         "batch_gate",
         format!("a gate rule refuses a share of the batch work of '{workspace}'"),
@@ -56,7 +56,7 @@
     let message = format!("forward to backend {}: {error}", state.backend.base_url);
     if error.never_reached() {
         state.counters.incr("backend.gone");
-        return http::not_run(
+        return http::not_run_response(
             StatusCode::SERVICE_UNAVAILABLE,
             "backend_gone",
             message,
@@ -64,7 +64,7 @@
         );
     }
     state.counters.incr("backend.broke_off");
-    http::unknown(StatusCode::BAD_GATEWAY, "backend_failed", message)
+    http::unknown_run_state_response(StatusCode::BAD_GATEWAY, "backend_failed", message)
 }
 
 /// Why one try on the backend gave no whole answer.
@@ -83,7 +83,7 @@
 impl AttemptError {
     /// Whether no byte of the request reached the backend.
     fn never_reached(&self) -> bool {
-        matches!(self, Self::Send(e) if http::send_never_reached(e))
+        matches!(self, Self::Send(e) if http::is_connect_failure(e))
     }
 }
 
@@ -117,7 +117,7 @@
             match attempt.send().await {
                 Ok(response) => {
                     let gate = state.gate.clone();
-                    http::relay_observed(response, permit, move || {
+                    http::relay_with_first_chunk_callback(response, permit, move || {
                         gate.record_ttft(arrived.elapsed());
                     })
                 }
@@ -173,7 +173,7 @@
 
     fn send_with(&self, headers: &HeaderMap, body: Bytes) -> awc::SendClientRequest {
         let method = self.req.method().clone();
-        http::forward(self.client, method, &self.url, headers, body, self.timeout)
+        http::forward_request(self.client, method, &self.url, headers, body, self.timeout)
     }
 
     /// Streams the rest of a batch answer into `answer`, and gives it whole. A request that
@@ -204,7 +204,7 @@
 /// A whole answer of the backend, as it is.
 async fn passed_on(mut response: BackendResponse) -> Result<HttpResponse, AttemptError> {
     let body = response.body().limit(MAX_BATCH_ANSWER_BYTES).await?;
-    Ok(http::relayed_head(&response).body(body))
+    Ok(http::relayed_response_builder(&response).body(body))
 }
 
 /// The request's path and query as sent to the backend; `/services/<name>` is cut off.
--- a/crates/foxwheel-agent/src/server.rs
+++ b/crates/foxwheel-agent/src/server.rs
@@ -111,7 +111,7 @@
     let server_cancel = CancellationToken::new();
     let control_cancel = CancellationToken::new();
     let served_state = web::Data::from(state.clone());
-    let shape = http::ServerShape::default();
+    let shape = http::ServerOptions::default();
     let (addr, server) = http::serve(
         &settings.listen_addr,
         shape,
--- a/crates/foxwheel-agent/src/settings.rs
+++ b/crates/foxwheel-agent/src/settings.rs
@@ -117,20 +117,20 @@
 
 impl Check for AgentSettings {
     fn check(&self, problems: &mut Problems) {
-        problems.non_empty("listen_addr", &self.listen_addr);
-        problems.non_empty("host", &self.host);
-        problems.non_empty("zone", &self.zone);
-        problems.non_empty("deployment", &self.deployment);
-        problems.non_empty("backend_url", &self.backend_url);
-        problems.non_empty("store_url", &self.store_url);
-        problems.positive("max_running", self.max_running.into());
+        problems.require_non_empty("listen_addr", &self.listen_addr);
+        problems.require_non_empty("host", &self.host);
+        problems.require_non_empty("zone", &self.zone);
+        problems.require_non_empty("deployment", &self.deployment);
+        problems.require_non_empty("backend_url", &self.backend_url);
+        problems.require_non_empty("store_url", &self.store_url);
+        problems.require_positive("max_running", self.max_running.into());
         if self.max_batch_running > self.max_running {
             problems.add("max_batch_running", "must not exceed max_running");
         }
-        problems.positive("heartbeat_ms", self.heartbeat_ms);
+        problems.require_positive("heartbeat_ms", self.heartbeat_ms);
         if self.lease_ttl_ms <= self.heartbeat_ms {
             problems.add("lease_ttl_ms", "must exceed heartbeat_ms");
         }
-        problems.positive("request_timeout_ms", self.request_timeout_ms);
+        problems.require_positive("request_timeout_ms", self.request_timeout_ms);
     }
 }
--- a/crates/foxwheel-core/src/cli.rs
+++ b/crates/foxwheel-core/src/cli.rs
@@ -59,7 +59,10 @@
 /// Reads the settings of the process `name` from the file its arguments name. Prints what
 /// was asked for and exits on the other options; prints every problem and exits with 2 on
 /// bad arguments or a refused file.
-pub fn server_settings<T: DeserializeOwned + Check + JsonSchema>(name: &str, about: &str) -> T {
+pub fn load_settings_or_exit<T: DeserializeOwned + Check + JsonSchema>(
+    name: &str,
+    about: &str,
+) -> T {
     let usage = format!(
         "{about}\n\nusage: {name} --settings FILE.json\n       \
          {name} --check-settings FILE.json | --settings-page | --version | --help"
@@ -77,7 +80,7 @@
             let _: T = load(&settings);
             done("the settings are valid")
         }
-        Ok(Command::SettingsPage) => done(&settings_page::section::<T>(name)),
+        Ok(Command::SettingsPage) => done(&settings_page::render_section::<T>(name)),
         Ok(Command::Version) => done(&format!("{name} {}", env!("CARGO_PKG_VERSION"))),
         Ok(Command::Help) => done(&usage),
         Err(e) => refuse(name, &format!("{e}\n{usage}")),
--- a/crates/foxwheel-core/src/declarations.rs
+++ b/crates/foxwheel-core/src/declarations.rs
@@ -174,7 +174,7 @@
 
 /// The facts about a request that rules match on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RequestFacts<'a> {
+pub struct RequestAttributes<'a> {
     /// Online, batch or service.
     pub workload: Workload,
     /// The `model` field of a completion request.
@@ -210,7 +210,7 @@
 
 impl Condition {
     /// Whether every set field matches `facts`.
-    pub fn matches(&self, facts: &RequestFacts<'_>) -> bool {
+    pub fn matches(&self, facts: &RequestAttributes<'_>) -> bool {
         self.workload.is_none_or(|w| w == facts.workload)
             && self.model.as_deref().is_none_or(|m| Some(m) == facts.model)
             && self
@@ -271,7 +271,7 @@
 
 impl RuleSet {
     /// The first rule whose condition matches, if any.
-    pub fn first_match(&self, facts: &RequestFacts<'_>) -> Option<&Rule> {
+    pub fn first_match(&self, facts: &RequestAttributes<'_>) -> Option<&Rule> {
         self.rules.iter().find(|rule| rule.when.matches(facts))
     }
 }
@@ -306,7 +306,7 @@
         let mut names: Vec<&str> = Vec::with_capacity(self.deployments.len());
         for (i, d) in self.deployments.iter().enumerate() {
             let field = |f: &str| format!("deployments[{i}].{f}");
-            problems.non_empty(&field("name"), &d.name);
+            problems.require_non_empty(&field("name"), &d.name);
             if names.contains(&d.name.as_str()) {
                 problems.add(field("name"), format!("repeats `{}`", d.name));
             }
@@ -317,13 +317,13 @@
             if d.zones.is_empty() {
                 problems.add(field("zones"), "must name a zone");
             }
-            problems.positive(&field("request_timeout_ms"), d.request_timeout_ms);
+            problems.require_positive(&field("request_timeout_ms"), d.request_timeout_ms);
             check_gate(d.batch_gate.as_ref(), &field("batch_gate"), problems);
         }
         let mut rule_names: Vec<&str> = Vec::with_capacity(self.rules.len());
         for (i, rule) in self.rules.iter().enumerate() {
             let field = |f: &str| format!("rules[{i}].{f}");
-            problems.non_empty(&field("name"), &rule.name);
+            problems.require_non_empty(&field("name"), &rule.name);
             if rule_names.contains(&rule.name.as_str()) {
                 problems.add(field("name"), format!("repeats `{}`", rule.name));
             }
@@ -346,7 +346,7 @@
 
 fn check_gate(gate: Option<&BatchGate>, field: &str, problems: &mut Problems) {
     for (i, rule) in gate.iter().flat_map(|gate| &gate.rules).enumerate() {
-        problems.non_empty(&format!("{field}.rules[{i}].workspace"), &rule.workspace);
+        problems.require_non_empty(&format!("{field}.rules[{i}].workspace"), &rule.workspace);
         if matches!(rule.effect, GateEffect::RejectPercent(percent) if percent > 100) {
             let field = format!("{field}.rules[{i}].effect.reject_percent");
             problems.add(field, "must be 0 to 100");
--- a/crates/foxwheel-core/src/fingerprint.rs
+++ b/crates/foxwheel-core/src/fingerprint.rs
@@ -10,7 +10,7 @@
 
 /// The fingerprint of `parts` in order, as 32 hex digits. Each part's length is hashed
 /// before it, so moving bytes from one part to the next gives another fingerprint.
-pub fn of(parts: &[&[u8]]) -> String {
+pub fn hash_parts(parts: &[&[u8]]) -> String {
     let mut hasher = Sha256::new();
     for part in parts {
         hasher.update((part.len() as u64).to_le_bytes());
--- a/crates/foxwheel-core/src/http.rs
+++ b/crates/foxwheel-core/src/http.rs
@@ -11,7 +11,7 @@
 use crate::protocol::{Refusal, RefusalBody, RunState};
 
 /// Builds a refusal answer: the JSON body, and `Retry-After` when coming back can help.
-pub fn refuse(status: StatusCode, refusal: Refusal) -> HttpResponse {
+pub fn refusal_response(status: StatusCode, refusal: Refusal) -> HttpResponse {
     let mut builder = HttpResponse::build(status);
     builder.insert_header((
         crate::protocol::RUN_STATE_HEADER,
@@ -66,12 +66,12 @@
 
     /// The answer for the caller.
     pub fn into_response(self) -> HttpResponse {
-        refuse(self.status, self.refusal)
+        refusal_response(self.status, self.refusal)
     }
 }
 
 /// The answer refusing a request that no backend received.
-pub fn not_run(
+pub fn not_run_response(
     status: StatusCode,
     code: &str,
     message: impl Into<String>,
@@ -81,7 +81,11 @@
 }
 
 /// The answer refusing a request that a backend may have received.
-pub fn unknown(status: StatusCode, code: &str, message: impl Into<String>) -> HttpResponse {
+pub fn unknown_run_state_response(
+    status: StatusCode,
+    code: &str,
+    message: impl Into<String>,
+) -> HttpResponse {
     Refused::unknown(status, code, message).into_response()
 }
 
@@ -92,14 +96,14 @@
 
 /// How a server is run.
 #[derive(Debug, Clone, Copy)]
-pub struct ServerShape {
+pub struct ServerOptions {
     /// Worker threads.
     pub workers: usize,
     /// How long a graceful stop waits for requests in flight.
     pub shutdown_timeout: Duration,
 }
 
-impl Default for ServerShape {
+impl Default for ServerOptions {
     fn default() -> Self {
         Self {
             workers: 2,
@@ -112,7 +116,7 @@
 /// new connections, finishing requests in flight) once `cancel` fires.
 pub fn serve<F, I, S, B>(
     listen_addr: &str,
-    shape: ServerShape,
+    shape: ServerOptions,
     cancel: CancellationToken,
     factory: F,
 ) -> std::io::Result<(SocketAddr, actix_web::dev::Server)>
@@ -166,7 +170,7 @@
 ];
 
 /// What an agent's refusal says of the request; `None` when the answer is the backend's own.
-pub fn run_state_of<S>(response: &awc::ClientResponse<S>) -> Option<RunState> {
+pub fn read_run_state<S>(response: &awc::ClientResponse<S>) -> Option<RunState> {
     let header = response.headers().get(crate::protocol::RUN_STATE_HEADER)?;
     [RunState::NotRun, RunState::Unknown]
         .into_iter()
@@ -177,7 +181,7 @@
 ///
 /// awc reports a peer that closed the connection after reading the request as
 /// `ConnectError::Disconnected`, so only the errors of opening a connection count.
-pub fn send_never_reached(error: &awc::error::SendRequestError) -> bool {
+pub fn is_connect_failure(error: &awc::error::SendRequestError) -> bool {
     use awc::error::{ConnectError, SendRequestError};
     matches!(
         error,
@@ -192,7 +196,7 @@
 }
 
 /// Sends a request on to `url`, copying the headers foxwheel passes on.
-pub fn forward(
+pub fn forward_request(
     client: &awc::Client,
     method: actix_web::http::Method,
     url: &str,
@@ -210,7 +214,9 @@
 }
 
 /// The head of the caller's answer: the backend's status and the headers passed back.
-pub fn relayed_head<S>(response: &awc::ClientResponse<S>) -> actix_web::HttpResponseBuilder {
+pub fn relayed_response_builder<S>(
+    response: &awc::ClientResponse<S>,
+) -> actix_web::HttpResponseBuilder {
     let mut builder = HttpResponse::build(response.status());
     for name in RELAYED_HEADERS {
         if let Some(value) = response.headers().get(*name) {
@@ -222,16 +228,16 @@
 
 /// Streams a backend's answer to the caller, keeping `guard` alive until the stream ends
 /// or the caller goes away (so a queue slot or an in-flight count is held exactly as long).
-pub fn relay<S, G>(response: awc::ClientResponse<S>, guard: G) -> HttpResponse
+pub fn relay_response<S, G>(response: awc::ClientResponse<S>, guard: G) -> HttpResponse
 where
     S: futures::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin + 'static,
     G: 'static,
 {
-    relay_observed(response, guard, || {})
+    relay_with_first_chunk_callback(response, guard, || {})
 }
 
 /// [`relay`], calling `on_first` when the first part of the body has come.
-pub fn relay_observed<S, G>(
+pub fn relay_with_first_chunk_callback<S, G>(
     response: awc::ClientResponse<S>,
     guard: G,
     on_first: impl FnOnce() + 'static,
@@ -241,7 +247,7 @@
     G: 'static,
 {
     use futures::StreamExt;
-    let mut builder = relayed_head(&response);
+    let mut builder = relayed_response_builder(&response);
     let mut on_first = Some(on_first);
     let body = response.map(move |chunk| {
         let _held = &guard;
--- a/crates/foxwheel-core/src/keys.rs
+++ b/crates/foxwheel-core/src/keys.rs
@@ -13,7 +13,7 @@
 //! | `idempotency/<service>/<key>` | the record of a non-idempotent call |
 
 //!
-//! The store keeps objects by kind and name and lists by kind. [`locate`] turns a key into
+//! The store keeps objects by kind and name and lists by kind. [`kind_and_name`] turns a key into
 //! both: the first segment is the kind, but each job's chunks and answers are a kind of
 //! their own, because they are listed by job.
 
@@ -62,7 +62,7 @@
 }
 
 /// The prefix of a job's chunks.
-pub fn chunks_of(job: &str) -> String {
+pub fn chunks_prefix(job: &str) -> String {
     format!("chunks/{job}/")
 }
 
@@ -74,7 +74,7 @@
 /// The key of a non-idempotent call's record. Callers choose `key` and `workspace`, so only
 /// their fingerprint becomes part of the store key.
 pub fn idempotency(service: &str, workspace: &str, key: &str) -> String {
-    let caller = fingerprint::of(&[workspace.as_bytes(), key.as_bytes()]);
+    let caller = fingerprint::hash_parts(&[workspace.as_bytes(), key.as_bytes()]);
     format!("idempotency/{service}/{caller}")
 }
 
@@ -85,7 +85,7 @@
 const JOINER: char = '~';
 
 /// The kind and name of the object at `key`.
-pub fn locate(key: &str) -> (String, String) {
+pub fn kind_and_name(key: &str) -> (String, String) {
     let split_at = kind_end(key).unwrap_or(key.len());
     let (kind, name) = key.split_at(split_at);
     (joined(kind), joined(name.trim_start_matches('/')))
@@ -93,14 +93,14 @@
 
 /// The kind that holds every key under `prefix`, and how names there begin. `prefix` must
 /// name a whole kind; none if it spans several.
-pub fn locate_prefix(prefix: &str) -> Option<(String, String)> {
+pub fn kind_and_name_prefix(prefix: &str) -> Option<(String, String)> {
     let split_at = kind_end(prefix)?;
     let (kind, name) = prefix.split_at(split_at);
     Some((joined(kind), joined(&name[1..])))
 }
 
 /// The key of the object `name` of `kind`.
-pub fn key_of(kind: &str, name: &str) -> String {
+pub fn join_key(kind: &str, name: &str) -> String {
     format!("{kind}/{name}").replace(JOINER, "/")
 }
 
--- a/crates/foxwheel-core/src/metric_names.rs
+++ b/crates/foxwheel-core/src/metric_names.rs
@@ -35,11 +35,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalReason {
     /// No configuration is known yet.
-    Uninformed,
+    NoConfiguration,
     /// The front is stopping.
     Stopping,
     /// Its time was up before any server took it.
-    TimeIsUp,
+    DeadlineExceeded,
     /// Every server was at its slots and queue allowance.
     ServersFull,
     /// No server of its service is known.
@@ -81,13 +81,13 @@
     /// New connections to backend servers.
     ServerConnection,
     /// Requests at which a backend server crashed; one crash counts for each request there.
-    CrashNoted,
+    CrashRecorded,
     /// Jobs accepted, repeats included.
     JobAccepted,
     /// Jobs refused for the quota.
     JobOverQuota,
     /// Runs of items that ended whole.
-    RunWhole,
+    RunCompleted,
     /// Runs of items stopped to free their slots, or because their job ended.
     RunPreempted,
     /// Items looked at that are not run, because servers crashed under them.
@@ -95,28 +95,28 @@
     /// Runs of items that ended otherwise.
     RunFailed,
     /// Calls to the platform's store that were answered.
-    StoreAnswered(StoreCall),
+    StoreCallSucceeded(StoreCall),
     /// Calls to the platform's store that failed.
-    StoreFailed(StoreCall),
+    StoreCallFailed(StoreCall),
     /// Datagrams sent to peers, one for each recipient.
     PeerMessageSent,
     /// Bytes of those datagrams.
     PeerBytesSent,
     /// Datagrams received from peers.
-    PeerMessageHeard,
+    PeerMessageReceived,
     /// Bytes of those datagrams.
-    PeerBytesHeard,
+    PeerBytesReceived,
     /// Heartbeats that could not be read.
-    HeartbeatUnreadable,
+    HeartbeatDecodeFailed,
     /// Heartbeats that could not be written.
-    HeartbeatUnencodable,
+    HeartbeatEncodeFailed,
 }
 
 /// A latency histogram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Timer {
     /// From an online request to its answer, of a stream to its first event.
-    FirstAnswer,
+    FirstResponse,
     /// From a submission to its acceptance.
     JobAccept,
 }
@@ -154,9 +154,9 @@
     /// Its part of a name.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Uninformed => "uninformed",
+            Self::NoConfiguration => "uninformed",
             Self::Stopping => "stopping",
-            Self::TimeIsUp => "time_is_up",
+            Self::DeadlineExceeded => "time_is_up",
             Self::ServersFull => "servers_full",
             Self::NoServer => "no_server",
             Self::Rejected => "rejected",
@@ -167,9 +167,9 @@
     /// The reason in a log line.
     pub fn text(self) -> &'static str {
         match self {
-            Self::Uninformed => "no configuration yet",
+            Self::NoConfiguration => "no configuration yet",
             Self::Stopping => "the front is stopping",
-            Self::TimeIsUp => "time is up",
+            Self::DeadlineExceeded => "time is up",
             Self::ServersFull => "all servers full",
             Self::NoServer => "no server",
             Self::Rejected => "all tried servers rejected it",
@@ -199,25 +199,25 @@
                 return format!("request.{}.{}", kind.name(), outcome.name()).into()
             }
             Self::Refused(reason) => return format!("refused.{}", reason.name()).into(),
-            Self::StoreAnswered(call) => return format!("store.{}.ok", call.name()).into(),
-            Self::StoreFailed(call) => return format!("store.{}.failed", call.name()).into(),
+            Self::StoreCallSucceeded(call) => return format!("store.{}.ok", call.name()).into(),
+            Self::StoreCallFailed(call) => return format!("store.{}.failed", call.name()).into(),
             Self::AttemptFailed => "online.attempts_failed",
             Self::StreamResumed => "stream.resumed",
             Self::StreamBroken => "stream.broken",
             Self::ServerConnection => "server.connections",
-            Self::CrashNoted => "server.crashes_noted",
+            Self::CrashRecorded => "server.crashes_noted",
             Self::JobAccepted => "batch.accepted",
             Self::JobOverQuota => "batch.over_quota",
-            Self::RunWhole => "batch.runs_whole",
+            Self::RunCompleted => "batch.runs_whole",
             Self::RunPreempted => "batch.runs_preempted",
             Self::RunQuarantined => "batch.runs_quarantined",
             Self::RunFailed => "batch.runs_failed",
             Self::PeerMessageSent => "peers.messages_sent",
             Self::PeerBytesSent => "peers.bytes_sent",
-            Self::PeerMessageHeard => "peers.messages_heard",
-            Self::PeerBytesHeard => "peers.bytes_heard",
-            Self::HeartbeatUnreadable => "heartbeat.unreadable",
-            Self::HeartbeatUnencodable => "heartbeat.unencodable",
+            Self::PeerMessageReceived => "peers.messages_heard",
+            Self::PeerBytesReceived => "peers.bytes_heard",
+            Self::HeartbeatDecodeFailed => "heartbeat.unreadable",
+            Self::HeartbeatEncodeFailed => "heartbeat.unencodable",
         };
         name.into()
     }
@@ -227,7 +227,7 @@
     /// Its name behind the prefix.
     pub fn name(self) -> &'static str {
         match self {
-            Self::FirstAnswer => "online.first_answer",
+            Self::FirstResponse => "online.first_answer",
             Self::JobAccept => "batch.accept",
         }
     }
--- a/crates/foxwheel-core/src/settings.rs
+++ b/crates/foxwheel-core/src/settings.rs
@@ -63,14 +63,14 @@
     }
 
     /// Refuses an empty string field.
-    pub fn non_empty(&mut self, field: &str, value: &str) {
+    pub fn require_non_empty(&mut self, field: &str, value: &str) {
         if value.trim().is_empty() {
             self.add(field, "must not be empty");
         }
     }
 
     /// Refuses a zero duration or count.
-    pub fn positive(&mut self, field: &str, value: u64) {
+    pub fn require_positive(&mut self, field: &str, value: u64) {
         if value == 0 {
             self.add(field, "must be greater than zero");
         }
--- a/crates/foxwheel-core/src/settings_page.rs
+++ b/crates/foxwheel-core/src/settings_page.rs
@@ -10,7 +10,7 @@
 
 /// A Markdown section on the settings of `process`: a table of their fields, then one for
 /// each type of object that they hold.
-pub fn section<T: JsonSchema>(process: &str) -> String {
+pub fn render_section<T: JsonSchema>(process: &str) -> String {
     let schema = schemars::schema_for!(T);
     let types = Types(schema.get("$defs").and_then(Value::as_object));
     let mut page = format!("## {process}\n\n");
--- a/crates/foxwheel-core/src/shutdown.rs
+++ b/crates/foxwheel-core/src/shutdown.rs
@@ -7,7 +7,7 @@
 /// Returns a token that is cancelled when the process receives SIGTERM or SIGINT.
 ///
 /// Must be called inside a running tokio (actix) runtime.
-pub fn on_signal() -> CancellationToken {
+pub fn cancel_on_signal() -> CancellationToken {
     let token = CancellationToken::new();
     let child = token.clone();
     tokio::spawn(async move {
--- a/crates/foxwheel-core/tests/http_contract.rs
+++ b/crates/foxwheel-core/tests/http_contract.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use actix_web::{web, App, HttpResponse};
-use foxwheel_core::http::{self, ServerShape};
+use foxwheel_core::http::{self, ServerOptions};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio_util::sync::CancellationToken;
@@ -13,7 +13,7 @@
 fn start(cancel: &CancellationToken, answer_after: Duration) -> std::net::SocketAddr {
     let (addr, server) = http::serve(
         "127.0.0.1:0",
-        ServerShape::default(),
+        ServerOptions::default(),
         cancel.clone(),
         move || {
             let answer = move || async move {
@@ -75,7 +75,7 @@
     let cancel = CancellationToken::new();
     let (addr, server) = http::serve(
         "127.0.0.1:0",
-        ServerShape::default(),
+        ServerOptions::default(),
         cancel.clone(),
         || {
             App::new().route(
--- a/crates/foxwheel-engine-emu/src/main.rs
+++ b/crates/foxwheel-engine-emu/src/main.rs
@@ -7,8 +7,8 @@
 async fn main() -> std::io::Result<()> {
     telemetry::init_logging();
     let settings: EngineSettings =
-        cli::server_settings("foxwheel-engine-emu", "A stand-in for a model engine.");
-    let cancel = shutdown::on_signal();
+        cli::load_settings_or_exit("foxwheel-engine-emu", "A stand-in for a model engine.");
+    let cancel = shutdown::cancel_on_signal();
     let (addr, server) = server::start(settings, cancel)?;
     log::info!("engine emulator listening on {addr}");
     server.await
--- a/crates/foxwheel-engine-emu/src/server.rs
+++ b/crates/foxwheel-engine-emu/src/server.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{mpsc, Semaphore};
 use tokio_util::sync::CancellationToken;
 
-use foxwheel_core::http::{self, ServerShape};
+use foxwheel_core::http::{self, ServerOptions};
 
 use crate::cache::PrefixCache;
 use crate::openai::{self, CompletionRequest};
@@ -336,7 +336,7 @@
             tokio::time::sleep(lag).await;
         }
     });
-    let shape = ServerShape::default();
+    let shape = ServerOptions::default();
     http::serve(&listen_addr, shape, cancel, move || {
         actix_web::App::new()
             .app_data(engine.clone())
--- a/crates/foxwheel-engine-emu/src/settings.rs
+++ b/crates/foxwheel-engine-emu/src/settings.rs
@@ -120,12 +120,12 @@
 
 impl Check for EngineSettings {
     fn check(&self, problems: &mut Problems) {
-        problems.non_empty("listen_addr", &self.listen_addr);
+        problems.require_non_empty("listen_addr", &self.listen_addr);
         if self.models.is_empty() {
             problems.add("models", "must name a model");
         }
-        problems.positive("max_batch", self.max_batch as u64);
-        problems.positive("decode_step_us", self.decode_step_us);
-        problems.positive("cache_capacity_tokens", self.cache_capacity_tokens as u64);
+        problems.require_positive("max_batch", self.max_batch as u64);
+        problems.require_positive("decode_step_us", self.decode_step_us);
+        problems.require_positive("cache_capacity_tokens", self.cache_capacity_tokens as u64);
     }
 }
--- a/crates/foxwheel-gateway/src/answers.rs
+++ b/crates/foxwheel-gateway/src/answers.rs
@@ -117,9 +117,9 @@
     admitted: Option<AdmissionGuard>,
 ) -> HttpResponse {
     if !answered.response.status().is_success() {
-        return http::relay(answered.response, (answered.in_flight, admitted));
+        return http::relay_response(answered.response, (answered.in_flight, admitted));
     }
-    let mut builder = http::relayed_head(&answered.response);
+    let mut builder = http::relayed_response_builder(&answered.response);
     let relay = Relay {
         state,
         worker,
@@ -147,7 +147,7 @@
     let stall = Duration::from_millis(state.settings.stream_stall_ms);
     loop {
         if let Some(answer) = read_whole(&mut answered.response, stall).await {
-            return http::relayed_head(&answered.response).body(answer);
+            return http::relayed_response_builder(&answered.response).body(answer);
         }
         state.counters.incr("retried.broke_off");
         outbound.broke_off(answered.host);
@@ -155,7 +155,7 @@
             Ok(answered) => answered,
             Err(_) => {
                 state.counters.incr("failed.unknown");
-                return http::unknown(
+                return http::unknown_run_state_response(
                     StatusCode::BAD_GATEWAY,
                     "backend_failed",
                     "the answer broke off and no other host gave it whole",
--- a/crates/foxwheel-gateway/src/batch/api.rs
+++ b/crates/foxwheel-gateway/src/batch/api.rs
@@ -30,11 +30,11 @@
 const CANCEL_TRIES: u32 = 8;
 
 fn bad_request(message: impl Into<String>) -> HttpResponse {
-    http::not_run(StatusCode::BAD_REQUEST, "bad_request", message, None)
+    http::not_run_response(StatusCode::BAD_REQUEST, "bad_request", message, None)
 }
 
 fn store_down(e: &StoreError, retry_after_s: u64) -> HttpResponse {
-    http::not_run(
+    http::not_run_response(
         StatusCode::SERVICE_UNAVAILABLE,
         "store_unavailable",
         format!("the job store cannot be reached: {e}"),
@@ -44,7 +44,7 @@
 
 fn no_job(id: &str) -> HttpResponse {
     let message = format!("no batch job `{id}`");
-    http::not_run(StatusCode::NOT_FOUND, "no_job", message, None)
+    http::not_run_response(StatusCode::NOT_FOUND, "no_job", message, None)
 }
 
 /// A job's record with its version, whether it goes on (`jobs/`) or ended (`archive/`).
@@ -123,7 +123,7 @@
     let (store, retry_after_s) = (&worker.store, state.settings.retry_after_s);
     match find_job(store, &id).await {
         Ok(Some((job, _))) if job.fingerprint != fingerprint => {
-            return http::not_run(
+            return http::not_run_response(
                 StatusCode::UNPROCESSABLE_ENTITY,
                 "client_key_reused",
                 "this client_key was used for a job with other items",
--- a/crates/foxwheel-gateway/src/batch/dispatch.rs
+++ b/crates/foxwheel-gateway/src/batch/dispatch.rs
@@ -108,7 +108,7 @@
 }
 
 fn starting_place(job: &str, gateway: &str, chunk_count: u32) -> u32 {
-    let print = fingerprint::of(&[job.as_bytes(), gateway.as_bytes()]);
+    let print = fingerprint::hash_parts(&[job.as_bytes(), gateway.as_bytes()]);
     let place = u32::from_str_radix(&print[..8], 16).unwrap_or(0);
     place.checked_rem(chunk_count).unwrap_or(0)
 }
--- a/crates/foxwheel-gateway/src/batch/intake.rs
+++ b/crates/foxwheel-gateway/src/batch/intake.rs
@@ -72,7 +72,7 @@
 pub fn job_id(workspace: &str, client_key: Option<&str>) -> JobId {
     match client_key {
         Some(key) => {
-            let caller = fingerprint::of(&[workspace.as_bytes(), key.as_bytes()]);
+            let caller = fingerprint::hash_parts(&[workspace.as_bytes(), key.as_bytes()]);
             format!("batch-{caller}")
         }
         None => format!("batch-{:032x}", rand::random::<u128>()),
@@ -82,7 +82,7 @@
 /// The fingerprint of a job's model and items.
 pub fn job_fingerprint(model: &str, items: &[ItemInput]) -> String {
     let items = serde_json::to_vec(items).unwrap_or_default();
-    fingerprint::of(&[model.as_bytes(), &items])
+    fingerprint::hash_parts(&[model.as_bytes(), &items])
 }
 
 /// Splits items into chunks of at most [`CHUNK_ITEMS`] items and `MAX_CHUNK_BYTES` bytes.
--- a/crates/foxwheel-gateway/src/batch/items.rs
+++ b/crates/foxwheel-gateway/src/batch/items.rs
@@ -81,16 +81,17 @@
         let _in_flight = InFlight::start(&target);
         let url = format!("http://{}{path}", target.member.agent_addr);
         let headers = batch_headers(&self.workspace);
-        let sent = http::forward(&self.http, Method::POST, &url, &headers, body, ITEM_TIMEOUT);
+        let sent =
+            http::forward_request(&self.http, Method::POST, &url, &headers, body, ITEM_TIMEOUT);
         let broke_off = |e: &dyn std::fmt::Display| {
             ItemOutcome::BrokeOff(format!("{} broke off: {e}", target.member.host))
         };
         let mut response = match sent.await {
-            Ok(response) if http::run_state_of(&response) == Some(RunState::NotRun) => {
+            Ok(response) if http::read_run_state(&response) == Some(RunState::NotRun) => {
                 return ItemOutcome::NotRun
             }
             Ok(response) => response,
-            Err(e) if http::send_never_reached(&e) => return ItemOutcome::NotRun,
+            Err(e) if http::is_connect_failure(&e) => return ItemOutcome::NotRun,
             Err(e) => return broke_off(&e),
         };
         let status = response.status();
--- a/crates/foxwheel-gateway/src/filters.rs
+++ b/crates/foxwheel-gateway/src/filters.rs
@@ -10,7 +10,7 @@
 
 use actix_web::http::StatusCode;
 
-use foxwheel_core::declarations::{Action, Deployment, PriorityClass, RequestFacts, Workload};
+use foxwheel_core::declarations::{Action, Deployment, PriorityClass, RequestAttributes, Workload};
 use foxwheel_core::http::Refused;
 use foxwheel_core::telemetry::Counters;
 
@@ -64,8 +64,8 @@
         }
     }
 
-    fn facts(&self) -> RequestFacts<'_> {
-        RequestFacts {
+    fn facts(&self) -> RequestAttributes<'_> {
+        RequestAttributes {
             workload: self.workload,
             model: self.model.as_deref(),
             service: self.service.as_deref(),
--- a/crates/foxwheel-gateway/src/forwarding.rs
+++ b/crates/foxwheel-gateway/src/forwarding.rs
@@ -171,7 +171,7 @@
 
     async fn try_host(&self, worker: &WorkerState, agent_addr: &str) -> Tried {
         match self.send_to(worker, agent_addr).await {
-            Ok(response) => match http::run_state_of(&response) {
+            Ok(response) => match http::read_run_state(&response) {
                 Some(RunState::NotRun) => Tried::Failed(AttemptOutcome::Rejected, None),
                 Some(RunState::Unknown) if self.idempotent => {
                     let failure = forward_failed(agent_addr, &"its backend broke off");
@@ -179,7 +179,7 @@
                 }
                 Some(RunState::Unknown) | None => Tried::Answered(response),
             },
-            Err(e) if http::send_never_reached(&e) => Tried::Failed(AttemptOutcome::NotSent, None),
+            Err(e) if http::is_connect_failure(&e) => Tried::Failed(AttemptOutcome::NotSent, None),
             Err(e) => {
                 let failure = forward_failed(agent_addr, &e);
                 match e {
@@ -192,7 +192,7 @@
     }
 
     fn no_backend(&self, retry_after_s: u64) -> SendFailure {
-        SendFailure::NotRun(http::not_run(
+        SendFailure::NotRun(http::not_run_response(
             StatusCode::SERVICE_UNAVAILABLE,
             "no_backend",
             format!("no host of '{}' could take the request", self.deployment),
@@ -201,7 +201,7 @@
     }
 
     fn send_to(&self, worker: &WorkerState, agent_addr: &str) -> awc::SendClientRequest {
-        http::forward(
+        http::forward_request(
             &worker.http,
             self.method.clone(),
             &format!("http://{agent_addr}{}", self.path),
@@ -216,7 +216,11 @@
 fn forward_failed(agent_addr: &str, why: &dyn std::fmt::Display) -> SendFailure {
     let message = format!("forward to agent at {agent_addr}: {why}");
     let status = StatusCode::BAD_GATEWAY;
-    SendFailure::Unknown(http::unknown(status, "backend_failed", message))
+    SendFailure::Unknown(http::unknown_run_state_response(
+        status,
+        "backend_failed",
+        message,
+    ))
 }
 
 /// The caller's headers, with a request id when it sent none, and the class.
--- a/crates/foxwheel-gateway/src/idempotency.rs
+++ b/crates/foxwheel-gateway/src/idempotency.rs
@@ -75,7 +75,7 @@
 
 /// The fingerprint of a request.
 pub fn request_fingerprint(method: &str, path: &str, body: &[u8]) -> String {
-    fingerprint::of(&[method.as_bytes(), path.as_bytes(), body])
+    fingerprint::hash_parts(&[method.as_bytes(), path.as_bytes(), body])
 }
 
 /// Claims the right to run the call recorded under `store_key`, or says why not.
--- a/crates/foxwheel-gateway/src/main.rs
+++ b/crates/foxwheel-gateway/src/main.rs
@@ -6,11 +6,11 @@
 #[actix_web::main]
 async fn main() -> std::io::Result<()> {
     telemetry::init_logging();
-    let settings: GatewaySettings = cli::server_settings(
+    let settings: GatewaySettings = cli::load_settings_or_exit(
         "foxwheel-gateway",
         "The foxwheel gateway: caller API, rules, routing, batch dispatch.",
     );
-    let cancel = shutdown::on_signal();
+    let cancel = shutdown::cancel_on_signal();
     let name = settings.name.clone();
     let gateway = server::start(settings, cancel)?;
     log::info!("gateway {name} listening on {}", gateway.addr);
--- a/crates/foxwheel-gateway/src/server.rs
+++ b/crates/foxwheel-gateway/src/server.rs
@@ -166,7 +166,7 @@
     let server_cancel = CancellationToken::new();
     let (addr, server) = http::serve(
         &listen_addr,
-        http::ServerShape::default(),
+        http::ServerOptions::default(),
         server_cancel.clone(),
         move || {
             actix_web::App::new()
--- a/crates/foxwheel-gateway/src/services.rs
+++ b/crates/foxwheel-gateway/src/services.rs
@@ -39,7 +39,9 @@
     let mut outbound = Outbound::new(&state, &exchange, &req, body.clone());
     if exchange.idempotent {
         return match outbound.send(&state, &worker).await {
-            Ok(answered) => http::relay(answered.response, (answered.in_flight, exchange.admitted)),
+            Ok(answered) => {
+                http::relay_response(answered.response, (answered.in_flight, exchange.admitted))
+            }
             Err(failure) => failure.into_response(),
         };
     }
@@ -107,7 +109,11 @@
         }
         Err(e) => {
             let message = format!("reading the answer: {e}");
-            let reply = http::unknown(StatusCode::BAD_GATEWAY, "backend_failed", message);
+            let reply = http::unknown_run_state_response(
+                StatusCode::BAD_GATEWAY,
+                "backend_failed",
+                message,
+            );
             (None, reply)
         }
     }
@@ -121,7 +127,7 @@
 }
 
 fn key_required(service: &str, path: &str) -> HttpResponse {
-    http::not_run(
+    http::not_run_response(
         StatusCode::BAD_REQUEST,
         "idempotency_key_required",
         format!("{path} on {service} may not be repeated: send an Idempotency-Key header"),
@@ -130,7 +136,7 @@
 }
 
 fn key_reused() -> HttpResponse {
-    http::not_run(
+    http::not_run_response(
         StatusCode::UNPROCESSABLE_ENTITY,
         "idempotency_key_reused",
         "this Idempotency-Key was used for another request",
@@ -139,7 +145,7 @@
 }
 
 fn in_progress() -> HttpResponse {
-    http::unknown(
+    http::unknown_run_state_response(
         StatusCode::CONFLICT,
         "call_in_progress",
         "a call with this Idempotency-Key started earlier and its outcome is not recorded; it will not run again",
@@ -147,7 +153,7 @@
 }
 
 fn not_recorded(error: &StoreError, retry_after_s: u64) -> HttpResponse {
-    http::not_run(
+    http::not_run_response(
         StatusCode::SERVICE_UNAVAILABLE,
         "store_unavailable",
         format!("cannot record the call before running it: {error}"),
--- a/crates/foxwheel-gateway/src/settings.rs
+++ b/crates/foxwheel-gateway/src/settings.rs
@@ -105,30 +105,30 @@
 
 impl Check for GatewaySettings {
     fn check(&self, problems: &mut Problems) {
-        problems.non_empty("listen_addr", &self.listen_addr);
-        problems.non_empty("name", &self.name);
-        problems.non_empty("zone", &self.zone);
-        problems.non_empty("store_url", &self.store_url);
-        problems.positive("online_max_in_flight", self.online_max_in_flight.into());
-        problems.positive("max_attempts", self.max_attempts.into());
-        problems.positive("stream_stall_ms", self.stream_stall_ms);
-        problems.positive("control_poll_ms", self.control_poll_ms);
-        problems.positive("control_poll_timeout_ms", self.control_poll_timeout_ms);
+        problems.require_non_empty("listen_addr", &self.listen_addr);
+        problems.require_non_empty("name", &self.name);
+        problems.require_non_empty("zone", &self.zone);
+        problems.require_non_empty("store_url", &self.store_url);
+        problems.require_positive("online_max_in_flight", self.online_max_in_flight.into());
+        problems.require_positive("max_attempts", self.max_attempts.into());
+        problems.require_positive("stream_stall_ms", self.stream_stall_ms);
+        problems.require_positive("control_poll_ms", self.control_poll_ms);
+        problems.require_positive("control_poll_timeout_ms", self.control_poll_timeout_ms);
         if self.control_missed_polls < 2 {
             problems.add(
                 "control_missed_polls",
                 "must be at least 2, so one lost poll drops no host",
             );
         }
-        problems.positive("batch_chunks_in_flight", self.batch_chunks_in_flight as u64);
-        problems.positive("batch_items_in_flight", self.batch_items_in_flight as u64);
-        problems.positive("chunk_lease_ms", self.chunk_lease_ms);
+        problems.require_positive("batch_chunks_in_flight", self.batch_chunks_in_flight as u64);
+        problems.require_positive("batch_items_in_flight", self.batch_items_in_flight as u64);
+        problems.require_positive("chunk_lease_ms", self.chunk_lease_ms);
         if self.commit_interval_ms * 2 >= self.chunk_lease_ms {
             problems.add(
                 "commit_interval_ms",
                 "must be less than half of chunk_lease_ms, so leases are renewed in time",
             );
         }
-        problems.positive("dispatch_poll_ms", self.dispatch_poll_ms);
+        problems.require_positive("dispatch_poll_ms", self.dispatch_poll_ms);
     }
 }
--- a/crates/foxwheel-gateway/tests/batch_faults.rs
+++ b/crates/foxwheel-gateway/tests/batch_faults.rs
@@ -81,7 +81,7 @@
     let cancel = format!("{}/v1/batches/{id}/cancel", fleet.gateway);
     let cancelled = fleet.http.post(cancel).send().await.expect("cancel");
     assert_eq!(cancelled.status().as_u16(), 200);
-    let chunks = foxwheel_core::keys::chunks_of(&id);
+    let chunks = foxwheel_core::keys::chunks_prefix(&id);
     let listed = fleet.store.list(&chunks).await.expect("chunks");
     let is_held = |chunk: &serde_json::Value| chunk.get("lease").is_some();
     assert!(!listed.objects.iter().any(|chunk| is_held(&chunk.value)));
--- a/crates/foxwheel-gateway/tests/batch_randomised.rs
+++ b/crates/foxwheel-gateway/tests/batch_randomised.rs
@@ -158,7 +158,7 @@
 
 /// Goes through every version of every chunk: an item once final stays as it is.
 async fn assert_no_final_item_changed(fleet: &common::Fleet, id: &str) {
-    let prefix = keys::chunks_of(id);
+    let prefix = keys::chunks_prefix(id);
     let history = fleet.store.watch(&prefix, 0, Duration::ZERO).await;
     let mut last: BTreeMap<String, ChunkRecord> = BTreeMap::new();
     for event in history.expect("the whole history is kept").events {
--- a/crates/foxwheel-gateway/tests/caller_api_contract.rs
+++ b/crates/foxwheel-gateway/tests/caller_api_contract.rs
@@ -377,7 +377,7 @@
     assert_eq!(again.status().as_u16(), 200, "a second cancel is harmless");
     // Wait (bounded) until no chunk is leased: from then on no gateway may lease one, as
     // the job is not running, so the count of done items is final.
-    let chunks_prefix = foxwheel_core::keys::chunks_of(&id);
+    let chunks_prefix = foxwheel_core::keys::chunks_prefix(&id);
     let chunks = || async {
         fleet
             .store
--- a/crates/foxwheel-gateway/tests/config_in_force.rs
+++ b/crates/foxwheel-gateway/tests/config_in_force.rs
@@ -100,7 +100,7 @@
     };
     let (addr, server) = foxwheel_core::http::serve(
         "127.0.0.1:0",
-        foxwheel_core::http::ServerShape::default(),
+        foxwheel_core::http::ServerOptions::default(),
         cancel.clone(),
         move || {
             let copy = copy.clone();
--- a/crates/foxwheel-gateway/tests/planned_stop.rs
+++ b/crates/foxwheel-gateway/tests/planned_stop.rs
@@ -73,7 +73,7 @@
     fleet.gateway_cancel.cancel();
     // Once it has stopped, no chunk bears its lease, so another need not wait for one to
     // run out.
-    let prefix = foxwheel_core::keys::chunks_of(&id);
+    let prefix = foxwheel_core::keys::chunks_prefix(&id);
     let mut held = usize::MAX;
     for _ in 0..400 {
         let chunks = fleet.store.list(&prefix).await.expect("chunks").objects;
--- a/crates/foxwheel-load/src/experiment.rs
+++ b/crates/foxwheel-load/src/experiment.rs
@@ -251,8 +251,8 @@
             let problem = "must lie between 0 and 1";
             problems.add("objective.target", problem);
         }
-        problems.positive("objective.window_s", self.objective.window_s);
-        problems.positive("duration_s", self.duration_s);
+        problems.require_positive("objective.window_s", self.objective.window_s);
+        problems.require_positive("duration_s", self.duration_s);
         for (i, o) in self.online.iter().enumerate() {
             if o.prompts.is_empty() {
                 problems.add(format!("online[{i}].prompts"), "must not be empty");
--- a/crates/foxwheel-load/tests/settings_page.rs
+++ b/crates/foxwheel-load/tests/settings_page.rs
@@ -18,12 +18,12 @@
 
 fn page() -> String {
     let sections = [
-        settings_page::section::<NodeSettings>("foxwheel-front and foxwheel-worker"),
-        settings_page::section::<GatewaySettings>("foxwheel-gateway"),
-        settings_page::section::<AgentSettings>("foxwheel-agent"),
-        settings_page::section::<PlatformSettings>("foxwheel-platform-emu"),
-        settings_page::section::<EngineSettings>("foxwheel-engine-emu"),
-        settings_page::section::<ServiceSettings>("foxwheel-service-emu"),
+        settings_page::render_section::<NodeSettings>("foxwheel-front and foxwheel-worker"),
+        settings_page::render_section::<GatewaySettings>("foxwheel-gateway"),
+        settings_page::render_section::<AgentSettings>("foxwheel-agent"),
+        settings_page::render_section::<PlatformSettings>("foxwheel-platform-emu"),
+        settings_page::render_section::<EngineSettings>("foxwheel-engine-emu"),
+        settings_page::render_section::<ServiceSettings>("foxwheel-service-emu"),
     ];
     format!("{HEAD}\n{}", sections.join("\n"))
 }
--- a/crates/foxwheel-model/src/scenario.rs
+++ b/crates/foxwheel-model/src/scenario.rs
@@ -171,12 +171,12 @@
                 problems.add(field, "must not be empty");
             }
         }
-        problems.positive("length_s", self.length_s);
-        problems.positive("fleet/zones", self.fleet.zones as u64);
-        problems.positive("fleet/engines", self.fleet.engines as u64);
-        problems.positive("fleet/fronts", self.fleet.fronts as u64);
-        problems.positive("fleet/workers", self.fleet.workers as u64);
-        problems.positive("engine/slots", self.engine.slots.into());
+        problems.require_positive("length_s", self.length_s);
+        problems.require_positive("fleet/zones", self.fleet.zones as u64);
+        problems.require_positive("fleet/engines", self.fleet.engines as u64);
+        problems.require_positive("fleet/fronts", self.fleet.fronts as u64);
+        problems.require_positive("fleet/workers", self.fleet.workers as u64);
+        problems.require_positive("engine/slots", self.engine.slots.into());
         let speeds = [
             ("engine/step_ms", self.engine.step_ms),
             (
--- a/crates/foxwheel-model/src/world.rs
+++ b/crates/foxwheel-model/src/world.rs
@@ -272,8 +272,10 @@
                 let item = &mut worker.items[item];
                 let made = u64::from(item.output_tokens - item.made);
                 item.state = ItemState::Done;
-                worker.estimate.note_run(made, took);
-                worker.estimate.note_whole(item.output_tokens.into());
+                worker.estimate.record_run(made, took);
+                worker
+                    .estimate
+                    .record_full_output(item.output_tokens.into());
                 match self.now <= item.submitted_at + due {
                     true => self.outcome.items_on_time += 1,
                     false => self.outcome.items_late += 1,
@@ -432,11 +434,11 @@
                 job: at,
                 item: 0,
                 due_unix: item.submitted_at + due,
-                remaining: worker.estimate.remaining(item.made.into()),
+                remaining_run_time: worker.estimate.remaining_run_time(item.made.into()),
             })
             .collect();
         match self.variant.batch_order {
-            BatchOrder::Schedule => schedule::sort(&mut waiting, self.now),
+            BatchOrder::Schedule => schedule::sort_waiting_items(&mut waiting, self.now),
             BatchOrder::Submission => waiting.sort_by_key(|item| (item.due_unix, item.job)),
         }
         waiting.into_iter().map(|item| item.job).collect()
@@ -492,7 +494,7 @@
         self.outcome.runs_stopped += 1;
         let worker = &mut self.workers[worker];
         worker.runs.retain(|run| *run != id);
-        worker.estimate.note_run(made.into(), self.now - sent_at);
+        worker.estimate.record_run(made.into(), self.now - sent_at);
         worker.items[item].made += made;
         worker.items[item].state = ItemState::Waiting {
             not_before: self.now + placement::PREEMPTED_RETRY_DELAY,
--- a/crates/foxwheel-node/src/batch_front.rs
+++ b/crates/foxwheel-node/src/batch_front.rs
@@ -13,7 +13,7 @@
 use foxwheel_platform::batch_api::{self, JobCall};
 use foxwheel_platform::online::CallerRequest;
 use foxwheel_policy::batch::job::{JobProgress, JobSpec};
-use foxwheel_policy::batch::ledger::{Admission, JobStanding, LedgerAnswer, LedgerChange};
+use foxwheel_policy::batch::ledger::{Admission, JobStatus, LedgerChange, LedgerResponse};
 use foxwheel_policy::batch::ownership;
 use foxwheel_policy::routes::Route;
 use hyper::StatusCode;
@@ -103,12 +103,12 @@
         let took_ms = received_at.elapsed().as_millis() as u64;
         match accepted {
             Ok(Admission::OverQuota) => {
-                log::warn!(request_id = job.id, route = route.name, quota_tokens = route.quota_tokens, tokens = job.tokens(), took_ms; "job refused: over quota");
+                log::warn!(request_id = job.id, route = route.name, quota_tokens = route.quota_tokens, tokens = job.total_tokens(), took_ms; "job refused: over quota");
                 self.node.metrics.incr(Counter::JobOverQuota);
                 responses::not_run(StatusCode::TOO_MANY_REQUESTS, QUOTA_RETRY_AFTER)
             }
             Ok(admission) => {
-                log::info!(request_id = job.id, route = route.name, admission:? = admission, tokens = job.tokens(), took_ms; "job accepted");
+                log::info!(request_id = job.id, route = route.name, admission:? = admission, tokens = job.total_tokens(), took_ms; "job accepted");
                 self.node.metrics.incr(Counter::JobAccepted);
                 self.node
                     .metrics
@@ -171,13 +171,13 @@
         let change = LedgerChange::Admit {
             id: job.id.clone(),
             route: job.route.clone(),
-            tokens: job.tokens(),
+            tokens: job.total_tokens(),
             quota_tokens: route.quota_tokens,
             now_unix: job.submitted_unix,
         };
         match self.change_ledger(change, deadline).await? {
-            LedgerAnswer::Admission(admission) => Ok(admission),
-            LedgerAnswer::Standing(_) => Err(JobStoreError::Contended),
+            LedgerResponse::Admission(admission) => Ok(admission),
+            LedgerResponse::Standing(_) => Err(JobStoreError::Contended),
         }
     }
 
@@ -185,7 +185,7 @@
         &self,
         change: LedgerChange,
         deadline: Instant,
-    ) -> Result<LedgerAnswer, JobStoreError> {
+    ) -> Result<LedgerResponse, JobStoreError> {
         ledger_writer::change_ledger(&self.node, &self.store, None, change, deadline).await
     }
 
@@ -194,7 +194,7 @@
     fn send_to_first_choice(&self, job: JobSpec) {
         let now = Instant::now();
         let workers = self.node.peers.live_workers(now);
-        let Some(first) = ownership::first_choice(&job.id, &workers) else {
+        let Some(first) = ownership::preferred_worker(&job.id, &workers) else {
             log::warn!(request_id = job.id; "no live worker; the job stays in the ledger");
             return;
         };
@@ -227,7 +227,7 @@
         let read = ResultsQuery {
             from,
             max_bytes: batch_api::MAX_READ_BYTES,
-            known_parts: ownership::known_parts(&job, &workers),
+            known_parts: ownership::known_stored_parts(&job, &workers),
             wait: wait.min(MAX_READ_WAIT),
         };
         let mut query = WorkerQuery::new(self.workers_to_query(&job));
@@ -298,7 +298,7 @@
             now_unix,
         };
         match self.change_ledger(change, deadline).await {
-            Ok(LedgerAnswer::Standing(JobStanding::Closed)) => {
+            Ok(LedgerResponse::Standing(JobStatus::Closed)) => {
                 log::info!(request_id = job; "job ended by its caller");
                 self.notify_workers_of_end(&job);
                 responses::empty(StatusCode::OK)
@@ -341,9 +341,9 @@
     fn workers_to_query(&self, job: &JobId) -> Vec<SocketAddr> {
         let now = Instant::now();
         let workers = self.node.peers.live_workers(now);
-        let owners = workers.iter().filter(|worker| worker.holds(job));
+        let owners = workers.iter().filter(|worker| worker.owns(job));
         let mut hosts: Vec<&str> = owners.map(|worker| worker.node.as_str()).collect();
-        if let Some(first) = ownership::first_choice(job, &workers) {
+        if let Some(first) = ownership::preferred_worker(job, &workers) {
             hosts.push(&first.node);
         }
         hosts.dedup();
@@ -364,7 +364,7 @@
         match self.progress_from_store(job).await {
             Ok(Some(progress)) => ResultsResponse::Results {
                 item_count: progress.spec.items.len(),
-                results: progress.listed.into_iter().skip(from).collect(),
+                results: progress.stored_results.into_iter().skip(from).collect(),
             },
             Ok(None) => ResultsResponse::NoSuchJob,
             Err(e) => {
--- a/crates/foxwheel-node/src/bin/foxwheel-front.rs
+++ b/crates/foxwheel-node/src/bin/foxwheel-front.rs
@@ -4,7 +4,7 @@
 use foxwheel_node::{process, settings};
 
 fn main() -> std::io::Result<()> {
-    let settings: settings::NodeSettings = cli::server_settings(
+    let settings: settings::NodeSettings = cli::load_settings_or_exit(
         "foxwheel-front",
         "Answers callers: online requests and the calls on batch jobs.",
     );
@@ -12,5 +12,5 @@
         .enable_all()
         .build()?;
     structured_log::init(settings.host.clone());
-    runtime.block_on(async { process::run_front(settings, shutdown::on_signal()).await })
+    runtime.block_on(async { process::run_front(settings, shutdown::cancel_on_signal()).await })
 }
--- a/crates/foxwheel-node/src/bin/foxwheel-worker.rs
+++ b/crates/foxwheel-node/src/bin/foxwheel-worker.rs
@@ -5,10 +5,10 @@
 
 fn main() -> std::io::Result<()> {
     let settings: settings::NodeSettings =
-        cli::server_settings("foxwheel-worker", "Runs the items of batch jobs.");
+        cli::load_settings_or_exit("foxwheel-worker", "Runs the items of batch jobs.");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     structured_log::init(settings.host.clone());
-    runtime.block_on(async { process::run_worker(settings, shutdown::on_signal()).await })
+    runtime.block_on(async { process::run_worker(settings, shutdown::cancel_on_signal()).await })
 }
--- a/crates/foxwheel-node/src/datagram_sender.rs
+++ b/crates/foxwheel-node/src/datagram_sender.rs
@@ -34,7 +34,7 @@
             return 0;
         }
         let Ok(bytes) = postcard::to_stdvec(message) else {
-            self.node.metrics.incr(Counter::HeartbeatUnencodable);
+            self.node.metrics.incr(Counter::HeartbeatEncodeFailed);
             return 0;
         };
         for addr in recipients {
--- a/crates/foxwheel-node/src/heartbeat.rs
+++ b/crates/foxwheel-node/src/heartbeat.rs
@@ -77,11 +77,11 @@
                 continue;
             }
         };
-        node.metrics.incr(Counter::PeerMessageHeard);
-        node.metrics.add(Counter::PeerBytesHeard, received.len());
+        node.metrics.incr(Counter::PeerMessageReceived);
+        node.metrics.add(Counter::PeerBytesReceived, received.len());
         match postcard::from_bytes::<PeerMessage>(received) {
             Ok(message) => take(&datagram_sender, message, &sequence).await,
-            Err(_) => node.metrics.incr(Counter::HeartbeatUnreadable),
+            Err(_) => node.metrics.incr(Counter::HeartbeatDecodeFailed),
         }
     }
 }
--- a/crates/foxwheel-node/src/item_run.rs
+++ b/crates/foxwheel-node/src/item_run.rs
@@ -72,7 +72,7 @@
     let took_ms = started_at.elapsed().as_millis() as u64;
     log::info!(request_id = item.id, job, server = server.id, end:? = end, reason, resumed_after, last_event = last_event_id(&output), took_ms; "item run ended");
     node.metrics.incr(match end {
-        RunEnd::Whole => Counter::RunWhole,
+        RunEnd::Whole => Counter::RunCompleted,
         RunEnd::Preempted => Counter::RunPreempted,
         RunEnd::Quarantined => Counter::RunQuarantined,
         _ => Counter::RunFailed,
@@ -167,7 +167,7 @@
         while let Some(event) = splitter.next_event() {
             let Some(id) = event.id else { continue };
             let mut output = output.lock().expect("output lock");
-            if !output.push(id, &event.data()) {
+            if !output.push_event(id, &event.data()) {
                 let last = output.last_event_id;
                 return (RunEnd::Broken, format!("event {id} follows event {last:?}"));
             }
--- a/crates/foxwheel-node/src/job_store.rs
+++ b/crates/foxwheel-node/src/job_store.rs
@@ -161,12 +161,12 @@
             return Ok(None);
         };
         let mut progress = JobProgress::new(job);
-        while !progress.is_listed() {
-            let number = progress.parts;
+        while !progress.is_fully_stored() {
+            let number = progress.stored_parts;
             let Some(results) = self.load_part(id, number, deadline).await? else {
                 break;
             };
-            progress.take_part(number, results);
+            progress.apply_part(number, results);
         }
         Ok(Some(progress))
     }
--- a/crates/foxwheel-node/src/ledger_poll.rs
+++ b/crates/foxwheel-node/src/ledger_poll.rs
@@ -41,7 +41,7 @@
 pub async fn poll_ledger(jobs: Arc<WorkerJobs>, open_jobs: mpsc::Sender<Vec<JobId>>) {
     // No job can be taken over before this worker has received the other workers'
     // heartbeats.
-    let first_at = tokio::time::Instant::now() + ownership::HEARD_AFTER;
+    let first_at = tokio::time::Instant::now() + ownership::ALL_HEARTBEATS_DELAY;
     let mut ticks = tokio::time::interval_at(first_at, LEDGER_POLL_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -110,7 +110,7 @@
         let deadline = Instant::now() + LEDGER_UPDATE_TIMEOUT;
         let pruned = jobs
             .store
-            .update_ledger(deadline, |ledger| ledger.prune(now_unix, retention));
+            .update_ledger(deadline, |ledger| ledger.prune_closed(now_unix, retention));
         if let Err(e) = pruned.await {
             log::warn!(error:% = e; "could not prune the ledger");
         }
--- a/crates/foxwheel-node/src/ledger_writer.rs
+++ b/crates/foxwheel-node/src/ledger_writer.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use foxwheel_policy::batch::ledger::{LedgerAnswer, LedgerChange};
+use foxwheel_policy::batch::ledger::{LedgerChange, LedgerResponse};
 use foxwheel_policy::batch::ownership;
 use tokio::sync::{oneshot, Notify};
 
@@ -25,7 +25,7 @@
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// A waiting change and where its result is sent.
-type WaitingChange = (LedgerChange, oneshot::Sender<RelayedResult<LedgerAnswer>>);
+type WaitingChange = (LedgerChange, oneshot::Sender<RelayedResult<LedgerResponse>>);
 
 /// The changes that wait at this worker for the next write of the ledger.
 #[derive(Debug, Default)]
@@ -37,7 +37,7 @@
 impl LedgerWriter {
     /// Applies `change` with the next write of the ledger and returns its result, or
     /// `Unknown` if the write failed.
-    pub async fn submit(&self, change: LedgerChange) -> RelayedResult<LedgerAnswer> {
+    pub async fn submit(&self, change: LedgerChange) -> RelayedResult<LedgerResponse> {
         let (sender, receiver) = oneshot::channel();
         {
             let mut waiting = self.waiting.lock().expect("ledger writer lock");
@@ -94,10 +94,10 @@
     own: Option<&LedgerWriter>,
     change: LedgerChange,
     deadline: Instant,
-) -> Result<LedgerAnswer, JobStoreError> {
+) -> Result<LedgerResponse, JobStoreError> {
     let now = Instant::now();
     let workers = node.peers.live_workers(now);
-    let writer = ownership::first_choice(LEDGER_RANK_KEY, &workers);
+    let writer = ownership::preferred_worker(LEDGER_RANK_KEY, &workers);
     let own_host = &node.settings.host;
     // A worker is not among its own peers, so it is the ledger writer if it outranks them.
     let is_own = own.is_some()
--- a/crates/foxwheel-node/src/node.rs
+++ b/crates/foxwheel-node/src/node.rs
@@ -9,7 +9,7 @@
 use foxwheel_core::time;
 use foxwheel_http1::connection::{ConnectOptions, GivenUp};
 use foxwheel_http1::pool::Pool;
-use foxwheel_policy::batch::ownership::{ClaimStanding, JobClaim};
+use foxwheel_policy::batch::ownership::{ClaimStatus, JobClaim};
 use foxwheel_policy::config_in_force::ConfigInForce;
 use foxwheel_policy::drain_timing;
 use foxwheel_policy::membership::{self, BackendServer, ServerDirectory, ServerInstance};
@@ -459,6 +459,6 @@
         let claims = self.claims.lock().expect("claims lock");
         claims
             .iter()
-            .any(|claim| claim.standing == ClaimStanding::Held)
+            .any(|claim| claim.standing == ClaimStatus::Held)
     }
 }
--- a/crates/foxwheel-node/src/online.rs
+++ b/crates/foxwheel-node/src/online.rs
@@ -31,7 +31,7 @@
         Ok(reply) => {
             request.count_served(&node, request.is_on_time());
             node.metrics
-                .time(Timer::FirstAnswer, request.received_at.elapsed());
+                .time(Timer::FirstResponse, request.received_at.elapsed());
             reply
         }
         Err(refusal) => {
--- a/crates/foxwheel-node/src/online_request.rs
+++ b/crates/foxwheel-node/src/online_request.rs
@@ -142,7 +142,7 @@
                 return Err(self.refusal(RefusalReason::Quarantined, left));
             }
             if now + LEAST_TIME_LEFT >= self.response_deadline {
-                return Err(self.refusal(RefusalReason::TimeIsUp, TIME_UP_RETRY_AFTER));
+                return Err(self.refusal(RefusalReason::DeadlineExceeded, TIME_UP_RETRY_AFTER));
             }
             let slot = match self.place(node).await {
                 Placed::At(slot) => slot,
--- a/crates/foxwheel-node/src/peer_calls.rs
+++ b/crates/foxwheel-node/src/peer_calls.rs
@@ -9,7 +9,7 @@
 use foxwheel_platform::store::{Object, Write, WriteOutcome};
 use foxwheel_policy::batch::item::ItemResult;
 use foxwheel_policy::batch::job::JobSpec;
-use foxwheel_policy::batch::ledger::{self, LedgerAnswer, LedgerChange};
+use foxwheel_policy::batch::ledger::{self, LedgerChange, LedgerResponse};
 use foxwheel_policy::quarantine::CrashReport;
 use foxwheel_policy::routes::Config;
 use foxwheel_policy::server_changes::ServerUpdate;
@@ -166,7 +166,7 @@
     /// Reads the body of an item.
     async fn body(job: JobId, item: ItemId) -> ItemBodyResponse;
     /// Makes a change of the ledger.
-    async fn change_ledger(change: LedgerChange) -> RelayedResult<LedgerAnswer>;
+    async fn change_ledger(change: LedgerChange) -> RelayedResult<LedgerResponse>;
     /// The crashes of servers that the peer knows of.
     async fn crashes() -> Vec<CrashReport>;
     /// Performs a write for a process that the store turns away.
@@ -275,9 +275,9 @@
         &self,
         addr: SocketAddr,
         change: LedgerChange,
-    ) -> Result<RelayedResult<LedgerAnswer>, PeerError> {
+    ) -> Result<RelayedResult<LedgerResponse>, PeerError> {
         let client = self.client(addr).await?;
-        let context = context_for(ledger::KEEPER_PATIENCE);
+        let context = context_for(ledger::LEDGER_WRITER_TIMEOUT);
         let answer = client.change_ledger(context, change).await;
         self.checked("change ledger", addr, answer)
     }
--- a/crates/foxwheel-node/src/peer_server.rs
+++ b/crates/foxwheel-node/src/peer_server.rs
@@ -7,7 +7,7 @@
 use foxwheel_core::ids::{ItemId, JobId};
 use foxwheel_platform::store::{Object, StoreError, Write, WriteOutcome};
 use foxwheel_policy::batch::job::JobSpec;
-use foxwheel_policy::batch::ledger::{LedgerAnswer, LedgerChange};
+use foxwheel_policy::batch::ledger::{LedgerChange, LedgerResponse};
 use foxwheel_policy::quarantine::CrashReport;
 use foxwheel_policy::routes::Config;
 use futures::StreamExt;
@@ -79,7 +79,7 @@
         self,
         _: context::Context,
         change: LedgerChange,
-    ) -> RelayedResult<LedgerAnswer> {
+    ) -> RelayedResult<LedgerResponse> {
         match &self.jobs {
             Some(jobs) => jobs.ledger_writer.submit(change).await,
             None => RelayedResult::NotDone("not a worker".to_owned()),
--- a/crates/foxwheel-node/src/peers/views.rs
+++ b/crates/foxwheel-node/src/peers/views.rs
@@ -246,7 +246,7 @@
                 node: peer.heartbeat.host.clone(),
                 zone: peer.heartbeat.zone.clone(),
                 leaving: peer.heartbeat.leaving,
-                heard: peer.is_live(now),
+                has_current_claims: peer.is_live(now),
                 claims: peer.heartbeat.claims.clone(),
                 waiting_items: peer.heartbeat.waiting_items,
             })
@@ -258,7 +258,7 @@
                     node: summary.host.clone(),
                     zone: zone.clone(),
                     leaving: summary.leaving,
-                    heard: false,
+                    has_current_claims: false,
                     claims: Vec::new(),
                     waiting_items: summary.waiting_items,
                 };
--- a/crates/foxwheel-node/src/relay.rs
+++ b/crates/foxwheel-node/src/relay.rs
@@ -35,7 +35,7 @@
             let piece = answer.next_frame(deadline).await;
             if first.is_none() && matches!(piece, BodyFrame::Data(_)) {
                 let age = request.received_at.elapsed();
-                node.metrics.time(Timer::FirstAnswer, age);
+                node.metrics.time(Timer::FirstResponse, age);
                 first = Some((age, request.is_on_time()));
             }
             match piece {
--- a/crates/foxwheel-node/src/request_content.rs
+++ b/crates/foxwheel-node/src/request_content.rs
@@ -32,7 +32,7 @@
     /// Stands for the content in every process.
     pub fn fingerprint(&self) -> &ContentFingerprint {
         self.fingerprint.get_or_init(|| {
-            fingerprint::of(&[
+            fingerprint::hash_parts(&[
                 self.method.as_bytes(),
                 self.host.as_bytes(),
                 self.target.as_bytes(),
--- a/crates/foxwheel-node/src/request_quarantine.rs
+++ b/crates/foxwheel-node/src/request_quarantine.rs
@@ -52,7 +52,7 @@
         let mut quarantine = self.quarantine.lock().expect("quarantine lock");
         let is_quarantined = quarantine.record_crash(content, crash, Instant::now());
         drop(quarantine);
-        self.metrics.incr(Counter::CrashNoted);
+        self.metrics.incr(Counter::CrashRecorded);
         if is_quarantined {
             log::warn!(content; "request quarantined");
         }
--- a/crates/foxwheel-node/src/result_store.rs
+++ b/crates/foxwheel-node/src/result_store.rs
@@ -19,7 +19,7 @@
         log::warn!(job, error:% = e; "could not store the results; retrying");
         tokio::time::sleep(Backoff::default().next_delay()).await;
     }
-    let all_stored = jobs.with_entry(&job, |entry| entry.progress.is_listed());
+    let all_stored = jobs.with_entry(&job, |entry| entry.progress.is_fully_stored());
     if all_stored == Some(true) {
         close_job(&jobs, &job).await;
     }
@@ -35,7 +35,10 @@
     let max_bytes = jobs.store.max_part_bytes();
     loop {
         let next = jobs.with_entry(job, |entry| {
-            (entry.progress.parts, entry.progress.next_part(max_bytes))
+            (
+                entry.progress.stored_parts,
+                entry.progress.next_part(max_bytes),
+            )
         });
         let Some((number, results)) = next.filter(|(_, results)| !results.is_empty()) else {
             return Ok(());
--- a/crates/foxwheel-node/src/settings.rs
+++ b/crates/foxwheel-node/src/settings.rs
@@ -89,8 +89,8 @@
 
 impl Check for NodeSettings {
     fn check(&self, problems: &mut Problems) {
-        problems.non_empty("host", &self.host);
-        problems.non_empty("availability_zone", &self.availability_zone);
+        problems.require_non_empty("host", &self.host);
+        problems.require_non_empty("availability_zone", &self.availability_zone);
         if self.peer_ports.0 == 0 || self.peer_ports.1 < self.peer_ports.0 {
             problems.add("peer_ports", "must be an ascending range");
         }
--- a/crates/foxwheel-node/src/store_access.rs
+++ b/crates/foxwheel-node/src/store_access.rs
@@ -146,7 +146,7 @@
         let mut health = self.health.lock().expect("health lock");
         match result {
             Ok(_) => {
-                self.metrics.incr(Counter::StoreAnswered(call));
+                self.metrics.incr(Counter::StoreCallSucceeded(call));
                 health.last_success_at = Instant::now();
                 if let Some(since) = health.failing_since.take() {
                     self.recovered.notify_waiters();
@@ -155,7 +155,7 @@
                 }
             }
             Err(e) => {
-                self.metrics.incr(Counter::StoreFailed(call));
+                self.metrics.incr(Counter::StoreCallFailed(call));
                 if health.failing_since.is_none() {
                     health.failing_since = Some(Instant::now());
                     log::warn!(call = call.name(), error:% = e; "platform store lost");
--- a/crates/foxwheel-node/src/worker/checkpointing.rs
+++ b/crates/foxwheel-node/src/worker/checkpointing.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use foxwheel_policy::batch::checkpoint::{CheckpointClock, JobCheckpoint};
+use foxwheel_policy::batch::checkpoint::{CheckpointTimer, JobCheckpoint};
 
 use crate::worker::Worker;
 use crate::worker_jobs::WorkerJobs;
@@ -13,7 +13,7 @@
 /// State of the checkpoints of one worker.
 #[derive(Debug, Default)]
 pub(super) struct Checkpoints {
-    clock: CheckpointClock,
+    clock: CheckpointTimer,
     /// Whether a checkpoint is being written to the store.
     saving: Arc<AtomicBool>,
     /// Fingerprint of the last checkpoint, to skip checkpoints without changes.
@@ -32,7 +32,7 @@
         let jobs = self.job_checkpoints();
         let bytes = jobs.iter().map(output_bytes).sum();
         let checkpoints = &mut self.checkpoints;
-        checkpoints.clock.note(bytes, now);
+        checkpoints.clock.record_checkpoint(bytes, now);
         let current = fingerprint(&jobs);
         if jobs.is_empty() || current == checkpoints.last_fingerprint {
             return;
@@ -73,12 +73,12 @@
         for run in &self.runs {
             let output = run.output.lock().expect("output lock");
             self.jobs.with_entry(&run.job, |entry| {
-                entry.progress.note_output(run.item, &output);
+                entry.progress.record_output(run.item, &output);
             });
         }
         let mut jobs = Vec::new();
         self.jobs
-            .for_each_owned(|entry| jobs.extend(JobCheckpoint::of(&entry.progress)));
+            .for_each_owned(|entry| jobs.extend(JobCheckpoint::from_progress(&entry.progress)));
         jobs
     }
 }
--- a/crates/foxwheel-node/src/worker/mod.rs
+++ b/crates/foxwheel-node/src/worker/mod.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use foxwheel_core::ids::JobId;
-use foxwheel_policy::batch::item::{Ending, ItemState, RunEnd};
+use foxwheel_policy::batch::item::{ItemOutcome, ItemState, RunEnd};
 use foxwheel_policy::batch::job;
 use foxwheel_policy::batch::schedule::RunEstimate;
 use foxwheel_policy::membership::ServerInstance;
@@ -138,17 +138,17 @@
         self.runs
             .retain(|run| run.job != ended.job || run.item != ended.item);
         let output = ended.output.lock().expect("output lock").clone();
-        self.estimate.note_run(ended.new_events, ended.elapsed);
+        self.estimate.record_run(ended.new_events, ended.elapsed);
         if ended.end == RunEnd::Whole {
-            self.estimate.note_whole(output.events());
+            self.estimate.record_full_output(output.event_count());
         }
         let max_failures = self.max_failures(&ended.job);
         self.jobs.with_entry(&ended.job, |entry| {
             let now = Instant::now();
             let progress = &mut entry.progress;
-            progress.run_ended(ended.item, ended.end, output, max_failures, now);
+            progress.record_run_end(ended.item, ended.end, output, max_failures, now);
             let item = &progress.items[ended.item];
-            if matches!(&item.state, ItemState::Done(result) if result.ending == Ending::GivenUp) {
+            if matches!(&item.state, ItemState::Finished(result) if result.ending == ItemOutcome::GivenUp) {
                 let id = &progress.spec.items[ended.item].id;
                 log::warn!(request_id = id, job = ended.job, reason:? = ended.end, failures = item.failures, max_failures; "item given up");
             }
@@ -183,7 +183,8 @@
         tokio::spawn(async move {
             let job = run.job.clone();
             let output = Arc::clone(&run.output);
-            let event_count = |output: &SharedOutput| output.lock().expect("output lock").events();
+            let event_count =
+                |output: &SharedOutput| output.lock().expect("output lock").event_count();
             let events_before = event_count(&output);
             let started_at = Instant::now();
             let end = item_run::run_item(node, run).await;
@@ -212,7 +213,7 @@
                 let known_for = now.duration_since(self.started_at);
                 give_up_overdue(entry, config, known_for, now);
                 let due_in = due_unix(entry, config).saturating_sub(ledger_poll::unix_now());
-                nearly_due = entry.progress.is_nearly_due(due_in);
+                nearly_due = entry.progress.should_store_before_due(due_in);
             }
             let should_store = nearly_due || entry.progress.should_store(now, leaving);
             if should_store && !entry.storing {
@@ -298,11 +299,11 @@
     let spec = &entry.progress.spec;
     let age = ledger_poll::unix_now().saturating_sub(spec.submitted_unix);
     let route = batch_route(config, &spec.host, &spec.path);
-    if !job::is_overdue(route, age, known_for) || entry.progress.is_finished() {
+    if !job::should_give_up(route, age, known_for) || entry.progress.is_finished() {
         return;
     }
     log::warn!(job = spec.id, age_ms = age.as_millis() as u64, routed = route.is_some(); "job is overdue; giving up its unfinished items");
-    entry.progress.give_up_rest(now);
+    entry.progress.give_up_unfinished(now);
     entry.cancel.cancel();
 }
 
--- a/crates/foxwheel-node/src/worker/ownership.rs
+++ b/crates/foxwheel-node/src/worker/ownership.rs
@@ -18,7 +18,7 @@
             node: settings.host.clone(),
             zone: settings.availability_zone.clone(),
             leaving: self.node.is_leaving(),
-            heard: true,
+            has_current_claims: true,
             claims: self.node.claims(),
             waiting_items: self.node.waiting_items(),
         });
@@ -32,7 +32,7 @@
         let mut duplicates = Vec::new();
         self.jobs.for_each_owned(|entry| {
             let job = &entry.progress.spec.id;
-            if ownership::should_yield(job, own, entry.progress.parts, &others) {
+            if ownership::should_release(job, own, entry.progress.stored_parts, &others) {
                 duplicates.push(job.clone());
             }
         });
@@ -64,22 +64,22 @@
     pub(super) fn take_over_unowned(&mut self, open_jobs: &[JobId]) {
         let now = Instant::now();
         // Right after the start no heartbeat of the other workers has been received yet.
-        let knows_workers = ownership::has_heard_all(self.started_at, now);
+        let knows_workers = ownership::has_received_all_heartbeats(self.started_at, now);
         let workers = self.all_workers(now);
         let own = self.node.settings.host.clone();
         let previous = std::mem::take(&mut self.unowned);
         for job in open_jobs {
-            if workers.iter().any(|worker| worker.holds(job)) {
+            if workers.iter().any(|worker| worker.owns(job)) {
                 continue;
             }
             let known = previous.binary_search_by(|(id, _)| id.cmp(job));
             let since = known.map_or(now, |at| previous[at].1);
             self.unowned.push((job.clone(), since));
             let is_first_choice =
-                ownership::first_choice(job, &workers).is_some_and(|w| w.node == own);
-            let should_take = ownership::should_take(job, &own, &workers, since, now)
+                ownership::preferred_worker(job, &workers).is_some_and(|w| w.node == own);
+            let should_take_over = ownership::should_take_over(job, &own, &workers, since, now)
                 && (is_first_choice || !self.jobs.was_recently_missing(job, now));
-            if knows_workers && should_take && !self.node.is_leaving() {
+            if knows_workers && should_take_over && !self.node.is_leaving() {
                 let jobs = Arc::clone(&self.jobs);
                 let job = job.clone();
                 tokio::spawn(async move {
--- a/crates/foxwheel-node/src/worker/scheduling.rs
+++ b/crates/foxwheel-node/src/worker/scheduling.rs
@@ -34,7 +34,7 @@
         };
         let now = Instant::now();
         let (jobs, mut items) = self.waiting_items(&config, now);
-        schedule::sort(&mut items, ledger_poll::unix_now());
+        schedule::sort_waiting_items(&mut items, ledger_poll::unix_now());
         let mut slots = BatchSlots::default();
         let mut without_slot = 0;
         for item in items {
@@ -72,9 +72,9 @@
                     job: jobs.len(),
                     item,
                     due_unix,
-                    remaining: self
+                    remaining_run_time: self
                         .estimate
-                        .remaining(progress.items[item].partial.events()),
+                        .remaining_run_time(progress.items[item].partial_output.event_count()),
                 }
             }));
             jobs.push(WaitingJob {
@@ -90,12 +90,14 @@
     /// memory.
     fn prepare_run(&self, job: &WaitingJob, item: usize, slot: InFlight) -> Option<ItemRun> {
         self.jobs.with_entry(&job.job, |entry| {
-            entry.progress.start(item);
+            entry.progress.start_item(item);
             ItemRun {
                 job: job.job.clone(),
                 host: job.host.clone(),
                 item: entry.progress.spec.items[item].clone(),
-                output: Arc::new(Mutex::new(entry.progress.items[item].partial.clone())),
+                output: Arc::new(Mutex::new(
+                    entry.progress.items[item].partial_output.clone(),
+                )),
                 slot,
                 cancel: entry.cancel.child_token(),
             }
@@ -109,7 +111,7 @@
         let own = &self.node.settings.host;
         let mut candidates = self.node.batch_candidates(service, now);
         for candidate in &mut candidates {
-            let manager = ownership::slot_keeper(&candidate.id, &candidate.zone, &workers);
+            let manager = ownership::slot_manager(&candidate.id, &candidate.zone, &workers);
             candidate.is_slot_manager = manager.is_some_and(|manager| manager.node == *own);
         }
         candidates
--- a/crates/foxwheel-node/src/worker_jobs.rs
+++ b/crates/foxwheel-node/src/worker_jobs.rs
@@ -9,8 +9,8 @@
 use foxwheel_policy::batch::checkpoint::JobCheckpoint;
 use foxwheel_policy::batch::item::ItemResult;
 use foxwheel_policy::batch::job::{JobProgress, JobSpec};
-use foxwheel_policy::batch::ledger::{LedgerAnswer, LedgerChange};
-use foxwheel_policy::batch::ownership::{self, ClaimStanding, JobClaim};
+use foxwheel_policy::batch::ledger::{LedgerChange, LedgerResponse};
+use foxwheel_policy::batch::ownership::{self, ClaimStatus, JobClaim};
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
@@ -121,7 +121,7 @@
         &self,
         change: LedgerChange,
         deadline: Instant,
-    ) -> Result<LedgerAnswer, JobStoreError> {
+    ) -> Result<LedgerResponse, JobStoreError> {
         let own = Some(&self.ledger_writer);
         ledger_writer::change_ledger(&self.node, &self.store, own, change, deadline).await
     }
@@ -133,8 +133,8 @@
         match self.store.load_progress(id, deadline).await? {
             Some(mut progress) => {
                 let restored = self.restore_checkpoints(&mut progress).await;
-                let listed = progress.listed.len();
-                log::info!(job = id, listed, parts = progress.parts, restored; "job adopted");
+                let listed = progress.stored_results.len();
+                log::info!(job = id, listed, parts = progress.stored_parts, restored; "job adopted");
                 self.insert(progress, true);
             }
             // The front has not confirmed the job, and its client may submit it again.
@@ -242,7 +242,7 @@
     /// waiting readers.
     pub fn apply_part(&self, id: &str, number: u32, results: Vec<ItemResult>) {
         self.with_entry(id, |entry| {
-            entry.progress.take_part(number, results);
+            entry.progress.apply_part(number, results);
             entry.used_at = Instant::now();
             entry.results_listed.notify_waiters();
         });
@@ -264,7 +264,7 @@
         });
         let unused = entries.iter().filter(|entry| !is_in_use(entry));
         let mut by_last_use: Vec<(Instant, usize)> = unused
-            .map(|entry| (entry.used_at, entry.progress.bytes()))
+            .map(|entry| (entry.used_at, entry.progress.size_bytes()))
             .collect();
         by_last_use.sort_unstable_by(|a, b| b.cmp(a));
         let mut bytes = 0;
@@ -287,7 +287,7 @@
         let workers = self.node.peers.live_workers(now);
         let owner = workers
             .iter()
-            .find(|worker| worker.heard && worker.holds(id))?;
+            .find(|worker| worker.has_current_claims && worker.owns(id))?;
         let live = self.node.peers.live_processes(Role::Worker, now);
         let found = live.into_iter().find(|(host, _)| *host == owner.node);
         found.map(|(_, addr)| addr)
@@ -352,7 +352,7 @@
     async fn ensure_loaded(&self, id: &JobId, known_parts: u32) -> Result<bool, JobStoreError> {
         let deadline = Instant::now() + LOAD_TIMEOUT;
         let workers = self.node.peers.live_workers(Instant::now());
-        let known_parts = known_parts.max(ownership::known_parts(id, &workers));
+        let known_parts = known_parts.max(ownership::known_stored_parts(id, &workers));
         let refresh = self.with_entry(id, |entry| {
             entry.should_refresh(known_parts, Instant::now())
         });
@@ -432,7 +432,7 @@
         if self.owned || self.progress.ended {
             return;
         }
-        if loaded.parts >= self.progress.parts {
+        if loaded.stored_parts >= self.progress.stored_parts {
             self.progress = loaded;
         }
         self.owned = owned;
@@ -443,15 +443,15 @@
     /// owns the job nor closed it recently.
     fn claim(&self, now: Instant) -> Option<JobClaim> {
         let standing = if self.owned {
-            ClaimStanding::Held
+            ClaimStatus::Held
         } else {
             let closed_at = self.closed_at?;
             let is_recent = now.duration_since(closed_at) < REPORT_CLOSED_DURATION;
-            is_recent.then_some(ClaimStanding::Closed)?
+            is_recent.then_some(ClaimStatus::Closed)?
         };
         Some(JobClaim {
             job: self.progress.spec.id.clone(),
-            parts: self.progress.parts,
+            parts: self.progress.stored_parts,
             standing,
         })
     }
@@ -459,7 +459,7 @@
     fn read(&mut self, read: ResultsQuery) -> (ResultsResponse, Arc<Notify>) {
         self.used_at = Instant::now();
         let mut bytes = 0;
-        let listed = self.progress.listed.iter().skip(read.from);
+        let listed = self.progress.stored_results.iter().skip(read.from);
         let results = listed.take_while(|result| {
             let is_first = bytes == 0;
             bytes += result.output.len();
@@ -475,17 +475,17 @@
     /// Returns whether the store may hold parts that are not in memory: other workers report
     /// more parts, or another worker owns the job and the store was not read recently.
     fn should_refresh(&mut self, known_parts: u32, now: Instant) -> bool {
-        let is_current = self.owned || self.storing || self.progress.is_listed();
+        let is_current = self.owned || self.storing || self.progress.is_fully_stored();
         let is_stale = !is_current && now.duration_since(self.refreshed_at) >= REFRESH_INTERVAL;
         if is_stale {
             self.refreshed_at = now;
         }
-        is_stale || self.progress.parts < known_parts
+        is_stale || self.progress.stored_parts < known_parts
     }
 
     /// Returns the number of the next part to load, or `None` if every result is listed.
     fn next_part(&self) -> Option<u32> {
-        (!self.progress.is_listed()).then_some(self.progress.parts)
+        (!self.progress.is_fully_stored()).then_some(self.progress.stored_parts)
     }
 }
 
--- a/crates/foxwheel-node/tests/common/mod.rs
+++ b/crates/foxwheel-node/tests/common/mod.rs
@@ -336,7 +336,7 @@
 
     /// The store's objects whose keys begin with `prefix`.
     pub async fn list_stored(&self, prefix: &str) -> Vec<Value> {
-        assert!(keys::locate_prefix(prefix).is_some(), "one kind");
+        assert!(keys::kind_and_name_prefix(prefix).is_some(), "one kind");
         let listed = self.store.list(prefix).await.expect("listed");
         listed
             .objects
--- a/crates/foxwheel-node/tests/metrics_contract.rs
+++ b/crates/foxwheel-node/tests/metrics_contract.rs
@@ -21,19 +21,19 @@
         Counter::ServerConnection,
         Counter::JobAccepted,
         Counter::JobOverQuota,
-        Counter::RunWhole,
+        Counter::RunCompleted,
         Counter::RunPreempted,
         Counter::RunFailed,
-        Counter::HeartbeatUnreadable,
-        Counter::HeartbeatUnencodable,
+        Counter::HeartbeatDecodeFailed,
+        Counter::HeartbeatEncodeFailed,
     ];
     for kind in RequestKind::ALL {
         counters.extend(RequestOutcome::ALL.map(|outcome| Counter::Request(kind, outcome)));
     }
     let reasons = [
-        RefusalReason::Uninformed,
+        RefusalReason::NoConfiguration,
         RefusalReason::Stopping,
-        RefusalReason::TimeIsUp,
+        RefusalReason::DeadlineExceeded,
         RefusalReason::ServersFull,
         RefusalReason::NoServer,
         RefusalReason::Rejected,
@@ -45,8 +45,8 @@
         StoreCall::Get,
         StoreCall::Write,
     ] {
-        counters.push(Counter::StoreAnswered(store_call));
-        counters.push(Counter::StoreFailed(store_call));
+        counters.push(Counter::StoreCallSucceeded(store_call));
+        counters.push(Counter::StoreCallFailed(store_call));
     }
     counters
 }
@@ -63,7 +63,7 @@
     let rendered = metrics.render();
     assert_eq!(rendered.lines().count(), counters.len(), "{rendered}");
     let names = counters.iter().map(|counter| counter.name().into_owned());
-    let timers = [Timer::FirstAnswer, Timer::JobAccept].map(|timer| timer.name().to_owned());
+    let timers = [Timer::FirstResponse, Timer::JobAccept].map(|timer| timer.name().to_owned());
     for name in names.chain(timers) {
         // A name made of parts is listed by its first part and each of the others.
         let mut parts = name.split('.');
@@ -159,11 +159,11 @@
 fn histograms_hold_what_was_recorded() {
     let metrics = Metrics::default();
     for at_ms in 1..=1_000 {
-        metrics.time(Timer::FirstAnswer, Duration::from_millis(at_ms));
+        metrics.time(Timer::FirstResponse, Duration::from_millis(at_ms));
     }
     let rendered = metrics.render();
     let value = |label: &str| {
-        let name = format!("{PREFIX}.{}_{label} ", Timer::FirstAnswer.name());
+        let name = format!("{PREFIX}.{}_{label} ", Timer::FirstResponse.name());
         let line = rendered.lines().find_map(|line| line.strip_prefix(&name));
         let value = line.expect("a line").parse::<u64>();
         value.expect("a number")
--- a/crates/foxwheel-node/tests/peers.rs
+++ b/crates/foxwheel-node/tests/peers.rs
@@ -102,7 +102,10 @@
     let later = start + DEAD_TIMEOUT + Duration::from_millis(1);
     peers.apply_heartbeat(beat(3, 1, &[2]), addr(1), later);
     let workers = peers.live_workers(later);
-    let heard: Vec<(&str, bool)> = workers.iter().map(|w| (w.node.as_str(), w.heard)).collect();
+    let heard: Vec<(&str, bool)> = workers
+        .iter()
+        .map(|w| (w.node.as_str(), w.has_current_claims))
+        .collect();
     assert_eq!(heard, [("host-2", false), ("host-3", true)]);
     assert_eq!(
         peers.in_flight(&server(1), later),
--- a/crates/foxwheel-node/tests/worker_jobs.rs
+++ b/crates/foxwheel-node/tests/worker_jobs.rs
@@ -10,7 +10,7 @@
 use foxwheel_node::settings::Role;
 use foxwheel_node::worker_jobs::WorkerJobs;
 use foxwheel_platform_emu::settings::PlatformSettings;
-use foxwheel_policy::batch::item::{Ending, ItemResult, ItemSpec};
+use foxwheel_policy::batch::item::{ItemOutcome, ItemResult, ItemSpec};
 use foxwheel_policy::batch::job::JobSpec;
 use tokio_util::sync::CancellationToken;
 
@@ -35,7 +35,7 @@
 fn result(at: usize) -> ItemResult {
     ItemResult {
         id: format!("item-{at}"),
-        ending: Ending::Completed,
+        ending: ItemOutcome::Completed,
         output: "text".to_owned(),
     }
 }
--- a/crates/foxwheel-platform-emu/src/main.rs
+++ b/crates/foxwheel-platform-emu/src/main.rs
@@ -6,11 +6,11 @@
 #[actix_web::main]
 async fn main() -> std::io::Result<()> {
     telemetry::init_logging();
-    let settings: PlatformSettings = cli::server_settings(
+    let settings: PlatformSettings = cli::load_settings_or_exit(
         "foxwheel-platform-emu",
         "A stand-in for the platform's object API.",
     );
-    let cancel = shutdown::on_signal();
+    let cancel = shutdown::cancel_on_signal();
     let (addr, server) = server::start(&settings, cancel)?;
     log::info!("platform emulator listening on {addr}");
     server.await
--- a/crates/foxwheel-platform-emu/src/server.rs
+++ b/crates/foxwheel-platform-emu/src/server.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use actix_web::{web, HttpRequest, HttpResponse};
-use foxwheel_core::http::{self, ServerShape};
+use foxwheel_core::http::{self, ServerOptions};
 use foxwheel_core::ids::Version;
 use foxwheel_store::api::{CallCounts, Faults, Refusal};
 use serde::Deserialize;
@@ -464,9 +464,9 @@
     if let Some(path) = settings.data_file.clone() {
         actix_web::rt::spawn(keep_saved(emu.clone(), path, cancel.clone()));
     }
-    let shape = ServerShape {
+    let shape = ServerOptions {
         shutdown_timeout: Duration::from_secs(5),
-        ..ServerShape::default()
+        ..ServerOptions::default()
     };
     http::serve(&settings.listen_addr, shape, cancel, move || {
         actix_web::App::new()
--- a/crates/foxwheel-platform-emu/src/settings.rs
+++ b/crates/foxwheel-platform-emu/src/settings.rs
@@ -55,9 +55,9 @@
 
 impl Check for PlatformSettings {
     fn check(&self, problems: &mut Problems) {
-        problems.non_empty("listen_addr", &self.listen_addr);
-        problems.positive("write_limit_per_s", self.write_limit_per_s);
-        problems.positive("read_limit_per_s", self.read_limit_per_s);
-        problems.positive("history_len", self.history_len as u64);
+        problems.require_non_empty("listen_addr", &self.listen_addr);
+        problems.require_positive("write_limit_per_s", self.write_limit_per_s);
+        problems.require_positive("read_limit_per_s", self.read_limit_per_s);
+        problems.require_positive("history_len", self.history_len as u64);
     }
 }
--- a/crates/foxwheel-policy/src/batch/checkpoint.rs
+++ b/crates/foxwheel-policy/src/batch/checkpoint.rs
@@ -10,7 +10,7 @@
 use foxwheel_core::ids::{ItemId, JobId};
 use serde::{Deserialize, Serialize};
 
-use crate::batch::item::{Ending, ItemState, PartialOutput};
+use crate::batch::item::{ItemOutcome, ItemState, PartialOutput};
 use crate::batch::job::{ItemProgress, JobProgress};
 
 /// Least time between two checkpoints of a worker. A crash costs half of it for each item
@@ -31,7 +31,7 @@
     /// Output received so far; the whole output if the item is completed.
     pub output: PartialOutput,
     /// How it ended, if it did.
-    pub ending: Option<Ending>,
+    pub ending: Option<ItemOutcome>,
 }
 
 /// How far the items of a job got whose results are not stored; the others are left out.
@@ -45,7 +45,7 @@
 
 impl JobCheckpoint {
     /// What `progress` knows beyond the stored results; none if that is nothing.
-    pub fn of(progress: &JobProgress) -> Option<Self> {
+    pub fn from_progress(progress: &JobProgress) -> Option<Self> {
         let specs = progress.spec.items.iter();
         let items = specs.zip(&progress.items);
         let items: Vec<ItemCheckpoint> = items
@@ -70,53 +70,53 @@
                 continue;
             }
             item.failures = item.failures.max(saved.failures);
-            if saved.output.last_event_id > item.partial.last_event_id {
-                item.partial = saved.output.clone();
+            if saved.output.last_event_id > item.partial_output.last_event_id {
+                item.partial_output = saved.output.clone();
             }
-            if let Some(ending) = saved.ending {
-                item.partial = saved.output.clone();
-                progress.finish(at, ending, now);
+            if let Some(outcome) = saved.ending {
+                item.partial_output = saved.output.clone();
+                progress.finish_item(at, outcome, now);
             }
         }
     }
 }
 
 fn item_checkpoint(id: &ItemId, item: &ItemProgress) -> Option<ItemCheckpoint> {
-    let (output, ending) = match &item.state {
-        ItemState::Listed => return None,
-        ItemState::Done(result) => (
+    let (output, outcome) = match &item.state {
+        ItemState::Stored => return None,
+        ItemState::Finished(result) => (
             PartialOutput {
-                last_event_id: item.partial.last_event_id,
+                last_event_id: item.partial_output.last_event_id,
                 text: result.output.clone(),
             },
             Some(result.ending),
         ),
-        ItemState::Waiting { .. } | ItemState::Running => (item.partial.clone(), None),
+        ItemState::Waiting { .. } | ItemState::Running => (item.partial_output.clone(), None),
     };
-    let is_news = ending.is_some() || item.failures > 0 || output.last_event_id.is_some();
+    let is_news = outcome.is_some() || item.failures > 0 || output.last_event_id.is_some();
     is_news.then(|| ItemCheckpoint {
         id: id.clone(),
         failures: item.failures,
         output,
-        ending,
+        ending: outcome,
     })
 }
 
 /// When a worker saves the progress of its jobs.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct CheckpointClock {
+pub struct CheckpointTimer {
     /// Earliest time of the next checkpoint; none before the first.
     next_at: Option<Instant>,
 }
 
-impl CheckpointClock {
+impl CheckpointTimer {
     /// Whether a checkpoint is due.
     pub fn is_due(&self, now: Instant) -> bool {
         self.next_at.is_none_or(|at| at <= now)
     }
 
     /// Takes note of a checkpoint of `bytes`.
-    pub fn note(&mut self, bytes: usize, now: Instant) {
+    pub fn record_checkpoint(&mut self, bytes: usize, now: Instant) {
         let transfer = Duration::from_secs_f64(bytes as f64 / BYTES_PER_S);
         self.next_at = Some(now + EVERY.max(transfer));
     }
--- a/crates/foxwheel-policy/src/batch/item.rs
+++ b/crates/foxwheel-policy/src/batch/item.rs
@@ -23,7 +23,7 @@
 
 /// How an item ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ending {
+pub enum ItemOutcome {
     /// Its whole output stands in the result.
     Completed,
     /// It was given up.
@@ -36,7 +36,7 @@
     /// The item's id.
     pub id: ItemId,
     /// How it ended.
-    pub ending: Ending,
+    pub ending: ItemOutcome,
     /// Data of all events in order, joined by line feeds; empty when given up.
     pub output: String,
 }
@@ -53,12 +53,12 @@
 
 impl PartialOutput {
     /// How many events it has; their ids count from 1.
-    pub fn events(&self) -> u64 {
+    pub fn event_count(&self) -> u64 {
         self.last_event_id.unwrap_or(0)
     }
 
     /// Appends an event; answers false (and takes nothing) if it does not follow the last.
-    pub fn push(&mut self, event_id: u64, data: &str) -> bool {
+    pub fn push_event(&mut self, event_id: u64, data: &str) -> bool {
         if self.last_event_id.is_some_and(|last| event_id != last + 1) {
             return false;
         }
@@ -101,7 +101,7 @@
     /// Runs at a backend server.
     Running,
     /// Finished, and its result is not stored yet.
-    Done(ItemResult),
+    Finished(ItemResult),
     /// Its result is stored.
-    Listed,
+    Stored,
 }
--- a/crates/foxwheel-policy/src/batch/job.rs
+++ b/crates/foxwheel-policy/src/batch/job.rs
@@ -10,7 +10,7 @@
 use foxwheel_core::ids::JobId;
 use serde::{Deserialize, Serialize};
 
-use crate::batch::item::{Ending, ItemResult, ItemSpec, ItemState, PartialOutput, RunEnd};
+use crate::batch::item::{ItemOutcome, ItemResult, ItemSpec, ItemState, PartialOutput, RunEnd};
 use crate::placement;
 use crate::routes::Route;
 
@@ -41,7 +41,7 @@
 
 /// Whether what is left of a job may be given up: its route's retention time is over, or
 /// its route is gone. `known_for` is how long the configuration has been known here.
-pub fn is_overdue(route: Option<&Route>, age: Duration, known_for: Duration) -> bool {
+pub fn should_give_up(route: Option<&Route>, age: Duration, known_for: Duration) -> bool {
     match route {
         Some(route) => !route.retention.is_zero() && age > route.retention,
         None => age > ROUTE_MISSING_FOR && known_for > ROUTE_MISSING_FOR,
@@ -69,7 +69,7 @@
 
 impl JobSpec {
     /// Tokens of all items.
-    pub fn tokens(&self) -> u64 {
+    pub fn total_tokens(&self) -> u64 {
         self.items.iter().map(|item| item.tokens).sum()
     }
 }
@@ -82,7 +82,7 @@
     /// Runs that a server answered as failed.
     pub failures: u32,
     /// Output received so far.
-    pub partial: PartialOutput,
+    pub partial_output: PartialOutput,
 }
 
 /// A job's progress.
@@ -93,9 +93,9 @@
     /// One entry for each of the job's items, in the same order.
     pub items: Vec<ItemProgress>,
     /// Stored results in the order of their positions.
-    pub listed: Vec<ItemResult>,
+    pub stored_results: Vec<ItemResult>,
     /// Parts stored so far; the next part has this number.
-    pub parts: u32,
+    pub stored_parts: u32,
     /// When the oldest finished, unstored result was finished.
     pub unstored_since: Option<Instant>,
     /// No item may run any more.
@@ -108,13 +108,13 @@
         let waiting = ItemProgress {
             state: ItemState::Waiting { not_before: None },
             failures: 0,
-            partial: PartialOutput::default(),
+            partial_output: PartialOutput::default(),
         };
         Self {
             items: vec![waiting; spec.items.len()],
             spec,
-            listed: Vec::new(),
-            parts: 0,
+            stored_results: Vec::new(),
+            stored_parts: 0,
             unstored_since: None,
             ended: false,
         }
@@ -122,19 +122,19 @@
 
     /// Takes the results of part `number` as stored, whoever stored it. Parts must come in
     /// order; answers false for one that is known already or comes too early.
-    pub fn take_part(&mut self, number: u32, results: Vec<ItemResult>) -> bool {
-        if number != self.parts {
+    pub fn apply_part(&mut self, number: u32, results: Vec<ItemResult>) -> bool {
+        if number != self.stored_parts {
             return false;
         }
-        self.parts += 1;
+        self.stored_parts += 1;
         for result in results {
             if let Some(at) = self.position(&result.id) {
-                self.items[at].state = ItemState::Listed;
-                self.items[at].partial = PartialOutput::default();
+                self.items[at].state = ItemState::Stored;
+                self.items[at].partial_output = PartialOutput::default();
             }
-            self.listed.push(result);
+            self.stored_results.push(result);
         }
-        if self.unstored().next().is_none() {
+        if self.unstored_results().next().is_none() {
             self.unstored_since = None;
         }
         true
@@ -158,37 +158,37 @@
     }
 
     /// Marks an item as running.
-    pub fn start(&mut self, at: usize) {
+    pub fn start_item(&mut self, at: usize) {
         self.items[at].state = ItemState::Running;
     }
 
     /// Takes note of how far a running item's output came.
-    pub fn note_output(&mut self, at: usize, output: &PartialOutput) {
+    pub fn record_output(&mut self, at: usize, output: &PartialOutput) {
         if matches!(self.items[at].state, ItemState::Running) {
-            self.items[at].partial.clone_from(output);
+            self.items[at].partial_output.clone_from(output);
         }
     }
 
     /// Takes the end of an item's run. Ignores items that were finished meanwhile.
-    pub fn run_ended(
+    pub fn record_run_end(
         &mut self,
         at: usize,
         end: RunEnd,
-        partial: PartialOutput,
+        partial_output: PartialOutput,
         max_failures: u32,
         now: Instant,
     ) {
         if !matches!(self.items[at].state, ItemState::Running) {
             return;
         }
-        self.items[at].partial = partial;
+        self.items[at].partial_output = partial_output;
         match end {
-            RunEnd::Whole => self.finish(at, Ending::Completed, now),
-            RunEnd::Impossible => self.finish(at, Ending::GivenUp, now),
+            RunEnd::Whole => self.finish_item(at, ItemOutcome::Completed, now),
+            RunEnd::Impossible => self.finish_item(at, ItemOutcome::GivenUp, now),
             RunEnd::Failed => {
                 self.items[at].failures += 1;
                 if self.items[at].failures >= max_failures.max(1) {
-                    self.finish(at, Ending::GivenUp, now);
+                    self.finish_item(at, ItemOutcome::GivenUp, now);
                 } else {
                     self.wait(at, now + FAILURE_PAUSE);
                 }
@@ -200,21 +200,21 @@
     }
 
     /// Gives up every item that is not finished, e.g. after the retention time.
-    pub fn give_up_rest(&mut self, now: Instant) {
+    pub fn give_up_unfinished(&mut self, now: Instant) {
         for at in 0..self.items.len() {
             if matches!(
                 self.items[at].state,
                 ItemState::Waiting { .. } | ItemState::Running
             ) {
-                self.finish(at, Ending::GivenUp, now);
+                self.finish_item(at, ItemOutcome::GivenUp, now);
             }
         }
     }
 
     /// Results that are finished and not stored, in the client's order.
-    pub fn unstored(&self) -> impl Iterator<Item = &ItemResult> {
+    pub fn unstored_results(&self) -> impl Iterator<Item = &ItemResult> {
         self.items.iter().filter_map(|item| match &item.state {
-            ItemState::Done(result) => Some(result),
+            ItemState::Finished(result) => Some(result),
             _ => None,
         })
     }
@@ -222,7 +222,7 @@
     /// Whether it is time to store results, or to close a job that is whole.
     pub fn should_store(&self, now: Instant, leaving: bool) -> bool {
         let Some(since) = self.unstored_since else {
-            return self.is_listed();
+            return self.is_fully_stored();
         };
         let patience = match self.has_unstored_give_up() {
             true => STORE_GIVE_UP_AFTER,
@@ -233,22 +233,22 @@
 
     /// Whether results must be stored now so that they are listed when the job is due, which
     /// it is in `due_in`. False when it is due already.
-    pub fn is_nearly_due(&self, due_in: Duration) -> bool {
+    pub fn should_store_before_due(&self, due_in: Duration) -> bool {
         let nearly = !due_in.is_zero() && due_in <= STORE_BEFORE_DUE;
         nearly && self.unstored_since.is_some()
     }
 
     /// Whether an item was given up and that is not stored yet.
     pub fn has_unstored_give_up(&self) -> bool {
-        self.unstored()
-            .any(|result| result.ending == Ending::GivenUp)
+        self.unstored_results()
+            .any(|result| result.ending == ItemOutcome::GivenUp)
     }
 
     /// The results of the next part: as many unstored ones as fit into `max_bytes`, at
     /// least one.
     pub fn next_part(&self, max_bytes: usize) -> Vec<ItemResult> {
         let mut bytes = 0;
-        self.unstored()
+        self.unstored_results()
             .take_while(|result| {
                 let first = bytes == 0;
                 bytes += result.output.len() + result.id.len() + RESULT_OVERHEAD_BYTES;
@@ -262,23 +262,27 @@
     pub fn is_finished(&self) -> bool {
         self.items
             .iter()
-            .all(|item| matches!(item.state, ItemState::Done(_) | ItemState::Listed))
+            .all(|item| matches!(item.state, ItemState::Finished(_) | ItemState::Stored))
     }
 
     /// Bytes of its items' bodies and listed results.
-    pub fn bytes(&self) -> usize {
+    pub fn size_bytes(&self) -> usize {
         let bodies: usize = self.spec.items.iter().map(|item| item.body.len()).sum();
-        let results: usize = self.listed.iter().map(|result| result.output.len()).sum();
+        let results: usize = self
+            .stored_results
+            .iter()
+            .map(|result| result.output.len())
+            .sum();
         bodies + results
     }
 
     /// Whether every result is stored.
-    pub fn is_listed(&self) -> bool {
-        self.listed.len() >= self.spec.items.len()
+    pub fn is_fully_stored(&self) -> bool {
+        self.stored_results.len() >= self.spec.items.len()
     }
 
     /// Tokens of the items that are not finished.
-    pub fn waiting_tokens(&self) -> u64 {
+    pub fn unfinished_tokens(&self) -> u64 {
         self.spec
             .items
             .iter()
@@ -292,15 +296,15 @@
 
     /// Takes the item at `at` as ended, with its partial output as its result if it is
     /// completed.
-    pub(crate) fn finish(&mut self, at: usize, ending: Ending, now: Instant) {
-        let partial = std::mem::take(&mut self.items[at].partial);
-        let output = match ending {
-            Ending::Completed => partial.text,
-            Ending::GivenUp => String::new(),
+    pub(crate) fn finish_item(&mut self, at: usize, outcome: ItemOutcome, now: Instant) {
+        let partial_output = std::mem::take(&mut self.items[at].partial_output);
+        let output = match outcome {
+            ItemOutcome::Completed => partial_output.text,
+            ItemOutcome::GivenUp => String::new(),
         };
-        self.items[at].state = ItemState::Done(ItemResult {
+        self.items[at].state = ItemState::Finished(ItemResult {
             id: self.spec.items[at].id.clone(),
-            ending,
+            ending: outcome,
             output,
         });
         self.unstored_since.get_or_insert(now);
--- a/crates/foxwheel-policy/src/batch/ledger.rs
+++ b/crates/foxwheel-policy/src/batch/ledger.rs
@@ -14,7 +14,7 @@
 /// change itself, which is idempotent. A keeper that lost power answers nothing: waited for as
 /// long as for the store, submissions were accepted after 1.2 to 1.8 s (target 400 ms), and
 /// their results were late. Above what the keeper takes while the store is slow (250 ms).
-pub const KEEPER_PATIENCE: Duration = Duration::from_millis(350);
+pub const LEDGER_WRITER_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// A job that still has items to run.
 #[serde_as]
@@ -66,7 +66,7 @@
 
 /// Where a job stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum JobStanding {
+pub enum JobStatus {
     /// Accepted, with items to run.
     Open,
     /// Finished or ended.
@@ -113,16 +113,16 @@
 
 /// What the ledger says to a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LedgerAnswer {
+pub enum LedgerResponse {
     /// To [`LedgerChange::Admit`].
     Admission(Admission),
     /// To any other change: where the job stands now.
-    Standing(JobStanding),
+    Standing(JobStatus),
 }
 
 impl Ledger {
     /// Makes `change`; the caller must store the ledger if it is another one then.
-    pub fn apply(&mut self, change: &LedgerChange) -> LedgerAnswer {
+    pub fn apply(&mut self, change: &LedgerChange) -> LedgerResponse {
         match change {
             LedgerChange::Admit {
                 id,
@@ -130,14 +130,16 @@
                 tokens,
                 quota_tokens,
                 now_unix,
-            } => LedgerAnswer::Admission(self.admit(id, route, *tokens, *quota_tokens, *now_unix)),
+            } => {
+                LedgerResponse::Admission(self.admit(id, route, *tokens, *quota_tokens, *now_unix))
+            }
             LedgerChange::Close { id, now_unix } => {
                 self.close(id, *now_unix);
-                LedgerAnswer::Standing(self.standing(id))
+                LedgerResponse::Standing(self.job_status(id))
             }
             LedgerChange::Withdraw { id } => {
                 self.open.retain(|job| job.id != *id);
-                LedgerAnswer::Standing(self.standing(id))
+                LedgerResponse::Standing(self.job_status(id))
             }
         }
     }
@@ -151,10 +153,10 @@
         quota_tokens: u64,
         now_unix: Duration,
     ) -> Admission {
-        if self.standing(id) != JobStanding::Unknown {
+        if self.job_status(id) != JobStatus::Unknown {
             return Admission::Repeat;
         }
-        if quota_tokens > 0 && self.waiting_tokens(route) + tokens > quota_tokens {
+        if quota_tokens > 0 && self.unfinished_tokens(route) + tokens > quota_tokens {
             return Admission::OverQuota;
         }
         let job = OpenJob {
@@ -184,7 +186,7 @@
     }
 
     /// Lowers a job's waiting tokens; answers whether the ledger changed.
-    pub fn set_waiting(&mut self, id: &str, tokens: u64) -> bool {
+    pub fn lower_unfinished_tokens(&mut self, id: &str, tokens: u64) -> bool {
         let Ok(at) = self.open_position(id) else {
             return false;
         };
@@ -196,7 +198,7 @@
     }
 
     /// Forgets jobs closed longer than `keep` ago; answers whether the ledger changed.
-    pub fn prune(&mut self, now_unix: Duration, keep: Duration) -> bool {
+    pub fn prune_closed(&mut self, now_unix: Duration, keep: Duration) -> bool {
         let before = self.closed.len();
         self.closed
             .retain(|job| now_unix.saturating_sub(job.closed_unix) < keep);
@@ -204,17 +206,17 @@
     }
 
     /// Where the job `id` stands.
-    pub fn standing(&self, id: &str) -> JobStanding {
+    pub fn job_status(&self, id: &str) -> JobStatus {
         if self.open_position(id).is_ok() {
-            JobStanding::Open
+            JobStatus::Open
         } else if self
             .closed
             .binary_search_by(|job| job.id.as_str().cmp(id))
             .is_ok()
         {
-            JobStanding::Closed
+            JobStatus::Closed
         } else {
-            JobStanding::Unknown
+            JobStatus::Unknown
         }
     }
 
@@ -224,7 +226,7 @@
     }
 
     /// Tokens that wait on `route`.
-    pub fn waiting_tokens(&self, route: &str) -> u64 {
+    pub fn unfinished_tokens(&self, route: &str) -> u64 {
         let of_route = self.open.iter().filter(|job| job.route == route);
         of_route.map(|job| job.waiting_tokens).sum()
     }
--- a/crates/foxwheel-policy/src/batch/ownership.rs
+++ b/crates/foxwheel-policy/src/batch/ownership.rs
@@ -23,11 +23,11 @@
 /// (0.3 s each), the second to those of whom the first told, and one that is lost. After a
 /// start of the whole fleet jobs stand still until then: 1.1 s, and 2.2 to 2.6 s when a second
 /// read of the ledger was waited for.
-pub const HEARD_AFTER: Duration = Duration::from_millis(1_000);
+pub const ALL_HEARTBEATS_DELAY: Duration = Duration::from_millis(1_000);
 
 /// Whether a worker still runs a job that it tells of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ClaimStanding {
+pub enum ClaimStatus {
     /// It runs the job.
     Held,
     /// The job was closed a short while ago.
@@ -42,7 +42,7 @@
     /// Parts of its results that the worker knows to be stored; only grows.
     pub parts: u32,
     /// Whether it runs the job.
-    pub standing: ClaimStanding,
+    pub standing: ClaimStatus,
 }
 
 /// A live worker as its last heartbeat tells it.
@@ -56,7 +56,7 @@
     pub leaving: bool,
     /// It is heard by this process, and its claims are new. Otherwise only others hear it:
     /// it lives, but what it took since is not known here.
-    pub heard: bool,
+    pub has_current_claims: bool,
     /// Jobs it tells of; sorted by job.
     pub claims: Vec<JobClaim>,
     /// Items of its jobs that could run now and found no slot.
@@ -74,18 +74,18 @@
 
     /// Whether it stays and, as far as is known, has items that wait for a slot.
     fn may_need_slots(&self) -> bool {
-        !self.leaving && (self.waiting_items > 0 || !self.heard)
+        !self.leaving && (self.waiting_items > 0 || !self.has_current_claims)
     }
 
     /// Whether it runs `job`.
-    pub fn holds(&self, job: &str) -> bool {
+    pub fn owns(&self, job: &str) -> bool {
         self.claim(job)
-            .is_some_and(|claim| claim.standing == ClaimStanding::Held)
+            .is_some_and(|claim| claim.standing == ClaimStatus::Held)
     }
 }
 
 /// The worker that should take `job`, or none if all are leaving.
-pub fn first_choice<'a>(job: &str, workers: &'a [Worker]) -> Option<&'a Worker> {
+pub fn preferred_worker<'a>(job: &str, workers: &'a [Worker]) -> Option<&'a Worker> {
     workers
         .iter()
         .filter(|worker| !worker.leaving)
@@ -102,7 +102,7 @@
 /// zone if there is any; jobs are not spread evenly, and slots that a worker without waiting
 /// items gives out would be left half empty by the others (3 workers, 39 servers, six runs of
 /// some 1,350 items each: 536 results late, 373 with this).
-pub fn slot_keeper<'a>(server: &str, zone: &str, workers: &'a [Worker]) -> Option<&'a Worker> {
+pub fn slot_manager<'a>(server: &str, zone: &str, workers: &'a [Worker]) -> Option<&'a Worker> {
     let any_waits = workers.iter().any(Worker::may_need_slots);
     let eligible = |worker: &&Worker| !worker.leaving && (!any_waits || worker.may_need_slots());
     let staying = || workers.iter().filter(eligible);
@@ -114,20 +114,20 @@
 
 /// Parts of the results of `job` that some worker knows to be stored. A reader that knows
 /// fewer must look in the store before it answers.
-pub fn known_parts(job: &str, workers: &[Worker]) -> u32 {
+pub fn known_stored_parts(job: &str, workers: &[Worker]) -> u32 {
     let claims = workers.iter().filter_map(|worker| worker.claim(job));
     claims.map(|claim| claim.parts).max().unwrap_or(0)
 }
 
 /// Whether a worker that started at `started_at` has heard of every live one, so that it can
 /// tell which jobs nobody runs.
-pub fn has_heard_all(started_at: Instant, now: Instant) -> bool {
-    now.duration_since(started_at) >= HEARD_AFTER
+pub fn has_received_all_heartbeats(started_at: Instant, now: Instant) -> bool {
+    now.duration_since(started_at) >= ALL_HEARTBEATS_DELAY
 }
 
 /// Whether the worker `own` should take a job that it does not hold, which it has known
 /// as unheld since `unheld_since`. `workers` are the live workers, `own` among them.
-pub fn should_take(
+pub fn should_take_over(
     job: &str,
     own: &str,
     workers: &[Worker],
@@ -137,10 +137,10 @@
     if workers.iter().any(|worker| worker.claim(job).is_some()) {
         return false;
     }
-    let Some(first) = first_choice(job, workers) else {
+    let Some(first) = preferred_worker(job, workers) else {
         return false;
     };
-    let patience = match first.heard {
+    let patience = match first.has_current_claims {
         true => UNHELD_PATIENCE,
         false => UNHEARD_PATIENCE,
     };
@@ -151,11 +151,11 @@
 /// leave it to another that runs it too: to the one that knows more, else by rank. Of two
 /// such workers at most one yields, however late they hear of each other, because claims
 /// only grow.
-pub fn should_yield(job: &str, own: &str, own_parts: u32, others: &[Worker]) -> bool {
+pub fn should_release(job: &str, own: &str, own_parts: u32, others: &[Worker]) -> bool {
     let own_rank = (own_parts, rank(job, own), own);
     others
         .iter()
-        .filter(|worker| worker.node != own && !worker.leaving && worker.holds(job))
+        .filter(|worker| worker.node != own && !worker.leaving && worker.owns(job))
         .filter_map(|worker| worker.claim(job).map(|claim| (worker, claim)))
         .any(|(worker, claim)| {
             (claim.parts, rank(job, &worker.node), worker.node.as_str()) > own_rank
--- a/crates/foxwheel-policy/src/batch/schedule.rs
+++ b/crates/foxwheel-policy/src/batch/schedule.rs
@@ -18,27 +18,27 @@
     /// Time from one event to the next.
     event_time: MovingAverage,
     /// Events of a whole output.
-    whole_events: MovingAverage,
+    full_output_events: MovingAverage,
 }
 
 impl RunEstimate {
     /// Takes note of a run that brought `events` in `took`.
-    pub fn note_run(&mut self, events: u64, took: Duration) {
+    pub fn record_run(&mut self, events: u64, took: Duration) {
         if events >= LEAST_EVENTS {
             self.event_time.push_duration(took.div_f64(events as f64));
         }
     }
 
     /// Takes note of an output that is whole with `events`.
-    pub fn note_whole(&mut self, events: u64) {
-        self.whole_events.push(events as f64);
+    pub fn record_full_output(&mut self, events: u64) {
+        self.full_output_events.push(events as f64);
     }
 
     /// How much longer an item runs that has `events` of its output. Zero while nothing is
     /// known.
-    pub fn remaining(&self, events: u64) -> Duration {
-        let whole_events = self.whole_events.get().unwrap_or_default();
-        let events_left = (whole_events - events as f64).max(0.0);
+    pub fn remaining_run_time(&self, events: u64) -> Duration {
+        let full_output_events = self.full_output_events.get().unwrap_or_default();
+        let events_left = (full_output_events - events as f64).max(0.0);
         self.event_time
             .duration()
             .unwrap_or_default()
@@ -56,25 +56,25 @@
     /// When its result is due, since the Unix epoch.
     pub due_unix: Duration,
     /// How much longer it runs once it has a slot.
-    pub remaining: Duration,
+    pub remaining_run_time: Duration,
 }
 
 impl WaitingItem {
     /// Whether it misses its time even with a slot at once.
     pub fn is_late(&self, now_unix: Duration) -> bool {
-        now_unix + self.remaining > self.due_unix
+        now_unix + self.remaining_run_time > self.due_unix
     }
 }
 
 /// Sorts items into the order in which they get slots: those that can still be in time, the
 /// one due first at the front and of equals the one that has least left; then the others,
 /// which lose nothing more by waiting, in the order of their due times.
-pub fn sort(items: &mut [WaitingItem], now_unix: Duration) {
+pub fn sort_waiting_items(items: &mut [WaitingItem], now_unix: Duration) {
     items.sort_unstable_by_key(|item| {
         (
             item.is_late(now_unix),
             item.due_unix,
-            item.remaining,
+            item.remaining_run_time,
             item.job,
             item.item,
         )
--- a/crates/foxwheel-policy/tests/batch_job.rs
+++ b/crates/foxwheel-policy/tests/batch_job.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use foxwheel_policy::batch::item::{Ending, ItemResult, PartialOutput, RunEnd};
+use foxwheel_policy::batch::item::{ItemOutcome, ItemResult, PartialOutput, RunEnd};
 use foxwheel_policy::batch::job::{self, JobProgress};
 use foxwheel_policy::routes::{Route, RouteKind};
 
@@ -13,29 +13,29 @@
 fn output(events: &[(u64, &str)]) -> PartialOutput {
     let mut partial = PartialOutput::default();
     for (id, data) in events {
-        assert!(partial.push(*id, data));
+        assert!(partial.push_event(*id, data));
     }
     partial
 }
 
 fn results(progress: &JobProgress) -> Vec<ItemResult> {
-    progress.unstored().cloned().collect()
+    progress.unstored_results().cloned().collect()
 }
 
 #[test]
 fn an_output_takes_each_event_once_and_in_order() {
     let mut partial = output(&[(1, "a"), (2, "b")]);
-    assert!(!partial.push(2, "b"), "an event twice");
-    assert!(!partial.push(4, "d"), "an event missing");
-    assert!(partial.push(3, "c"));
+    assert!(!partial.push_event(2, "b"), "an event twice");
+    assert!(!partial.push_event(4, "d"), "an event missing");
+    assert!(partial.push_event(3, "c"));
     assert_eq!(partial.text, "a\nb\nc");
 }
 
 #[test]
 fn what_the_end_of_a_run_means() {
     let cases = [
-        (RunEnd::Whole, Some(Ending::Completed)),
-        (RunEnd::Impossible, Some(Ending::GivenUp)),
+        (RunEnd::Whole, Some(ItemOutcome::Completed)),
+        (RunEnd::Impossible, Some(ItemOutcome::GivenUp)),
         (RunEnd::Failed, None),
         (RunEnd::NotRun, None),
         (RunEnd::Broken, None),
@@ -44,15 +44,15 @@
     for (end, expected) in cases {
         let now = Instant::now();
         let mut progress = JobProgress::new(common::job_of(1));
-        progress.start(0);
-        progress.run_ended(0, end, output(&[(1, "a")]), MAX_FAILURES, now);
+        progress.start_item(0);
+        progress.record_run_end(0, end, output(&[(1, "a")]), MAX_FAILURES, now);
         let ending = results(&progress).first().map(|result| result.ending);
         assert_eq!(ending, expected, "{end:?}");
         if expected.is_none() {
             let later = now + Duration::from_secs(1);
             assert_eq!(progress.next_item(later), Some(0), "{end:?} runs again");
             assert_eq!(
-                progress.items[0].partial.last_event_id,
+                progress.items[0].partial_output.last_event_id,
                 Some(1),
                 "{end:?} keeps its output"
             );
@@ -65,8 +65,8 @@
     let now = Instant::now();
     let mut progress = JobProgress::new(common::job_of(1));
     for _ in 0..20 {
-        progress.start(0);
-        progress.run_ended(
+        progress.start_item(0);
+        progress.record_run_end(
             0,
             RunEnd::Broken,
             PartialOutput::default(),
@@ -76,8 +76,8 @@
     }
     for failure in 1..=MAX_FAILURES {
         assert!(!progress.is_finished(), "before failure {failure}");
-        progress.start(0);
-        progress.run_ended(
+        progress.start_item(0);
+        progress.record_run_end(
             0,
             RunEnd::Failed,
             PartialOutput::default(),
@@ -87,7 +87,7 @@
     }
     assert!(progress.is_finished());
     assert!(progress.has_unstored_give_up());
-    assert_eq!(progress.waiting_tokens(), 0);
+    assert_eq!(progress.unfinished_tokens(), 0);
 }
 
 #[test]
@@ -95,8 +95,8 @@
     let now = Instant::now();
     let mut progress = JobProgress::new(common::job_of(4));
     for item in 0..4 {
-        progress.start(item);
-        progress.run_ended(
+        progress.start_item(item);
+        progress.record_run_end(
             item,
             RunEnd::Whole,
             output(&[(1, &"x".repeat(1_000))]),
@@ -114,13 +114,13 @@
     let mut progress = JobProgress::new(common::job_of(2));
     let listed = ItemResult {
         id: "item-1".to_owned(),
-        ending: Ending::Completed,
+        ending: ItemOutcome::Completed,
         output: "a".to_owned(),
     };
-    assert!(progress.take_part(0, vec![listed.clone()]));
+    assert!(progress.apply_part(0, vec![listed.clone()]));
     progress.ended = true;
     assert_eq!(progress.next_item(Instant::now()), None);
-    assert_eq!(progress.listed, vec![listed]);
+    assert_eq!(progress.stored_results, vec![listed]);
 }
 
 /// The store as workers see it: parts that can each be created once.
@@ -190,7 +190,7 @@
     match u.int_in_range(0..=9)? {
         0..=4 => {
             if let Some(item) = worker.next_item(now) {
-                worker.start(item);
+                worker.start_item(item);
                 let ends = [
                     RunEnd::Whole,
                     RunEnd::Failed,
@@ -198,7 +198,7 @@
                     RunEnd::Impossible,
                 ];
                 let end = *u.choose(&ends)?;
-                worker.run_ended(
+                worker.record_run_end(
                     item,
                     end,
                     output(&[(1, "x")]),
@@ -210,25 +210,25 @@
         5..=7 => {
             let results = worker.next_part(u.int_in_range(1..=400)?);
             if !results.is_empty() {
-                let number = worker.parts;
+                let number = worker.stored_parts;
                 let stands = match parts.create(number, results.clone()) {
                     Ok(()) => results,
                     Err(taken) => taken,
                 };
-                assert!(worker.take_part(number, stands));
+                assert!(worker.apply_part(number, stands));
             }
         }
         8 => {
             *worker = JobProgress::new(common::job_of(items));
             for (number, results) in parts.0.iter().enumerate() {
-                assert!(worker.take_part(number as u32, results.clone()));
+                assert!(worker.apply_part(number as u32, results.clone()));
             }
         }
         _ => {
             // A late answer tells of a part again, or of one that comes too early.
             let number = u.int_in_range(0..=8)?;
-            if number != worker.parts {
-                assert!(!worker.take_part(number, Vec::new()));
+            if number != worker.stored_parts {
+                assert!(!worker.apply_part(number, Vec::new()));
             }
         }
     }
@@ -243,19 +243,19 @@
     let at = |ms| start + Duration::from_millis(ms);
     let mut progress = JobProgress::new(common::job_of(3));
     assert!(!progress.should_store(at(60_000), true), "nothing to store");
-    progress.start(0);
-    progress.run_ended(0, RunEnd::Whole, output(&[(1, "a")]), 1, start);
+    progress.start_item(0);
+    progress.record_run_end(0, RunEnd::Whole, output(&[(1, "a")]), 1, start);
     assert!(!progress.should_store(at(2_400), false));
     assert!(progress.should_store(at(2_500), false));
     assert!(
         progress.should_store(at(0), true),
         "a leaving worker stores at once"
     );
-    progress.start(1);
-    progress.run_ended(1, RunEnd::Impossible, PartialOutput::default(), 1, start);
+    progress.start_item(1);
+    progress.record_run_end(1, RunEnd::Impossible, PartialOutput::default(), 1, start);
     assert!(progress.should_store(at(200), false));
-    progress.start(2);
-    progress.run_ended(2, RunEnd::Whole, output(&[(1, "a")]), 1, start);
+    progress.start_item(2);
+    progress.record_run_end(2, RunEnd::Whole, output(&[(1, "a")]), 1, start);
     assert!(
         progress.should_store(start, false),
         "nothing else is to come"
@@ -269,12 +269,15 @@
     let now = Instant::now();
     let seconds = Duration::from_secs_f64;
     let mut progress = JobProgress::new(common::job_of(2));
-    assert!(!progress.is_nearly_due(seconds(0.1)), "nothing to store");
-    progress.start(0);
-    progress.run_ended(0, RunEnd::Whole, output(&[(1, "a")]), 1, now);
-    assert!(!progress.is_nearly_due(seconds(2.0)));
-    assert!(progress.is_nearly_due(seconds(0.5)));
-    assert!(!progress.is_nearly_due(Duration::ZERO));
+    assert!(
+        !progress.should_store_before_due(seconds(0.1)),
+        "nothing to store"
+    );
+    progress.start_item(0);
+    progress.record_run_end(0, RunEnd::Whole, output(&[(1, "a")]), 1, now);
+    assert!(!progress.should_store_before_due(seconds(2.0)));
+    assert!(progress.should_store_before_due(seconds(0.5)));
+    assert!(!progress.should_store_before_due(Duration::ZERO));
 }
 
 #[test]
@@ -305,8 +308,8 @@
         ("just submitted", None, 2, 600, false),
     ];
     for (name, route, age_s, known_s, overdue) in cases {
-        let is_overdue = job::is_overdue(route, seconds(age_s), seconds(known_s));
-        assert_eq!(is_overdue, overdue, "{name}");
+        let should_give_up = job::should_give_up(route, seconds(age_s), seconds(known_s));
+        assert_eq!(should_give_up, overdue, "{name}");
     }
 }
 
@@ -338,10 +341,14 @@
             );
         }
         for worker in &mut workers {
-            while let Some(results) = parts.0.get(worker.parts as usize) {
-                assert!(worker.take_part(worker.parts, results.clone()));
+            while let Some(results) = parts.0.get(worker.stored_parts as usize) {
+                assert!(worker.apply_part(worker.stored_parts, results.clone()));
             }
-            let listed: Vec<&str> = worker.listed.iter().map(|r| r.id.as_str()).collect();
+            let listed: Vec<&str> = worker
+                .stored_results
+                .iter()
+                .map(|r| r.id.as_str())
+                .collect();
             assert_eq!(
                 listed,
                 parts.listed(),
--- a/crates/foxwheel-policy/tests/checkpoint.rs
+++ b/crates/foxwheel-policy/tests/checkpoint.rs
@@ -4,22 +4,22 @@
 
 use std::time::{Duration, Instant};
 
-use foxwheel_policy::batch::checkpoint::{CheckpointClock, JobCheckpoint};
-use foxwheel_policy::batch::item::{Ending, ItemState, PartialOutput, RunEnd};
+use foxwheel_policy::batch::checkpoint::{CheckpointTimer, JobCheckpoint};
+use foxwheel_policy::batch::item::{ItemOutcome, ItemState, PartialOutput, RunEnd};
 use foxwheel_policy::batch::job::JobProgress;
 
 /// The output of an item up to event `last`.
 fn output(last: u64) -> PartialOutput {
     let mut output = PartialOutput::default();
     for event in 1..=last {
-        assert!(output.push(event, &format!("event {event}")));
+        assert!(output.push_event(event, &format!("event {event}")));
     }
     output
 }
 
 fn run(progress: &mut JobProgress, at: usize, end: RunEnd, events: u64) {
-    progress.start(at);
-    progress.run_ended(at, end, output(events), 3, Instant::now());
+    progress.start_item(at);
+    progress.record_run_end(at, end, output(events), 3, Instant::now());
 }
 
 /// Killed with one item running, one finished and not stored, one failed twice, one given up
@@ -28,36 +28,40 @@
 fn a_job_goes_on_where_its_dead_worker_stopped() {
     let now = Instant::now();
     let mut progress = JobProgress::new(common::job_of(5));
-    assert_eq!(JobCheckpoint::of(&progress), None, "nothing to save");
-    progress.start(0);
-    progress.note_output(0, &output(40));
+    assert_eq!(
+        JobCheckpoint::from_progress(&progress),
+        None,
+        "nothing to save"
+    );
+    progress.start_item(0);
+    progress.record_output(0, &output(40));
     run(&mut progress, 1, RunEnd::Whole, 9);
     run(&mut progress, 2, RunEnd::Failed, 0);
     run(&mut progress, 2, RunEnd::Failed, 0);
     run(&mut progress, 3, RunEnd::Impossible, 0);
-    let saved = JobCheckpoint::of(&progress).expect("progress");
+    let saved = JobCheckpoint::from_progress(&progress).expect("progress");
 
     let mut adopted = JobProgress::new(common::job_of(5));
     saved.restore(&mut adopted, now);
-    assert_eq!(adopted.items[0].partial, output(40));
+    assert_eq!(adopted.items[0].partial_output, output(40));
     assert_eq!(adopted.items[2].failures, 2);
-    let endings: Vec<(&str, Ending, &str)> = adopted
-        .unstored()
+    let endings: Vec<(&str, ItemOutcome, &str)> = adopted
+        .unstored_results()
         .map(|result| (result.id.as_str(), result.ending, result.output.as_str()))
         .collect();
     let whole = output(9).text;
     assert_eq!(
         endings,
         [
-            ("item-1", Ending::Completed, whole.as_str()),
-            ("item-3", Ending::GivenUp, ""),
+            ("item-1", ItemOutcome::Completed, whole.as_str()),
+            ("item-3", ItemOutcome::GivenUp, ""),
         ]
     );
     let waiting: Vec<usize> = adopted.waiting_items(now).collect();
     assert_eq!(waiting, [0, 2, 4]);
     run(&mut adopted, 2, RunEnd::Failed, 0);
     assert!(
-        matches!(&adopted.items[2].state, ItemState::Done(_)),
+        matches!(&adopted.items[2].state, ItemState::Finished(_)),
         "given up"
     );
 }
@@ -68,21 +72,25 @@
     let now = Instant::now();
     let mut progress = JobProgress::new(common::job_of(3));
     run(&mut progress, 0, RunEnd::Whole, 5);
-    progress.start(1);
-    progress.note_output(1, &output(7));
-    let older = JobCheckpoint::of(&progress).expect("progress");
-    progress.note_output(1, &output(30));
-    let newer = JobCheckpoint::of(&progress).expect("progress");
+    progress.start_item(1);
+    progress.record_output(1, &output(7));
+    let older = JobCheckpoint::from_progress(&progress).expect("progress");
+    progress.record_output(1, &output(30));
+    let newer = JobCheckpoint::from_progress(&progress).expect("progress");
     let stored = progress.next_part(10_000);
 
     let mut adopted = JobProgress::new(common::job_of(3));
-    adopted.take_part(0, stored);
+    adopted.apply_part(0, stored);
     for saved in [&newer, &older] {
         saved.restore(&mut adopted, now);
     }
-    assert!(matches!(adopted.items[0].state, ItemState::Listed));
-    assert_eq!(adopted.unstored().count(), 0, "no result stands twice");
-    assert_eq!(adopted.items[1].partial, output(30));
+    assert!(matches!(adopted.items[0].state, ItemState::Stored));
+    assert_eq!(
+        adopted.unstored_results().count(),
+        0,
+        "no result stands twice"
+    );
+    assert_eq!(adopted.items[1].partial_output, output(30));
 }
 
 /// Workers die in any order at any moment, each after a checkpoint of any age: every item is
@@ -97,7 +105,7 @@
             let now = Instant::now();
             let mut progress = JobProgress::new(common::job_of(count));
             for (number, part) in stored.iter().enumerate() {
-                assert!(progress.take_part(number as u32, Vec::clone(part)));
+                assert!(progress.apply_part(number as u32, Vec::clone(part)));
             }
             for checkpoint in &saved {
                 checkpoint.restore(&mut progress, now);
@@ -105,7 +113,8 @@
             for _ in 0..u.int_in_range(1..=12)? {
                 let at = u.choose_index(count)?;
                 if matches!(progress.items[at].state, ItemState::Waiting { .. }) {
-                    let events = progress.items[at].partial.events() + u.int_in_range(1..=6)?;
+                    let events =
+                        progress.items[at].partial_output.event_count() + u.int_in_range(1..=6)?;
                     let end = match events >= 10 {
                         true => RunEnd::Whole,
                         false => RunEnd::Preempted,
@@ -113,18 +122,18 @@
                     run(&mut progress, at, end, events.min(10));
                 }
                 match u.int_in_range(0..=3)? {
-                    0 => saved.extend(JobCheckpoint::of(&progress)),
+                    0 => saved.extend(JobCheckpoint::from_progress(&progress)),
                     1 => {
                         let part = progress.next_part(10_000);
                         if !part.is_empty() {
-                            assert!(progress.take_part(progress.parts, part.clone()));
+                            assert!(progress.apply_part(progress.stored_parts, part.clone()));
                             stored.push(part);
                         }
                     }
                     _ => {}
                 }
             }
-            if progress.is_listed() {
+            if progress.is_fully_stored() {
                 break;
             }
             if u.is_empty() {
@@ -147,12 +156,12 @@
 #[test]
 fn large_checkpoints_come_more_rarely() {
     let now = Instant::now();
-    let mut clock = CheckpointClock::default();
+    let mut clock = CheckpointTimer::default();
     assert!(clock.is_due(now));
-    clock.note(100_000, now);
+    clock.record_checkpoint(100_000, now);
     assert!(!clock.is_due(now + Duration::from_millis(1_900)));
     assert!(clock.is_due(now + Duration::from_millis(2_000)));
-    clock.note(7_500_000, now);
+    clock.record_checkpoint(7_500_000, now);
     assert!(!clock.is_due(now + Duration::from_millis(9_900)));
     assert!(clock.is_due(now + Duration::from_secs(10)));
 }
--- a/crates/foxwheel-policy/tests/ledger.rs
+++ b/crates/foxwheel-policy/tests/ledger.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use foxwheel_policy::batch::ledger::{
-    self, Admission, JobStanding, Ledger, LedgerAnswer, LedgerChange,
+    self, Admission, JobStatus, Ledger, LedgerChange, LedgerResponse,
 };
 
 const NOW: Duration = Duration::from_secs(1_000);
@@ -22,7 +22,7 @@
     assert!(ledger.close("a", NOW));
     assert!(!ledger.close("a", NOW));
     assert_eq!(admit(&mut ledger, "a", 10, 0), Admission::Repeat);
-    assert_eq!(ledger.standing("a"), JobStanding::Closed);
+    assert_eq!(ledger.job_status("a"), JobStatus::Closed);
 }
 
 #[test]
@@ -30,16 +30,19 @@
     let mut ledger = Ledger::default();
     assert_eq!(admit(&mut ledger, "a", 60, 100), Admission::Accepted);
     assert_eq!(admit(&mut ledger, "b", 41, 100), Admission::OverQuota);
-    assert_eq!(ledger.standing("b"), JobStanding::Unknown);
+    assert_eq!(ledger.job_status("b"), JobStatus::Unknown);
     assert_eq!(
         ledger.admit("c", "other", 90, 100, NOW),
         Admission::Accepted
     );
-    assert!(ledger.set_waiting("a", 20));
-    assert!(!ledger.set_waiting("a", 30), "waiting tokens never grow");
+    assert!(ledger.lower_unfinished_tokens("a", 20));
+    assert!(
+        !ledger.lower_unfinished_tokens("a", 30),
+        "waiting tokens never grow"
+    );
     assert_eq!(admit(&mut ledger, "b", 41, 100), Admission::Accepted);
     ledger.close("a", NOW);
-    assert_eq!(ledger.waiting_tokens("route"), 41);
+    assert_eq!(ledger.unfinished_tokens("route"), 41);
 }
 
 #[test]
@@ -49,10 +52,10 @@
     admit(&mut ledger, "b", 1, 0);
     ledger.close("a", NOW);
     let keep = Duration::from_secs(60);
-    assert!(!ledger.prune(NOW + Duration::from_secs(59), keep));
-    assert!(ledger.prune(NOW + Duration::from_secs(60), keep));
-    assert_eq!(ledger.standing("a"), JobStanding::Unknown);
-    assert_eq!(ledger.standing("b"), JobStanding::Open);
+    assert!(!ledger.prune_closed(NOW + Duration::from_secs(59), keep));
+    assert!(ledger.prune_closed(NOW + Duration::from_secs(60), keep));
+    assert_eq!(ledger.job_status("a"), JobStatus::Unknown);
+    assert_eq!(ledger.job_status("b"), JobStatus::Open);
 }
 
 #[test]
@@ -127,11 +130,11 @@
             } else if object.replace(revision, &ledger) && u.ratio(4, 5)? {
                 cached[front] = (object.revision, object.ledger.clone());
             }
-            assert!(object.ledger.waiting_tokens("route") <= QUOTA);
+            assert!(object.ledger.unfinished_tokens("route") <= QUOTA);
             for id in &closed {
                 assert_ne!(
-                    object.ledger.standing(id),
-                    JobStanding::Open,
+                    object.ledger.job_status(id),
+                    JobStatus::Open,
                     "{id} is open again"
                 );
             }
@@ -159,26 +162,26 @@
     let mut ledger = Ledger::default();
     assert_eq!(
         ledger.apply(&admit("a")),
-        LedgerAnswer::Admission(Admission::Accepted)
+        LedgerResponse::Admission(Admission::Accepted)
     );
-    let over = LedgerAnswer::Admission(Admission::OverQuota);
+    let over = LedgerResponse::Admission(Admission::OverQuota);
     assert_eq!(ledger.apply(&admit("b")), over);
     let changes = [
-        (admit("a"), LedgerAnswer::Admission(Admission::Repeat)),
+        (admit("a"), LedgerResponse::Admission(Admission::Repeat)),
         (
             LedgerChange::Close {
                 id: "a".to_owned(),
                 now_unix: NOW,
             },
-            LedgerAnswer::Standing(JobStanding::Closed),
+            LedgerResponse::Standing(JobStatus::Closed),
         ),
         (
             LedgerChange::Withdraw { id: "a".to_owned() },
-            LedgerAnswer::Standing(JobStanding::Closed),
+            LedgerResponse::Standing(JobStatus::Closed),
         ),
         (
             LedgerChange::Withdraw { id: "b".to_owned() },
-            LedgerAnswer::Standing(JobStanding::Unknown),
+            LedgerResponse::Standing(JobStatus::Unknown),
         ),
     ];
     for (change, expected) in changes {
@@ -195,7 +198,7 @@
 fn a_dead_keeper_does_not_make_an_acceptance_late() {
     const TARGET: Duration = Duration::from_millis(400);
     const STORE_CALL: Duration = Duration::from_millis(4);
-    assert!(ledger::KEEPER_PATIENCE + 4 * STORE_CALL < TARGET);
+    assert!(ledger::LEDGER_WRITER_TIMEOUT + 4 * STORE_CALL < TARGET);
     // While each call takes 240 ms the keeper is still waited for.
-    assert!(ledger::KEEPER_PATIENCE > Duration::from_millis(250));
+    assert!(ledger::LEDGER_WRITER_TIMEOUT > Duration::from_millis(250));
 }
--- a/crates/foxwheel-policy/tests/ownership.rs
+++ b/crates/foxwheel-policy/tests/ownership.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use foxwheel_policy::batch::ownership::{self, ClaimStanding, JobClaim, Worker};
+use foxwheel_policy::batch::ownership::{self, ClaimStatus, JobClaim, Worker};
 use foxwheel_policy::load_reports;
 
 const JOB: &str = "7c41e09b52d6a3f8";
@@ -13,13 +13,13 @@
     let claim = held_parts.map(|parts| JobClaim {
         job: JOB.to_owned(),
         parts,
-        standing: ClaimStanding::Held,
+        standing: ClaimStatus::Held,
     });
     Worker {
         node: node.to_owned(),
         zone: "hall".to_owned(),
         leaving: false,
-        heard: true,
+        has_current_claims: true,
         claims: claim.into_iter().collect(),
         waiting_items: 0,
     }
@@ -35,7 +35,7 @@
     let now = Instant::now();
     let taking = workers
         .iter()
-        .filter(|worker| ownership::should_take(JOB, &worker.node, &workers, now, now))
+        .filter(|worker| ownership::should_take_over(JOB, &worker.node, &workers, now, now))
         .count();
     assert_eq!(taking, 1);
 }
@@ -49,9 +49,12 @@
     let between_zones =
         load_reports::HEARTBEAT_INTERVAL * load_reports::REPORTS_PER_REMOTE_REPORT as u32;
     let told_and_one_lost = started_at + between_zones * 3;
-    assert!(!ownership::has_heard_all(started_at, told_and_one_lost));
+    assert!(!ownership::has_received_all_heartbeats(
+        started_at,
+        told_and_one_lost
+    ));
     let after = started_at + between_zones * 4;
-    assert!(ownership::has_heard_all(started_at, after));
+    assert!(ownership::has_received_all_heartbeats(started_at, after));
 }
 
 /// A worker gives a job back; the first choice and another see it unheld in ledger reads
@@ -60,7 +63,7 @@
 #[test]
 fn a_second_worker_waits_for_the_first_choices_claim() {
     let workers = idle_workers();
-    let first = ownership::first_choice(JOB, &workers)
+    let first = ownership::preferred_worker(JOB, &workers)
         .expect("none leaves")
         .node
         .clone();
@@ -70,7 +73,7 @@
         .expect("three workers");
     let seen_unheld = Instant::now();
     let next_read = seen_unheld + Duration::from_millis(2_400);
-    assert!(!ownership::should_take(
+    assert!(!ownership::should_take_over(
         JOB,
         &other.node,
         &workers,
@@ -78,7 +81,7 @@
         next_read
     ));
     let later = seen_unheld + Duration::from_secs(4);
-    assert!(ownership::should_take(
+    assert!(ownership::should_take_over(
         JOB,
         &other.node,
         &workers,
@@ -89,17 +92,17 @@
 
 #[test]
 fn a_job_that_any_worker_tells_of_is_not_taken() {
-    for standing in [ClaimStanding::Held, ClaimStanding::Closed] {
+    for status in [ClaimStatus::Held, ClaimStatus::Closed] {
         let mut workers = idle_workers();
         workers[0].claims.push(JobClaim {
             job: JOB.to_owned(),
             parts: 0,
-            standing,
+            standing: status,
         });
         let start = Instant::now();
         let later = start + Duration::from_secs(60);
         for worker in &workers {
-            assert!(!ownership::should_take(
+            assert!(!ownership::should_take_over(
                 JOB,
                 &worker.node,
                 &workers,
@@ -113,7 +116,7 @@
 #[test]
 fn a_leaving_worker_is_no_first_choice_and_gets_no_job_by_yield() {
     let mut workers = idle_workers();
-    let first = ownership::first_choice(JOB, &workers)
+    let first = ownership::preferred_worker(JOB, &workers)
         .expect("none leaves")
         .node
         .clone();
@@ -123,7 +126,7 @@
         .expect("it is one of them");
     workers[at].leaving = true;
     assert_ne!(
-        ownership::first_choice(JOB, &workers)
+        ownership::preferred_worker(JOB, &workers)
             .expect("two stay")
             .node,
         first
@@ -131,9 +134,9 @@
     workers[at].claims.push(JobClaim {
         job: JOB.to_owned(),
         parts: 9,
-        standing: ClaimStanding::Held,
+        standing: ClaimStatus::Held,
     });
-    assert!(!ownership::should_yield(JOB, "other", 0, &workers));
+    assert!(!ownership::should_release(JOB, "other", 0, &workers));
 }
 
 #[test]
@@ -143,9 +146,9 @@
         worker("b", Some(3)),
         worker("c", None),
     ];
-    workers[1].claims[0].standing = ClaimStanding::Closed;
-    assert_eq!(ownership::known_parts(JOB, &workers), 3);
-    assert_eq!(ownership::known_parts("unknown", &workers), 0);
+    workers[1].claims[0].standing = ClaimStatus::Closed;
+    assert_eq!(ownership::known_stored_parts(JOB, &workers), 3);
+    assert_eq!(ownership::known_stored_parts("unknown", &workers), 0);
 }
 
 /// Two workers run one job and hear old claims of each other. In any order and age of the
@@ -163,11 +166,11 @@
             worker.claims[0].job.clone_from(&job);
             worker
         };
-        let a_yields = ownership::should_yield(&job, "a", parts_a, &[claim("b", heard_b)]);
-        let b_yields = ownership::should_yield(&job, "b", parts_b, &[claim("a", heard_a)]);
+        let a_yields = ownership::should_release(&job, "a", parts_a, &[claim("b", heard_b)]);
+        let b_yields = ownership::should_release(&job, "b", parts_b, &[claim("a", heard_a)]);
         assert!(!(a_yields && b_yields));
-        let a_yields = ownership::should_yield(&job, "a", parts_a, &[claim("b", parts_b)]);
-        let b_yields = ownership::should_yield(&job, "b", parts_b, &[claim("a", parts_a)]);
+        let a_yields = ownership::should_release(&job, "a", parts_a, &[claim("b", parts_b)]);
+        let b_yields = ownership::should_release(&job, "b", parts_b, &[claim("a", parts_a)]);
         assert!(a_yields != b_yields);
         Ok(())
     });
@@ -181,20 +184,20 @@
     workers[2].zone = "far".to_owned();
     for server in 0..20 {
         let id = format!("server-{server}");
-        let keeper = ownership::slot_keeper(&id, "hall", &workers).expect("one keeps it");
+        let keeper = ownership::slot_manager(&id, "hall", &workers).expect("one keeps it");
         assert_eq!(keeper.zone, "hall");
-        let far = ownership::slot_keeper(&id, "far", &workers).expect("one keeps it");
+        let far = ownership::slot_manager(&id, "far", &workers).expect("one keeps it");
         assert_eq!(far.node, "c");
-        let none = ownership::slot_keeper(&id, "elsewhere", &workers);
+        let none = ownership::slot_manager(&id, "elsewhere", &workers);
         assert!(none.is_some(), "a zone without a worker");
     }
     workers[2].leaving = true;
-    let keeper = ownership::slot_keeper("server-0", "far", &workers).expect("one keeps it");
+    let keeper = ownership::slot_manager("server-0", "far", &workers).expect("one keeps it");
     assert_ne!(keeper.node, "c");
     let kept = |node: &str| {
         let ids = (0..200).map(|server| format!("server-{server}"));
         ids.filter(|id| {
-            ownership::slot_keeper(id, "hall", &workers).is_some_and(|w| w.node == node)
+            ownership::slot_manager(id, "hall", &workers).is_some_and(|w| w.node == node)
         })
         .count()
     };
@@ -214,7 +217,7 @@
     }
     workers[0].waiting_items = 12;
     let keeper = |zone, workers: &[Worker]| {
-        ownership::slot_keeper("server-0", zone, workers).map(|worker| worker.node.clone())
+        ownership::slot_manager("server-0", zone, workers).map(|worker| worker.node.clone())
     };
     for zone in ["hall", "far", "areal"] {
         assert_eq!(keeper(zone, &workers).as_deref(), Some("a"), "{zone}");
@@ -225,11 +228,11 @@
     assert_eq!(keeper("hall", &workers).as_deref(), Some("a"));
     // Of a worker that is not heard it is not known what waits.
     workers[1].waiting_items = 0;
-    workers[1].heard = false;
+    workers[1].has_current_claims = false;
     assert_eq!(keeper("far", &workers).as_deref(), Some("b"));
     // A worker that leaves keeps nothing.
     workers[0].leaving = true;
-    workers[1].heard = true;
+    workers[1].has_current_claims = true;
     assert_ne!(keeper("hall", &workers).as_deref(), Some("a"));
 }
 
@@ -238,12 +241,12 @@
 #[test]
 fn jobs_of_a_worker_that_only_others_hear_are_left_to_it() {
     let mut workers = idle_workers();
-    let first = ownership::first_choice(JOB, &workers)
+    let first = ownership::preferred_worker(JOB, &workers)
         .expect("none leaves")
         .node
         .clone();
     for worker in &mut workers {
-        worker.heard = worker.node != first;
+        worker.has_current_claims = worker.node != first;
     }
     let other = workers
         .iter()
@@ -251,7 +254,7 @@
         .expect("three workers");
     let unheld = Instant::now();
     let in_the_cut = unheld + Duration::from_secs(5);
-    assert!(!ownership::should_take(
+    assert!(!ownership::should_take_over(
         JOB,
         &other.node,
         &workers,
@@ -259,7 +262,7 @@
         in_the_cut
     ));
     let much_later = unheld + Duration::from_secs(10);
-    assert!(ownership::should_take(
+    assert!(ownership::should_take_over(
         JOB,
         &other.node,
         &workers,
--- a/crates/foxwheel-policy/tests/schedule.rs
+++ b/crates/foxwheel-policy/tests/schedule.rs
@@ -29,7 +29,7 @@
                 job: item / 10,
                 item: item % 10,
                 due_unix: now + DUE,
-                remaining: RUN,
+                remaining_run_time: RUN,
             });
         }
         submitted = due;
@@ -51,7 +51,7 @@
 #[test]
 fn an_overload_makes_some_items_late_and_not_all() {
     let by_submission = play(|items, _| items.sort_by_key(|item| (item.due_unix, item.item)));
-    let scheduled = play(schedule::sort);
+    let scheduled = play(schedule::sort_waiting_items);
     // 34 s of submissions and 13 s behind them, at 6 a second.
     assert!(
         scheduled.0 >= by_submission.0 + 50,
@@ -67,7 +67,7 @@
         job,
         item: 0,
         due_unix: Duration::from_secs(due_s),
-        remaining: Duration::from_secs(remaining_s),
+        remaining_run_time: Duration::from_secs(remaining_s),
     };
     let mut items = [
         item(0, 99, 1),
@@ -76,7 +76,7 @@
         item(3, 104, 2),
         item(4, 110, 4),
     ];
-    schedule::sort(&mut items, now_unix);
+    schedule::sort_waiting_items(&mut items, now_unix);
     let order: Vec<usize> = items.iter().map(|item| item.job).collect();
     assert_eq!(order, [3, 4, 1, 0, 2]);
 }
@@ -84,20 +84,20 @@
 #[test]
 fn the_estimate_follows_the_runs_and_is_zero_before_the_first() {
     let mut estimate = RunEstimate::default();
-    assert_eq!(estimate.remaining(0), Duration::ZERO);
+    assert_eq!(estimate.remaining_run_time(0), Duration::ZERO);
     for _ in 0..60 {
-        estimate.note_run(100, Duration::from_secs(4));
-        estimate.note_whole(150);
+        estimate.record_run(100, Duration::from_secs(4));
+        estimate.record_full_output(150);
     }
-    assert_eq!(estimate.remaining(0).as_millis(), 6_000);
-    assert_eq!(estimate.remaining(50).as_millis(), 4_000);
-    assert_eq!(estimate.remaining(200), Duration::ZERO);
+    assert_eq!(estimate.remaining_run_time(0).as_millis(), 6_000);
+    assert_eq!(estimate.remaining_run_time(50).as_millis(), 4_000);
+    assert_eq!(estimate.remaining_run_time(200), Duration::ZERO);
     for _ in 0..60 {
-        estimate.note_run(100, Duration::from_secs(8));
+        estimate.record_run(100, Duration::from_secs(8));
     }
-    let slower = estimate.remaining(0).as_millis();
+    let slower = estimate.remaining_run_time(0).as_millis();
     assert!((11_800..12_000).contains(&slower), "{slower}");
     // Too few events tell of the prompt, not of the steps.
-    estimate.note_run(2, Duration::from_secs(60));
-    assert_eq!(estimate.remaining(0).as_millis(), slower);
+    estimate.record_run(2, Duration::from_secs(60));
+    assert_eq!(estimate.remaining_run_time(0).as_millis(), slower);
 }
--- a/crates/foxwheel-service-emu/src/lib.rs
+++ b/crates/foxwheel-service-emu/src/lib.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use tokio_util::sync::CancellationToken;
 
-use foxwheel_core::http::{self, ServerShape};
+use foxwheel_core::http::{self, ServerOptions};
 use foxwheel_core::protocol::IDEMPOTENCY_KEY_HEADER;
 use foxwheel_core::settings::{Check, Problems};
 
@@ -38,8 +38,8 @@
 
 impl Check for ServiceSettings {
     fn check(&self, problems: &mut Problems) {
-        problems.non_empty("listen_addr", &self.listen_addr);
-        problems.non_empty("service", &self.service);
+        problems.require_non_empty("listen_addr", &self.listen_addr);
+        problems.require_non_empty("service", &self.service);
     }
 }
 
@@ -121,9 +121,9 @@
         delay: Duration::from_millis(settings.delay_ms),
         executions: Mutex::default(),
     }));
-    let shape = ServerShape {
+    let shape = ServerOptions {
         shutdown_timeout: Duration::from_secs(10),
-        ..ServerShape::default()
+        ..ServerOptions::default()
     };
     http::serve(&settings.listen_addr, shape, cancel, move || {
         actix_web::App::new()
--- a/crates/foxwheel-soak/src/main.rs
+++ b/crates/foxwheel-soak/src/main.rs
@@ -40,7 +40,7 @@
 
 /// Runs what was asked for, unless it is told to stop: the processes it started end with it.
 async fn until_told_to_stop(options: &Options) -> Result<bool, SoakError> {
-    let told = shutdown::on_signal();
+    let told = shutdown::cancel_on_signal();
     tokio::select! {
         kept = soak(options) => kept,
         () = told.cancelled() => Err(SoakError::ToldToStop),
--- a/crates/foxwheel-store/src/client.rs
+++ b/crates/foxwheel-store/src/client.rs
@@ -106,7 +106,7 @@
     /// Reads one object.
     pub async fn get(&self, key: &str) -> Result<api::Object, StoreError> {
         const STEP: &str = "get";
-        let (kind, name) = keys::locate(key);
+        let (kind, name) = keys::kind_and_name(key);
         let got = self.store(STEP)?.get(&kind, &name).await;
         let found = got.map_err(|e| self.error(STEP, e))?;
         found
@@ -139,7 +139,7 @@
     ) -> Result<api::Object, StoreError> {
         const STEP: &str = "put";
         let value = serde_json::to_value(value).map_err(|e| self.decode_error(STEP, &e))?;
-        let (kind, name) = keys::locate(key);
+        let (kind, name) = keys::kind_and_name(key);
         let spec = value.to_string();
         let create = Write::Create {
             kind: kind.clone(),
@@ -182,7 +182,7 @@
 
     /// Deletes an object; with `if_version` only if it is at that version.
     pub async fn delete(&self, key: &str, if_version: Option<Version>) -> Result<(), StoreError> {
-        let (kind, name) = keys::locate(key);
+        let (kind, name) = keys::kind_and_name(key);
         let delete = Write::Delete {
             kind,
             name,
@@ -206,7 +206,7 @@
         Ok(api::ListResponse {
             objects: objects
                 .filter(|object| object.name.starts_with(&names))
-                .map(|object| object_at(keys::key_of(&kind, &object.name), object))
+                .map(|object| object_at(keys::join_key(&kind, &object.name), object))
                 .collect(),
             revision: listing.revision,
         })
@@ -229,7 +229,7 @@
                 let events = changes
                     .filter(|change| change.object.name.starts_with(&names))
                     .map(|change| api::Event {
-                        key: keys::key_of(&kind, &change.object.name),
+                        key: keys::join_key(&kind, &change.object.name),
                         version: change.object.revision,
                         value: (!change.removed).then_some(change.object.spec),
                     });
@@ -282,7 +282,7 @@
     }
 
     fn kind_of(&self, step: &'static str, prefix: &str) -> Result<(String, String), StoreError> {
-        keys::locate_prefix(prefix)
+        keys::kind_and_name_prefix(prefix)
             .ok_or_else(|| self.unavailable(step, format!("'{prefix}' spans several kinds")))
     }
 
