--- a/crates/foxwheel-policy/src/backend_server.rs
+++ b/crates/foxwheel-policy/src/backend_server.rs
@@ -1,16 +1,17 @@
-//! What is known of a backend server from its entry in the platform's list.
+//! Backend servers as they are described by their entries in the platform's server list.
 
 use std::net::SocketAddr;
 
 use foxwheel_core::ids::{Incarnation, ServerId, ServiceName, Zone};
 use serde::{Deserialize, Serialize};
 
-/// One start of a backend server. Loads, failures and connections belong to it.
+/// One instance of a backend server: a server that restarts is a new instance under the same
+/// id. Loads, failures and connections are tracked per instance.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerInstance {
     /// The server's id.
     pub id: ServerId,
-    /// Tells its starts apart.
+    /// Distinguishes the instances that have this id.
     pub incarnation: Incarnation,
 }
 
@@ -20,36 +21,36 @@
     }
 }
 
-/// What a backend server says of itself.
+/// The state that a backend server reports for itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerState {
-    /// Takes new work.
+    /// The server accepts new work.
     Ready,
-    /// Is leaving: takes no new work.
+    /// The server is shutting down and accepts no new work.
     Draining,
 }
 
-/// One backend server as the platform lists it.
+/// The entry of one backend server in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendServer {
-    /// Its id, which a later start may have too.
+    /// The server's id; later instances may have the same one.
     pub id: ServerId,
-    /// Tells starts under one id apart.
+    /// Distinguishes the instances that have this id.
     pub incarnation: Incarnation,
-    /// The service it belongs to.
+    /// The service that the server belongs to.
     pub service: ServiceName,
-    /// Where it listens; may be reused by another service's server later.
+    /// Listening address; a server of another service may use it later.
     pub addr: SocketAddr,
-    /// Its availability zone.
+    /// The server's availability zone.
     pub zone: Zone,
-    /// Requests it processes at once.
+    /// Number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the server accepts new work.
     pub state: ServerState,
 }
 
 impl BackendServer {
-    /// The start that the entry tells of.
+    /// Returns the instance that the entry describes.
     pub fn instance(&self) -> ServerInstance {
         ServerInstance {
             id: self.id.clone(),
--- a/crates/foxwheel-policy/src/health.rs
+++ b/crates/foxwheel-policy/src/health.rs
@@ -1,49 +1,52 @@
-//! What a server's last answers say of it.
+//! The failure rate of a backend server, estimated from its recent responses.
 //!
-//! Load pattern: a server fails part of its requests while it looks healthy, or loses an
-//! answer now and then. Avoiding it for each failure takes a large share of a fleet out of
-//! use at once and overloads the rest; not avoiding it at all loses requests that run once.
+//! Load pattern: a server fails part of its requests while it looks healthy, or loses a
+//! response now and then. Avoiding a server after every single failure takes a large share of
+//! a fleet out of use at once and overloads the rest; never avoiding it loses requests that
+//! may run only once.
 
 use std::time::{Duration, Instant};
 
-/// Time after which an outcome counts a third: as long as a server's trouble was seen to
-/// last, about, so that a server that is avoided is tried again soon.
-const FORGET: Duration = Duration::from_secs(3);
+/// Time after which the weight of an outcome has decayed to about a third (1/e). It matches how
+/// long a server's failures usually last, so that an avoided server is tried again soon after.
+const DECAY_TIME: Duration = Duration::from_secs(3);
 
-/// Served requests that every server is taken to have: one failure alone says little.
-const BENEFIT: f64 = 4.0;
+/// Successful requests assumed for every server, because one failure alone says little.
+const ASSUMED_SUCCESSES: f64 = 4.0;
 
-/// Requests served and failed by one server, the newest counting most.
+/// The decayed counts of successful and failed requests of one server.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OutcomeHistory {
     served: f64,
     failed: f64,
-    /// When both were last brought up to date.
-    at: Option<Instant>,
+    /// The time up to which both counts have been decayed.
+    updated_at: Option<Instant>,
 }
 
 impl OutcomeHistory {
-    /// Takes note of a request that the server served, or failed.
+    /// Records a request that the server failed, or served if `failed` is false.
     pub fn record(&mut self, failed: bool, now: Instant) {
-        let kept = self.kept(now);
-        self.served *= kept;
-        self.failed *= kept;
-        self.at = Some(now);
+        let decay = self.decay_factor(now);
+        self.served *= decay;
+        self.failed *= decay;
+        self.updated_at = Some(now);
         match failed {
             true => self.failed += 1.0,
             false => self.served += 1.0,
         }
     }
 
-    /// The share of requests that it is expected to fail now.
+    /// Returns the expected share of failing requests at `now`, from 0 to 1.
     pub fn failure_rate(&self, now: Instant) -> f64 {
-        let kept = self.kept(now);
-        let failed = self.failed * kept;
-        failed / (failed + self.served * kept + BENEFIT)
+        let decay = self.decay_factor(now);
+        let failed = self.failed * decay;
+        failed / (failed + self.served * decay + ASSUMED_SUCCESSES)
     }
 
-    fn kept(&self, now: Instant) -> f64 {
-        let age = self.at.map(|at| now.saturating_duration_since(at));
-        age.map_or(1.0, |age| (-age.as_secs_f64() / FORGET.as_secs_f64()).exp())
+    fn decay_factor(&self, now: Instant) -> f64 {
+        let age = self.updated_at.map(|at| now.saturating_duration_since(at));
+        age.map_or(1.0, |age| {
+            (-age.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp()
+        })
     }
 }
--- a/crates/foxwheel-policy/src/lib.rs
+++ b/crates/foxwheel-policy/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions of the serving path, apart from input and output.
+//! Scheduling, retry and membership decisions of the serving path, without input or output.
 //!
-//! Every function takes the time and its inputs as arguments and touches no socket, so a
-//! test can replay any order of events. The runtime (`foxwheel-node`) feeds them.
+//! Every function takes the current time and its inputs as arguments and opens no socket, so a
+//! test can replay any order of events. The runtime (`foxwheel-node`) supplies the inputs.
 
 pub mod admission;
 pub mod backend_server;
--- a/crates/foxwheel-policy/src/watcher_selection.rs
+++ b/crates/foxwheel-policy/src/watcher_selection.rs
@@ -1,52 +1,55 @@
-//! Which processes follow the platform's store themselves, and which take its changes from a
-//! process of their zone that does.
+//! Selection of the processes that watch the platform's store; the other processes of a zone
+//! receive store changes from a watcher.
 //!
-//! Load pattern: each change of a server or of the configuration wakes every watcher, and each
-//! watch is a call. With 63 processes that all watch, a calm day of 60 s cost 3,555 calls. So
-//! the two speakers of a zone follow, and the others ask them as soon as a heartbeat tells of
-//! something newer. Whoever is told nothing follows by itself.
+//! Load pattern: each change of a server or of the configuration completes the pending watch of
+//! every watcher, and each watch is one store call. With 63 processes that all watch, an idle
+//! period of 60 s cost 3,555 calls. So only the two representatives of a zone watch, and the
+//! others fetch changes from them as soon as a heartbeat announces something newer. A process
+//! that receives nothing from any watcher watches the store itself.
 
 use std::time::Duration;
 
-/// Age of what a process was told at which it asks the store itself. Longer than it takes until
-/// another speaker is named and has asked (0.6 s), so that the end of a follower does not make
-/// every process of the zone ask; half of the shortest bound for a change met so far (2 s).
+/// Age of the last confirmed state at which a process contacts the store itself. It is longer
+/// than the time until another representative is selected and has called the store (0.6 s), so
+/// that the loss of one watcher does not send every process of the zone to the store, and half
+/// of the shortest bound for applying a change (2 s).
 pub const MAX_SYNC_AGE: Duration = Duration::from_millis(1_000);
 
-/// How often a process that does not follow looks whether it should.
+/// How often a process that does not watch checks whether it should.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a process goes on following after no other names it any more: speakers change
-/// for a moment when a heartbeat is late, and taking up again costs a list of each kind.
+/// How long a process keeps watching after its last selection by another process.
+/// Representatives change for a moment when a heartbeat is late, and starting to watch again
+/// costs one list call for each kind of object.
 pub const STOP_WATCHING_DELAY: Duration = Duration::from_secs(1);
 
-/// How often a follower on whom others rely makes sure that the store answers it. A watch
-/// waits for many seconds, and a silent path shows itself only after 2 s or more. Others count
-/// the age of what it told from the last answer, so with the answer of a slow store (0.3 s)
-/// and a heartbeat this stays below [`MAX_SYNC_AGE`].
+/// How often a watcher with subscribers probes the store. A watch blocks for many seconds, and
+/// a broken path is detected only after 2 s or more. Subscribers measure the age of their state
+/// from the watcher's last response from the store; together with the response of a slow store
+/// (0.3 s) and one heartbeat, that age stays below [`MAX_SYNC_AGE`].
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Longest wait for the answer to such a probe: the store takes milliseconds, and some 250
+/// Timeout of such a probe: the store responds within milliseconds, and within about 250 ms
 /// when it is slow.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a process knows of who follows the store.
+/// What a process knows about the store watchers of its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchState {
-    /// It takes itself as one of the zone's speakers.
+    /// The process selects itself as a representative of the zone.
     pub selects_itself: bool,
-    /// How long ago another process of the zone last named it as a speaker.
+    /// Time since another process of the zone last selected this one as a representative.
     pub selected_by_peer_ago: Option<Duration>,
-    /// How long ago the store last answered a process that follows it, as far as that process
-    /// told of nothing that is not known here.
+    /// Time since the last response of the store to a watcher that announces no state newer
+    /// than this process has.
     pub synced_ago: Option<Duration>,
 }
 
-/// Whether a process follows the store itself.
-pub fn should_watch_store(standing: WatchState) -> bool {
-    let relied_on = standing
+/// Returns whether a process should watch the store itself.
+pub fn should_watch_store(state: WatchState) -> bool {
+    let selected = state
         .selected_by_peer_ago
         .is_some_and(|ago| ago < STOP_WATCHING_DELAY);
-    let told = standing.synced_ago.is_some_and(|ago| ago < MAX_SYNC_AGE);
-    standing.selects_itself || relied_on || !told
+    let synced = state.synced_ago.is_some_and(|ago| ago < MAX_SYNC_AGE);
+    state.selects_itself || selected || !synced
 }
