--- a/crates/foxwheel-policy/src/load_reports.rs
+++ b/crates/foxwheel-policy/src/load_reports.rs
@@ -1,97 +1,106 @@
-//! When a process tells the others of its load.
+//! When a process reports its load to the other processes.
 //!
-//! Load pattern: steps of traffic near what a zone's servers carry, spread over several fronts
-//! that choose servers by each other's load. Fronts that hear of each other every 25 ms send a
-//! tenth of the requests to servers that others have just filled. So each change is told at
-//! once to those who choose among the same servers, and a whole report now and then makes
-//! good what was lost on the way.
+//! Load pattern: steps of traffic close to the capacity of a zone, spread over several fronts
+//! that choose servers by each other's load. Fronts that exchange loads only every 25 ms send a
+//! tenth of the requests to servers that others have just filled. So each change is reported
+//! immediately to the processes that choose among the same servers, and periodic full reports
+//! make up for lost datagrams.
 
 use std::time::{Duration, Instant};
 
-/// Time between whole reports within a zone.
+/// Interval between full reports within a zone.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Silence after which a process counts as dead: five heartbeats between workers of different
-/// zones, so that a lost datagram or two changes nothing.
+/// Time without a report after which a process counts as dead: five heartbeats between workers
+/// of different zones, so that one or two lost datagrams have no effect.
 pub const DEAD_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// Reports within the zone for each one between workers of different zones, whose bytes are
-/// priced: every 300 ms.
+/// Number of reports within the zone per report between workers of different zones, where
+/// traffic is charged by the byte: one every 300 ms.
 pub const REPORTS_PER_REMOTE_REPORT: u64 = 3;
 
-/// Processes of the zone that are all told by each report. In a larger zone only the speakers
-/// and those who named this process as one are; the others with every third report, as changes
-/// of load reach them at once all the same: with 50 processes a zone, whole reports to all of
-/// them took half of the bytes that a front sent.
+/// Largest number of processes in the zone to which every report is sent. In a larger zone,
+/// every report goes only to the representatives and to those that selected this process as
+/// one. The others get every third report, because load changes still reach them immediately:
+/// with 50 processes in a zone, full reports to all of them were half of the bytes that a front
+/// sent.
 pub const MAX_FULL_RATE_RECIPIENTS: usize = 8;
 
-/// Reports to the speakers for each one to all processes of a larger zone: every 300 ms.
+/// Number of reports to the representatives per report to all processes of a larger zone: one
+/// every 300 ms.
 pub const REPORTS_PER_ZONE_WIDE_REPORT: u64 = 3;
 
-/// Whether the report of that number goes to all processes of the zone, of which there are
+/// Returns whether report `number` goes to all processes of the zone, of which there are
 /// `recipients`.
 pub fn is_zone_wide(number: u64, recipients: usize) -> bool {
     recipients <= MAX_FULL_RATE_RECIPIENTS || number % REPORTS_PER_ZONE_WIDE_REPORT == 1
 }
 
-/// Reports within the zone for each summary that a zone's speaker sends to other zones: every
-/// 200 ms. It is then passed on with the next report, so views of other zones are as old as if
-/// each process told each every 300 ms.
+/// Number of reports within the zone per load summary that the primary representative sends to
+/// other zones: one every 200 ms. The receiving zone distributes it with its next report, so
+/// that the view of another zone is as old as if every process reported to every other one every
+/// 300 ms.
 pub const REPORTS_PER_SUMMARY: u64 = 2;
 
-/// The same for the zone's second speaker, whose summaries arrive where the path from the first
-/// one is cut: every 600 ms, well within the time after which a zone counts as silent.
+/// The same for the secondary representative, whose summaries arrive while the path from the
+/// primary is cut: one every 600 ms, well within the time after which a zone counts as silent.
 pub const REPORTS_PER_SECONDARY_SUMMARY: u64 = 6;
 
-/// How long a zone's first speaker may pass on nothing of another zone before the second one
-/// passes on what it heard of it.
+/// How long the primary representative may relay no summary of another zone before the secondary
+/// relays the ones it received.
 pub const SECONDARY_RELAY_DELAY: Duration = Duration::from_millis(500);
 
-/// Least time between two reports of a process's load to another zone at whose servers it has
-/// requests: as within the zone, since those who choose there count them in the same way.
+/// Minimum interval between two reports of a process to another zone at whose servers it has
+/// requests. It is the same as within the zone, because the processes there use these loads in
+/// the same way to choose servers.
 pub const MIN_CROSS_ZONE_LOADS_INTERVAL: Duration = MIN_CHANGES_INTERVAL;
 
-/// Least time between two reports of changes; what changes meanwhile is told together. Below
-/// it fronts hardly gain: views of 5 ms and of 1 ms differ by 1 in 100 requests in time
-/// (`foxwheel-load model`), and at 1,600 requests a second it halves the datagrams.
+/// Minimum interval between two reports of load changes; changes in between are combined into
+/// one report. A shorter interval gains fronts almost nothing: between views that are 5 ms and
+/// 1 ms old, 1 in 100 requests more is in time (`foxwheel-load model`), and at 1,600 requests
+/// per second this interval halves the number of datagrams.
 pub const MIN_CHANGES_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Bytes of a report up to which the times above hold: one packet on the usual path. A larger
-/// one is sent as many times more rarely, so that the bytes a second stay bounded.
-const USUAL_BYTES: usize = 1_400;
+/// Size of a report up to which the intervals above apply: one packet on the usual path. Larger
+/// reports are sent proportionally less often, which bounds the bytes per second.
+const PACKET_BYTES: usize = 1_400;
 
-/// The least time until the next whole report after one of `bytes`.
+/// Returns the minimum delay of the next full report after one of `bytes` bytes.
 pub fn min_delay_after(bytes: usize) -> Duration {
-    let packets = bytes.div_ceil(USUAL_BYTES).max(1) as u32;
+    let packets = bytes.div_ceil(PACKET_BYTES).max(1) as u32;
     HEARTBEAT_INTERVAL * (packets - 1)
 }
 
-/// When changes of load are told.
+/// Limits the rate of load change reports.
 #[derive(Debug, Clone, Copy)]
 pub struct ReportTimer {
-    gap: Duration,
-    /// Earliest time of the next report of changes; none before the first.
+    min_interval: Duration,
+    /// Earliest time of the next report; `None` before the first one.
     next_at: Option<Instant>,
 }
 
 impl ReportTimer {
-    /// A clock for reports that are at least `gap` apart; the first one is due.
-    pub fn new(gap: Duration) -> Self {
-        Self { gap, next_at: None }
+    /// Creates a timer for reports that are at least `min_interval` apart. The first report is
+    /// due immediately.
+    pub fn new(min_interval: Duration) -> Self {
+        Self {
+            min_interval,
+            next_at: None,
+        }
     }
 
-    /// When changes may be told; none if at once.
+    /// Returns the earliest time of the next report, or `None` if none was sent yet.
     pub fn next_at(&self) -> Option<Instant> {
         self.next_at
     }
 
-    /// Whether changes may be told now.
+    /// Returns whether a report may be sent at `now`.
     pub fn is_due(&self, now: Instant) -> bool {
         self.next_at.is_none_or(|at| at <= now)
     }
 
-    /// Takes note that changes were told.
+    /// Records that a report was sent at `now`.
     pub fn record_report(&mut self, now: Instant) {
-        self.next_at = Some(now + self.gap);
+        self.next_at = Some(now + self.min_interval);
     }
 }
--- a/crates/foxwheel-policy/src/retry.rs
+++ b/crates/foxwheel-policy/src/retry.rs
@@ -1,102 +1,103 @@
-//! What follows a failed attempt at a backend server.
+//! What to do with a request after a failed attempt at a backend server.
 //!
-//! Load pattern: servers crash, reject and lose answers in the middle of requests. What
-//! is known to have run decides whether a request may go on elsewhere, and what its
-//! caller may be promised.
+//! Load pattern: servers crash, reject requests and lose responses. Whether the request is known
+//! to have run decides whether it may be sent to another server, and what its caller may be
+//! told.
 
-/// What became of one attempt at one backend server.
+/// The outcome of one attempt at one backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Nothing was sent: no connection, or it closed before the first byte.
+    /// Nothing was sent: the connection failed, or it closed before the first byte was written.
     NotSent,
-    /// The server that was asked is gone for certain, and nothing ran.
+    /// The chosen server instance no longer exists, so nothing ran.
     Gone,
-    /// The server says that it did not run the request.
+    /// The server responded that it did not run the request.
     Rejected,
-    /// The server ran the request and answered with a failure of its own.
+    /// The server ran the request and responded with an error of its own.
     Failed,
-    /// Sent, and no whole answer that belongs to the request: it may have run.
+    /// The request was sent, and no complete response that belongs to it was received; it may
+    /// have run.
     Unknown,
 }
 
 /// What to do next with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Try another backend server.
+    /// Send the request to another backend server.
     TryAnother,
-    /// Pass the server's own failure on.
+    /// Forward the server's own error response.
     PassOn,
-    /// Answer that it was not run, with a time to come back.
+    /// Respond that the request was not run, with a retry time.
     RefuseNotRun,
-    /// Answer a failure that promises nothing.
+    /// Respond with an error that leaves open whether the request ran.
     FailUnknown,
 }
 
-/// Attempts at servers that turned out not to run the request, beyond the route's own
-/// count of runs: bounds the work spent on one request when all servers are full.
-const MAX_UNRUN_ATTEMPTS: u32 = 4;
+/// Maximum number of attempts that did not run the request, independent of the route's limit of
+/// runs. It bounds the work spent on one request when all servers are full.
+const MAX_NOT_RUN_ATTEMPTS: u32 = 4;
 
-/// Attempts that met another server at the address of the one that was asked. Each takes a
-/// listed server out of use, so they end soon by themselves; a fleet of which half started
-/// again behind a cut has some tens.
-const MAX_GONE_ATTEMPTS: u32 = 64;
+/// Maximum number of attempts that found another server at the address of the chosen one. Each
+/// such attempt takes a dead instance out of use, so that they soon end by themselves; a fleet
+/// of which half restarted behind a network partition has some tens of them.
+const MAX_DEAD_INSTANCE_ATTEMPTS: u32 = 64;
 
 /// The attempts made so far for one request.
 #[derive(Debug, Clone, Copy)]
 pub struct Attempts {
     /// Whether the request may run more than once.
     repeatable: bool,
-    /// Most runs the route allows; at least 1.
+    /// Maximum number of runs that the route allows; at least 1.
     max_runs: u32,
-    /// Attempts that ran or may have run; never above `max_runs`.
+    /// Attempts that ran or may have run; at most `max_runs`.
     possible_runs: u32,
-    /// Attempts known not to have run, without those that met another server.
-    unrun: u32,
-    /// Attempts that met another server at the address.
-    gone: u32,
+    /// Attempts known not to have run, except those that found another server at the address.
+    not_run: u32,
+    /// Attempts that found another server at the address.
+    dead_instance: u32,
 }
 
 impl Attempts {
-    /// No attempt yet.
+    /// Creates the record of a request without attempts. `max_runs` counts as 1 if it is 0.
     pub fn new(repeatable: bool, max_runs: u32) -> Self {
         Self {
             repeatable,
             max_runs: max_runs.max(1),
             possible_runs: 0,
-            unrun: 0,
-            gone: 0,
+            not_run: 0,
+            dead_instance: 0,
         }
     }
 
-    /// Whether the request may have run.
+    /// Returns whether the request may have run.
     pub fn may_have_run(&self) -> bool {
         self.possible_runs > 0
     }
 
-    /// Attempts so far.
+    /// Returns the number of attempts made so far.
     pub fn count(&self) -> u32 {
-        self.possible_runs + self.unrun + self.gone
+        self.possible_runs + self.not_run + self.dead_instance
     }
 
-    /// Whether one more run is allowed after a possible run.
+    /// Returns whether the request may run again after it has possibly run.
     pub fn may_run_again(&self) -> bool {
         self.repeatable && self.possible_runs < self.max_runs
     }
 
-    /// Records an attempt and decides what follows.
+    /// Records the outcome of an attempt and returns what to do next.
     pub fn record(&mut self, outcome: AttemptOutcome) -> NextStep {
         match outcome {
             AttemptOutcome::Gone => {
-                self.gone += 1;
-                if self.gone < MAX_GONE_ATTEMPTS {
+                self.dead_instance += 1;
+                if self.dead_instance < MAX_DEAD_INSTANCE_ATTEMPTS {
                     NextStep::TryAnother
                 } else {
                     self.give_up()
                 }
             }
             AttemptOutcome::NotSent | AttemptOutcome::Rejected => {
-                self.unrun += 1;
-                if self.unrun < MAX_UNRUN_ATTEMPTS {
+                self.not_run += 1;
+                if self.not_run < MAX_NOT_RUN_ATTEMPTS {
                     NextStep::TryAnother
                 } else {
                     self.give_up()
@@ -115,7 +116,8 @@
         }
     }
 
-    /// The answer when no further attempt is possible: "not run" only when that is sure.
+    /// Returns the final response when no further attempt is possible: "not run" only when that
+    /// is certain.
     pub fn give_up(&self) -> NextStep {
         if self.may_have_run() {
             NextStep::FailUnknown
--- a/crates/foxwheel-policy/src/routes.rs
+++ b/crates/foxwheel-policy/src/routes.rs
@@ -1,64 +1,65 @@
-//! The operator's configuration and the choice of a route and service for a request.
+//! The operator's configuration, and the selection of a route and a service for a request.
 
 use std::time::Duration;
 
 use foxwheel_core::ids::ServiceName;
 use serde::{Deserialize, Serialize};
 
-/// A whole configuration as the operator put it in force.
+/// A complete configuration as published by the operator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// Grows with each change, in uneven steps.
+    /// Increases with each change, not necessarily by one.
     pub version: u64,
     /// Routes in the operator's order.
     pub routes: Vec<Route>,
-    /// Services that routes name.
+    /// The services that routes refer to.
     pub services: Vec<Service>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: CallerLimits,
 }
 
-/// How the requests of a route may be repeated.
+/// Whether the requests of a route may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// May run any number of times.
+    /// A request may run any number of times.
     Idempotent,
-    /// Runs at most once for each request id.
+    /// A request runs at most once per request id.
     NonIdempotent,
-    /// Answered by a series of events; runs at most once unless the route is resumable.
+    /// The response is a stream of events. A request runs at most once unless the route is
+    /// resumable.
     Stream,
-    /// Takes batch jobs whose items run later.
+    /// The route accepts batch jobs, whose items run later.
     Batch,
 }
 
-/// One route: the requests it matches and how they are served.
+/// A route: which requests it matches and how they are served.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// The operator's name of the route.
+    /// The name given by the operator.
     pub name: String,
-    /// Host header it matches, in lower case and without a port.
+    /// Host header that the route matches, in lower case and without a port.
     pub host: String,
-    /// Path prefix it matches; begins and ends with a slash.
+    /// Path prefix that the route matches; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may run more than once.
     pub kind: RouteKind,
-    /// Longest time a caller is kept waiting for its answer.
+    /// Maximum time that a caller waits for the response.
     pub timeout: Duration,
-    /// Time within which an answer is on time.
+    /// Latency up to which a response counts as on time.
     pub target_latency: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// Services and their weights; never empty.
+    /// Services that the requests are split among, with their weights; never empty.
     pub targets: Vec<WeightedService>,
-    /// Most backend servers on which one request may run; at least 1.
+    /// Maximum number of backend servers on which one request may run; at least 1.
     pub max_attempts: u32,
-    /// Whether a stream may go on at another backend server.
+    /// Whether an interrupted stream may be resumed at another backend server.
     pub resumable: bool,
-    /// Batch only: time from the first submission until all results are due.
+    /// Batch only: time after the first submission at which all results are due.
     pub completion_target: Duration,
-    /// Batch only: time from the first submission after which an item may be given up.
+    /// Batch only: time after the first submission from which on an item may be given up.
     pub retention: Duration,
-    /// Batch only: most tokens that may wait on the route; 0 is no limit.
+    /// Batch only: maximum number of tokens waiting on the route; 0 means no limit.
     pub quota_tokens: u64,
 }
 
@@ -67,36 +68,36 @@
 pub struct WeightedService {
     /// The service's name.
     pub service: ServiceName,
-    /// Share among the route's weights.
+    /// Share of the requests, relative to the sum of the route's weights.
     pub weight: u32,
 }
 
-/// What the operator says of a service.
+/// The operator's settings of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
     /// The service's name.
     pub name: ServiceName,
-    /// Path of its health check.
+    /// Path of the service's health check.
     pub health_path: String,
-    /// Most connections one backend server takes from all callers.
+    /// Maximum number of connections that one backend server accepts from all callers.
     pub max_connections: u32,
 }
 
-/// What callers may send and how long they may take.
+/// Limits on the size and duration of what callers send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Most bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub header_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Longest time a caller may take to send a head.
+    /// Maximum time for receiving the head of a request.
     pub header_timeout: Duration,
-    /// Longest time a connection may stay idle.
+    /// Maximum time that a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
 impl Config {
-    /// The route with the longest prefix among those of `host`, or none.
+    /// Returns the route of `host` with the longest prefix that matches `path`, or `None`.
     pub fn match_route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host_without_port(host);
         self.routes
@@ -106,7 +107,7 @@
             .max_by_key(|route| route.path_prefix.len())
     }
 
-    /// Whether any route names `host`.
+    /// Returns whether any route matches `host`.
     pub fn has_host(&self, host: &str) -> bool {
         let host = host_without_port(host);
         self.routes
@@ -114,27 +115,32 @@
             .any(|route| route.host.eq_ignore_ascii_case(host))
     }
 
-    /// The operator's entry for a service.
+    /// Returns the settings of a service, or `None` if the configuration has none.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 }
 
 impl Route {
-    /// The service for a request; the same `draw` (any number) always picks the same one.
+    /// Returns the service for a request, chosen by weight. The same `draw`, which may be any
+    /// number, always selects the same service.
     pub fn pick_service(&self, draw: u64) -> &ServiceName {
-        let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
-        let mut left = if total == 0 { 0 } else { draw % total };
+        let total: u64 = self
+            .targets
+            .iter()
+            .map(|target| u64::from(target.weight))
+            .sum();
+        let mut remaining = if total == 0 { 0 } else { draw % total };
         for target in &self.targets {
-            if left < u64::from(target.weight) {
+            if remaining < u64::from(target.weight) {
                 return &target.service;
             }
-            left -= u64::from(target.weight);
+            remaining -= u64::from(target.weight);
         }
         &self.targets[0].service
     }
 
-    /// Whether a request of this route may run more than once.
+    /// Returns whether a request of this route may run more than once.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent | RouteKind::Batch => true,
--- a/crates/foxwheel-policy/src/server_changes.rs
+++ b/crates/foxwheel-policy/src/server_changes.rs
@@ -1,66 +1,66 @@
-//! Changes of the list of backend servers, kept for processes that know an older list.
+//! A log of changes to the list of backend servers, for processes that have an older list.
 
 use foxwheel_core::ids::ServerId;
 use serde::{Deserialize, Serialize};
 
 use crate::backend_server::BackendServer;
 
-/// Changes that are kept: more than 3,000 servers bring that register within the second or two
-/// by which a process may be behind. With 512 each process of a zone took whole lists of them
-/// then, 200 KB a second over a day.
+/// Maximum number of changes in the log. More than 3,000 servers can register within the second
+/// or two by which a process may lag behind. With a log of 512 changes, every process of a zone
+/// then fetched complete lists instead, which cost 200 KB per second averaged over a day.
 const MAX_CHANGES: usize = 4_096;
 
-/// A change of one server's entry.
+/// A change of one server's entry in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerChange {
-    /// It is listed so now.
+    /// The entry was added or replaced by this one.
     Listed(BackendServer),
     /// The entry was removed.
     Removed(ServerId),
-    /// The entry names no server any more: another writer spoiled it.
+    /// The entry no longer describes a server, because another writer corrupted it.
     Refused(ServerId),
 }
 
-/// What a process is told that knows an older list.
+/// The update of a server list, sent to a process that has an older one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerUpdate {
-    /// Its list is as new.
+    /// The recipient's list is already up to date.
     Nothing,
-    /// What changed since, in order.
+    /// The changes since the recipient's list.
     Changes {
-        /// The changes.
+        /// The changes, in the order in which they were made.
         changes: Vec<ServerChange>,
-        /// The store's revision that the list shows with them.
+        /// Store revision of the list after these changes.
         revision: u64,
     },
-    /// The whole list.
+    /// The complete list.
     List {
-        /// The servers whose entries are listed.
+        /// The listed servers.
         servers: Vec<BackendServer>,
-        /// Entries that name no server; sorted.
+        /// Ids of the corrupted entries; sorted.
         refused: Vec<ServerId>,
-        /// The store's revision that they show.
+        /// Store revision of the list.
         revision: u64,
     },
 }
 
-/// The last changes.
+/// The most recent changes of the server list.
 #[derive(Debug, Default)]
 pub struct ChangeLog {
-    /// The store's revision behind which no change is missing; none before the first list.
+    /// Store revision after which the log contains every change; `None` before the first list.
     complete_from: Option<u64>,
-    /// In the order of their revisions.
+    /// The changes with their store revisions, in ascending order.
     changes: Vec<(u64, ServerChange)>,
 }
 
 impl ChangeLog {
-    /// Starts anew behind a whole list.
+    /// Clears the log after a complete list of `revision` was received.
     pub fn restart(&mut self, revision: u64) {
         self.complete_from = Some(revision);
         self.changes.clear();
     }
 
-    /// Adds the change of `revision`.
+    /// Appends the change made at `revision`. Drops the older half of a full log first.
     pub fn push(&mut self, revision: u64, change: ServerChange) {
         if self.changes.len() == MAX_CHANGES {
             let dropped = MAX_CHANGES / 2;
@@ -70,7 +70,8 @@
         self.changes.push((revision, change));
     }
 
-    /// The changes behind `revision`, or none if some of them are not kept.
+    /// Returns the changes made after `revision`, or `None` if the log no longer has all of
+    /// them.
     pub fn since(&self, revision: u64) -> Option<Vec<ServerChange>> {
         if self.complete_from.is_none_or(|from| revision < from) {
             return None;
--- a/crates/foxwheel-policy/src/server_index.rs
+++ b/crates/foxwheel-policy/src/server_index.rs
@@ -1,9 +1,10 @@
-//! Which servers a choice looks at: all of a small zone, a sample of a large one.
+//! An index of the ready servers by service and zone, and bounded samples of it from which a
+//! server is chosen.
 //!
-//! Load pattern: thousands of servers. A choice that looks at each of them costs a front more
-//! than passing on the answer (3,000 servers: 18 % of its processor), and gains nothing: the
-//! least loaded of a few dozen drawn at random is nearly as free as the least loaded of all,
-//! and fronts that draw apart do not all fill the same one.
+//! Load pattern: thousands of servers. A choice that examines all of them costs a front more
+//! than forwarding the response (with 3,000 servers 18 % of its CPU time) and gains nothing: the
+//! least loaded server of a random sample of a few dozen is nearly as free as the least loaded
+//! of all, and fronts with different samples do not all fill the same server.
 
 use foxwheel_core::ids::{ServiceName, Zone};
 
@@ -11,33 +12,34 @@
 use crate::membership::DirectoryEntry;
 use crate::zone_loads::{self, ServerFingerprint};
 
-/// Most servers of the own zone that one choice looks at.
+/// Maximum number of servers of the own zone that are examined for one choice.
 pub const MAX_LOCAL_SAMPLE: usize = 32;
 
-/// Most servers of each other zone that one choice looks at: what is known of them is older,
-/// and fronts that look at fewer of them crowd less.
+/// Maximum number of servers of each other zone that are examined for one choice. It is smaller
+/// because the loads known of other zones are older, and fronts that examine fewer of those
+/// servers are less likely to choose the same one.
 pub const MAX_REMOTE_SAMPLE: usize = 16;
 
-/// Most servers of a service that a worker looks at in one round; the next round, a few tens
-/// of milliseconds later, draws others.
+/// Maximum number of servers of a service that a worker examines in one scheduling round; the
+/// next round, a few tens of milliseconds later, draws a different sample.
 pub const MAX_BATCH_SAMPLE: usize = 64;
 
-/// The servers of a service in one zone that take new work.
+/// The ready servers of one service in one zone.
 #[derive(Debug, Clone, Default)]
 pub struct ServerGroup {
     /// The service.
     pub service: ServiceName,
     /// The availability zone.
     pub zone: Zone,
-    /// Sorted by server.
+    /// Sorted by instance.
     servers: Vec<ServerInstance>,
-    /// Sorted by fingerprint; the same servers.
+    /// Fingerprint and position in `servers` of each server; sorted by fingerprint.
     by_fingerprint: Vec<(ServerFingerprint, usize)>,
-    /// Requests that they run at once, together.
+    /// Number of requests that the servers of the group run concurrently in total.
     pub slots: u32,
 }
 
-/// The servers that take new work, by service and zone.
+/// The ready servers by service and zone.
 #[derive(Debug, Clone, Default)]
 pub struct ServerIndex {
     /// Sorted by service and zone.
@@ -45,14 +47,14 @@
 }
 
 impl ServerIndex {
-    /// An index of `members`, which must be sorted by server.
-    pub fn new(members: &[DirectoryEntry]) -> Self {
+    /// Builds an index of `entries`, which must be sorted by server id.
+    pub fn new(entries: &[DirectoryEntry]) -> Self {
         let mut index = Self::default();
-        let ready = members
+        let ready = entries
             .iter()
-            .filter(|member| member.server.state == ServerState::Ready);
-        for member in ready {
-            let server = &member.server;
+            .filter(|entry| entry.server.state == ServerState::Ready);
+        for entry in ready {
+            let server = &entry.server;
             let group = index.group_mut(&server.service, &server.zone);
             group.servers.push(server.instance());
             group.slots += server.slots;
@@ -65,13 +67,13 @@
         index
     }
 
-    /// The groups of `service`.
+    /// Returns the groups of `service`, one per zone.
     pub fn groups_of_service<'a>(
         &'a self,
         service: &'a str,
     ) -> impl Iterator<Item = &'a ServerGroup> + 'a {
-        let of_service = move |group: &&ServerGroup| group.service == service;
-        self.groups.iter().filter(of_service)
+        let is_of_service = move |group: &&ServerGroup| group.service == service;
+        self.groups.iter().filter(is_of_service)
     }
 
     fn group_mut(&mut self, service: &str, zone: &str) -> &mut ServerGroup {
@@ -92,15 +94,16 @@
 }
 
 impl ServerGroup {
-    /// Every server if there are at most `most`, else that many in a row, from the one that
-    /// `draw` means on. Rows overlap, so that no server is left out.
-    pub fn sample(&self, most: usize, draw: usize) -> impl Iterator<Item = &ServerInstance> {
+    /// Returns every server if there are at most `max_count`, else `max_count` consecutive ones
+    /// from the position that `draw` selects. Every server is part of some sample, because
+    /// samples of adjacent positions overlap.
+    pub fn sample(&self, max_count: usize, draw: usize) -> impl Iterator<Item = &ServerInstance> {
         let count = self.servers.len();
-        let sampled = (0..count.min(most)).map(move |step| (draw + step) % count.max(1));
+        let sampled = (0..count.min(max_count)).map(move |step| (draw + step) % count.max(1));
         sampled.map(|at| &self.servers[at])
     }
 
-    /// The server with that fingerprint.
+    /// Returns the server with that fingerprint, or `None` if the group has none.
     pub fn find_by_fingerprint(&self, fingerprint: ServerFingerprint) -> Option<&ServerInstance> {
         let found = self
             .by_fingerprint
@@ -110,12 +113,12 @@
             .map(|at| &self.servers[self.by_fingerprint[at].1])
     }
 
-    /// How many servers there are.
+    /// Returns the number of servers.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether the group has no server.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
