--- a/crates/foxwheel-policy/src/membership.rs
+++ b/crates/foxwheel-policy/src/membership.rs
@@ -1,9 +1,9 @@
-//! Which backend servers may be sent new work.
+//! The directory of backend servers, which decides to which of them new work may be sent.
 //!
-//! The platform's list is followed as events and as whole lists. An entry that vanishes
-//! while the list's source was out of reach may only have expired, so its server stays a
-//! last resort until it had time to register again. A server may start again under its id:
-//! what is known of one start never speaks for another.
+//! The directory applies the platform's list as single changes and as complete lists. An entry
+//! that is removed while the source of the list is out of reach may only have expired there, so
+//! its server stays usable as a last resort until it has had time to register again. A server
+//! may restart under the same id: nothing known of one instance is applied to another one.
 
 use std::time::{Duration, Instant};
 
@@ -12,76 +12,83 @@
 pub use crate::backend_server::{BackendServer, ServerInstance, ServerState};
 use crate::server_changes::{ChangeLog, ServerChange, ServerUpdate};
 
-/// How long after an entry vanished in calm times its server is still a last resort.
-/// Half of the shortest drain bound met so far (2 s), so that no request arrives late.
+/// How long a server without an entry stays usable as a last resort while the source of the list
+/// is reachable. Less than half of the shortest drain bound (2 s), so that no request reaches a
+/// server after its drain.
 const EXPIRED_ENTRY_GRACE: Duration = Duration::from_millis(800);
 
-/// How long after the list's source came back entries that lapsed meanwhile are awaited.
-/// Live servers register again within about 2 s of its return.
+/// How long after the source of the list is reachable again servers whose entries expired in
+/// the meantime stay usable. Live servers register again within about 2 s.
 const REREGISTRATION_GRACE: Duration = Duration::from_millis(2_400);
 
-/// How long a start that another start's answer showed to be gone stays out of use. Longer
-/// than a listed entry outlives its server (three heartbeats of 1.2 s, and an outage of the
-/// store); bounded, as the answer may have been spoiled on its way.
+/// How long an instance stays out of use after another instance responded at its address. Longer
+/// than the entry of a dead server stays listed (three heartbeats of 1.2 s, plus an outage of
+/// the store), but bounded, because that response may have been corrupted in transit.
 const DEAD_INSTANCE_RETENTION: Duration = Duration::from_secs(12);
 
-/// A listed server and what this process thinks of its entry.
+/// A server in the directory.
 #[derive(Debug, Clone)]
 pub struct DirectoryEntry {
-    /// The newest entry seen.
+    /// The newest entry received from the platform's list.
     pub server: BackendServer,
-    /// Set when the entry vanished: until then the server is a last resort.
+    /// Set once the entry has been removed from the list: until when the server stays usable as
+    /// a last resort.
     pub grace_until: Option<Instant>,
 }
 
 impl DirectoryEntry {
-    /// Whether it is a listed start later than `other`.
-    fn outlives(&self, other: &BackendServer) -> bool {
+    /// Returns whether this is a later instance than `other` and still listed.
+    fn supersedes(&self, other: &BackendServer) -> bool {
         self.grace_until.is_none() && self.server.incarnation > other.incarnation
     }
 }
 
-/// The backend servers known to one process.
+/// The backend servers that one process knows.
 #[derive(Debug, Default)]
 pub struct ServerDirectory {
     /// Sorted by server id.
     entries: Vec<DirectoryEntry>,
-    /// Entries that name no server; sorted, disjoint from the members.
+    /// Ids of corrupted entries, which describe no server; sorted, disjoint from `entries`.
     refused: Vec<ServerId>,
-    /// The store's revision that the members show, or none before the first list; only grows.
+    /// Store revision that the entries correspond to; `None` before the first list. It never
+    /// decreases.
     revision: Option<u64>,
-    /// Changes since a whole list.
+    /// The changes since the last complete list.
     changes: ChangeLog,
-    /// Grows with each change of the members.
+    /// Incremented with each change of the entries.
     generation: u64,
-    /// Set while the list's source is out of reach.
+    /// Whether the source of the list is out of reach.
     source_lost: bool,
-    /// When the list's source was last found again.
-    source_back_at: Option<Instant>,
-    /// Starts that this process found to be gone, and until when; sorted by start.
+    /// When the source of the list last became reachable again.
+    source_regained_at: Option<Instant>,
+    /// Instances that this process found dead, and until when they stay out of use; sorted by
+    /// instance.
     dead_instances: Vec<(ServerInstance, Instant)>,
 }
 
 impl ServerDirectory {
-    /// Takes one changed entry. An earlier start than the one that is listed changes nothing:
-    /// its last write may be done after the first of the later start. Once the entry was
-    /// removed, any start counts, as the clock that it goes by may have been set back.
+    /// Adds or replaces one entry.
+    ///
+    /// An earlier instance than the listed one is ignored, because its last write may complete
+    /// after the first write of the later instance. Once the entry has been removed, any instance
+    /// is accepted, because the host's clock, from which the incarnation is taken, may have been
+    /// set back.
     pub fn upsert(&mut self, server: BackendServer) {
         self.generation += 1;
         self.refused.retain(|id| *id != server.id);
-        let member = DirectoryEntry {
+        let entry = DirectoryEntry {
             server,
             grace_until: None,
         };
-        match self.position(&member.server.id) {
-            Ok(at) if self.entries[at].outlives(&member.server) => {}
-            Ok(at) => self.entries[at] = member,
-            Err(at) => self.entries.insert(at, member),
+        match self.position(&entry.server.id) {
+            Ok(at) if self.entries[at].supersedes(&entry.server) => {}
+            Ok(at) => self.entries[at] = entry,
+            Err(at) => self.entries.insert(at, entry),
         }
     }
 
-    /// Takes note that the entry of `id` names no server any more: another writer spoiled
-    /// it. The server is used again once its entry is whole.
+    /// Removes the server `id`, whose entry describes no server any more because another writer
+    /// corrupted it. The server is used again once its entry is valid.
     pub fn refuse_entry(&mut self, id: &str) {
         self.generation += 1;
         if let Ok(at) = self.position(id) {
@@ -95,73 +102,75 @@
         }
     }
 
-    /// Takes note that a start is gone for certain: its address answered as another start.
-    /// Answers whether that is new.
-    pub fn record_dead_instance(&mut self, start: ServerInstance, now: Instant) -> bool {
+    /// Records that `instance` is dead, because another instance responded at its address.
+    /// Returns whether that was not known yet.
+    pub fn record_dead_instance(&mut self, instance: ServerInstance, now: Instant) -> bool {
         self.dead_instances.retain(|(_, until)| now < *until);
         let until = now + DEAD_INSTANCE_RETENTION;
         match self
             .dead_instances
-            .binary_search_by(|(known, _)| known.cmp(&start))
+            .binary_search_by(|(known, _)| known.cmp(&instance))
         {
             Ok(at) => {
                 self.dead_instances[at].1 = until;
                 false
             }
             Err(at) => {
-                self.dead_instances.insert(at, (start, until));
+                self.dead_instances.insert(at, (instance, until));
                 true
             }
         }
     }
 
-    /// Starts that this process found to be gone a short while ago; sorted.
+    /// Returns the instances that this process recently found dead, sorted.
     pub fn dead_instances(&self, now: Instant) -> Vec<ServerInstance> {
-        let lasting = self.dead_instances.iter().filter(|(_, until)| now < *until);
-        lasting.map(|(start, _)| start.clone()).collect()
+        let current = self.dead_instances.iter().filter(|(_, until)| now < *until);
+        current.map(|(instance, _)| instance.clone()).collect()
     }
 
     fn is_dead(&self, server: &BackendServer, now: Instant) -> bool {
-        let found = self.dead_instances.binary_search_by(|(start, _)| {
-            (start.id.as_str(), start.incarnation).cmp(&(server.id.as_str(), server.incarnation))
+        let found = self.dead_instances.binary_search_by(|(instance, _)| {
+            (instance.id.as_str(), instance.incarnation)
+                .cmp(&(server.id.as_str(), server.incarnation))
         });
         found.is_ok_and(|at| now < self.dead_instances[at].1)
     }
 
-    /// Takes note that the entry of `id` was removed.
-    pub fn remove(&mut self, id: &str, now: Instant) {
+    /// Records that the entry of `id` was removed from the platform's list. A draining server is
+    /// dropped at once; any other one stays usable as a last resort until its grace is over.
+    pub fn remove_entry(&mut self, id: &str, now: Instant) {
         self.generation += 1;
-        self.refused.retain(|refused| refused != id);
+        self.refused.retain(|known| known != id);
         let Ok(at) = self.position(id) else { return };
-        let until = self.grace_end(now);
-        let member = &mut self.entries[at];
-        if member.server.state == ServerState::Draining {
+        let grace_until = self.grace_end(now);
+        let entry = &mut self.entries[at];
+        if entry.server.state == ServerState::Draining {
             self.entries.remove(at);
         } else {
-            member.grace_until.get_or_insert(until);
+            entry.grace_until.get_or_insert(grace_until);
         }
     }
 
-    /// Takes a whole list: what is missing from it counts as removed.
+    /// Applies a complete list; servers that are missing from it count as removed.
     fn replace_all(&mut self, listed: Vec<BackendServer>, now: Instant) {
         let missing: Vec<ServerId> = self
             .entries
             .iter()
-            .map(|member| &member.server.id)
+            .map(|entry| &entry.server.id)
             .filter(|id| !listed.iter().any(|server| server.id == **id))
             .cloned()
             .collect();
         for id in missing {
-            self.remove(&id, now);
+            self.remove_entry(&id, now);
         }
         for server in listed {
             self.upsert(server);
         }
     }
 
-    /// Takes a whole list as it was at `revision` of the store, unless what is known is newer:
-    /// lists come from the store and from peers, and a peer's may be late. Answers whether it
-    /// was taken.
+    /// Applies a complete list of store revision `revision`, unless the directory is newer: lists
+    /// come from the store and from peers, and a peer's list may be outdated. Returns whether the
+    /// list was applied.
     pub fn apply_list(&mut self, listed: Vec<BackendServer>, revision: u64, now: Instant) -> bool {
         if self.revision.is_some_and(|known| known > revision) {
             return false;
@@ -173,21 +182,21 @@
         true
     }
 
-    /// Takes one change, made at `revision` of the store, unless the members show it already:
-    /// another process may have told of it and of later ones.
+    /// Applies one change made at store revision `revision`, unless the directory includes it
+    /// already: another process may have sent it together with later ones.
     pub fn apply_change(&mut self, change: ServerChange, revision: u64, now: Instant) {
         if self.revision.is_some_and(|known| revision <= known) {
             return;
         }
         match change.clone() {
             ServerChange::Listed(server) => self.upsert(server),
-            ServerChange::Removed(id) => self.remove(&id, now),
+            ServerChange::Removed(id) => self.remove_entry(&id, now),
             ServerChange::Refused(id) => self.refuse_entry(&id),
         }
         self.changes.push(revision, change);
     }
 
-    /// What a process is told that knows the list as it was at `known`, if any.
+    /// Returns the update for a process whose list has revision `known`, or that has no list yet.
     pub fn updates_since(&self, known: Option<u64>) -> ServerUpdate {
         let Some(revision) = self.revision.filter(|_| known < self.revision) else {
             return ServerUpdate::Nothing;
@@ -196,26 +205,27 @@
             return ServerUpdate::Changes { changes, revision };
         }
         let listed = self.entries.iter();
-        let listed = listed.filter(|member| member.grace_until.is_none());
+        let listed = listed.filter(|entry| entry.grace_until.is_none());
         ServerUpdate::List {
-            servers: listed.map(|member| member.server.clone()).collect(),
+            servers: listed.map(|entry| entry.server.clone()).collect(),
             refused: self.refused.clone(),
             revision,
         }
     }
 
-    /// Takes what another process told; `asked_from` is the revision that was known here when
-    /// it was asked. Answers whether the list is newer now.
+    /// Applies an update received from another process. `requested_from` is the revision of this
+    /// directory when the update was requested. Returns whether the directory is newer now.
     pub fn apply_update(
         &mut self,
-        news: ServerUpdate,
-        asked_from: Option<u64>,
+        update: ServerUpdate,
+        requested_from: Option<u64>,
         now: Instant,
     ) -> bool {
-        match news {
+        match update {
             ServerUpdate::Nothing => false,
-            // What was taken meanwhile is newer, or the next news brings it.
-            ServerUpdate::Changes { .. } if self.revision != asked_from => false,
+            // The directory has changed since the request. It is newer than these changes, or the
+            // next update includes them.
+            ServerUpdate::Changes { .. } if self.revision != requested_from => false,
             ServerUpdate::Changes { changes, revision } => {
                 for change in changes {
                     self.apply_change(change, revision, now);
@@ -228,88 +238,93 @@
                 refused,
                 revision,
             } => {
-                let taken = self.apply_list(servers, revision, now);
-                for id in refused.iter().filter(|_| taken) {
+                let applied = self.apply_list(servers, revision, now);
+                for id in refused.iter().filter(|_| applied) {
                     self.refuse_entry(id);
                 }
-                taken
+                applied
             }
         }
     }
 
-    /// Takes note that every change up to `revision` was taken.
+    /// Records that every change up to `revision` has been applied.
     pub fn advance_revision(&mut self, revision: u64) {
         self.revision = self.revision.max(Some(revision));
     }
 
-    /// The store's revision that the members show, or none before the first list.
+    /// Returns the store revision that the entries correspond to, or `None` before the first list.
     pub fn revision(&self) -> Option<u64> {
         self.revision
     }
 
-    /// The list's source cannot be reached.
+    /// Records that the source of the list is out of reach.
     pub fn record_source_lost(&mut self) {
         self.source_lost = true;
     }
 
-    /// The list's source answers again; call before taking its first list.
+    /// Records that the source of the list is reachable again. Must be called before its first
+    /// list is applied.
     pub fn record_source_regained(&mut self, now: Instant) {
         if self.source_lost {
             self.source_lost = false;
-            self.source_back_at = Some(now);
+            self.source_regained_at = Some(now);
         }
     }
 
-    /// Drops servers whose grace after a vanished entry is over; answers their ids.
+    /// Drops the servers whose grace after the removal of their entry is over, and returns their
+    /// ids.
     pub fn remove_expired(&mut self, now: Instant) -> Vec<ServerId> {
-        let mut gone = Vec::new();
-        self.entries.retain(|member| {
-            let keep = member.grace_until.is_none_or(|until| now < until);
+        let mut removed = Vec::new();
+        self.entries.retain(|entry| {
+            let keep = entry.grace_until.is_none_or(|until| now < until);
             if !keep {
                 self.generation += 1;
-                gone.push(member.server.id.clone());
+                removed.push(entry.server.id.clone());
             }
             keep
         });
-        gone
+        removed
     }
 
-    /// Servers of `service` that may be sent new work, last resorts included.
-    pub fn usable_servers<'a>(
+    /// Returns the servers of `service` to which new work may be sent, including those that are
+    /// only a last resort.
+    pub fn usable_entries<'a>(
         &'a self,
         service: &'a str,
         now: Instant,
     ) -> impl Iterator<Item = &'a DirectoryEntry> {
         self.entries
             .iter()
-            .filter(move |member| member.server.service == service)
-            .filter(move |member| self.is_usable(member, now))
+            .filter(move |entry| entry.server.service == service)
+            .filter(move |entry| self.is_usable(entry, now))
     }
 
-    /// That start of a server, if it may be sent new work, as a last resort at least.
-    pub fn usable_entry(&self, key: &ServerInstance, now: Instant) -> Option<&DirectoryEntry> {
-        let member = &self.entries[self.position(&key.id).ok()?];
-        let is_start = member.server.incarnation == key.incarnation;
-        (is_start && self.is_usable(member, now)).then_some(member)
+    /// Returns the entry of a server instance if new work may be sent to it, at least as a last
+    /// resort.
+    pub fn usable_entry(&self, instance: &ServerInstance, now: Instant) -> Option<&DirectoryEntry> {
+        let entry = &self.entries[self.position(&instance.id).ok()?];
+        let is_same_instance = entry.server.incarnation == instance.incarnation;
+        (is_same_instance && self.is_usable(entry, now)).then_some(entry)
     }
 
-    fn is_usable(&self, member: &DirectoryEntry, now: Instant) -> bool {
-        member.server.state == ServerState::Ready && !self.is_dead(&member.server, now)
+    fn is_usable(&self, entry: &DirectoryEntry, now: Instant) -> bool {
+        entry.server.state == ServerState::Ready && !self.is_dead(&entry.server, now)
     }
 
-    /// That start of a server, if it is the one that is known.
-    pub fn server(&self, key: &ServerInstance) -> Option<&BackendServer> {
-        let at = self.position(&key.id).ok()?;
+    /// Returns the entry's server of `instance`, or `None` if the directory has no server of that
+    /// id or another instance of it.
+    pub fn server(&self, instance: &ServerInstance) -> Option<&BackendServer> {
+        let at = self.position(&instance.id).ok()?;
         let server = &self.entries[at].server;
-        (server.incarnation == key.incarnation).then_some(server)
+        (server.incarnation == instance.incarnation).then_some(server)
     }
 
-    /// Tells whether the members changed since it was asked before.
+    /// Returns a number that increases with each change of the entries.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Every member, sorted by id.
+    /// Returns every entry, sorted by server id.
     pub fn entries(&self) -> &[DirectoryEntry] {
         &self.entries
     }
@@ -318,15 +333,15 @@
         if self.source_lost {
             return now + REREGISTRATION_GRACE;
         }
-        let calm = now + EXPIRED_ENTRY_GRACE;
-        match self.source_back_at {
-            Some(back_at) => calm.max(back_at + REREGISTRATION_GRACE),
-            None => calm,
+        let grace_end = now + EXPIRED_ENTRY_GRACE;
+        match self.source_regained_at {
+            Some(regained_at) => grace_end.max(regained_at + REREGISTRATION_GRACE),
+            None => grace_end,
         }
     }
 
     fn position(&self, id: &str) -> Result<usize, usize> {
         self.entries
-            .binary_search_by(|member| member.server.id.as_str().cmp(id))
+            .binary_search_by(|entry| entry.server.id.as_str().cmp(id))
     }
 }
--- a/crates/foxwheel-policy/src/placement.rs
+++ b/crates/foxwheel-policy/src/placement.rs
@@ -1,9 +1,9 @@
-//! Which backend server takes a request, and when none should.
+//! Selection of the backend server for a request, or of none if all are too full.
 //!
-//! Load pattern: steps of five times the trough every few seconds against engines that
-//! batch a fixed number of requests and queue the rest in order of arrival. A request
-//! that queues behind a full engine misses its target, so the least loaded engine is
-//! taken, the caller's own zone first.
+//! Load pattern: every few seconds, steps of five times the lowest traffic against engines that
+//! run a fixed number of requests as one batch and queue the others in order of arrival. A
+//! request that is queued behind a full engine misses its latency target, so the least loaded
+//! engine is selected, preferably in the caller's own zone.
 
 use std::time::Duration;
 
@@ -12,35 +12,35 @@
 
 use crate::membership::ServerInstance;
 
-/// What is known of one server at the time of a choice.
+/// What a process knows about a server when it selects one.
 #[derive(Debug, Clone, Default)]
 pub struct Candidate {
-    /// The server.
+    /// The server's id.
     pub id: ServerId,
-    /// Tells its starts apart.
+    /// Distinguishes the server's instances.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// The server's availability zone.
     pub zone: Zone,
-    /// Requests it runs at once; at least 1.
+    /// Number of requests that the server runs concurrently; at least 1.
     pub slots: u32,
-    /// Requests in flight there: this process's own and what peers last told.
+    /// Requests in flight at the server: those of this process and those that peers last reported.
     pub in_flight: u32,
-    /// Batch items among `in_flight`.
+    /// Batch items included in `in_flight`.
     pub batch_in_flight: u32,
-    /// Batch items of this process's own among `batch_in_flight`.
+    /// Batch items of this process included in `batch_in_flight`.
     pub own_batch_in_flight: u32,
-    /// Its list entry vanished a moment ago.
+    /// The server's list entry was removed recently and may only have expired.
     pub entry_expired: bool,
-    /// It has been silent or could not be connected to lately.
+    /// The server recently did not respond, or no connection to it could be opened.
     pub suspect: bool,
-    /// The share of requests that it is expected to fail, from 0 to 1.
+    /// Expected share of requests that fail at the server, from 0 to 1.
     pub failure_rate: f64,
-    /// This process gives out its batch slots.
+    /// This process is the slot manager of the server: it assigns the server's batch slots.
     pub is_slot_manager: bool,
 }
 
 impl Candidate {
-    /// The start of the server that is meant.
+    /// Returns the server instance of the candidate.
     pub fn instance(&self) -> ServerInstance {
         ServerInstance {
             id: self.id.clone(),
@@ -49,56 +49,64 @@
     }
 }
 
-/// Load, as a share of a server's slots, that a server in another zone must be below a
-/// local one to be preferred. What is known of other zones is 0.3 s old, so fronts that go
-/// there readily fill the same servers together: with 0.25 instead 3.1% of the requests of a
-/// small fleet had their first token after 300 ms, with 0.45 0.8% (`foxwheel-load model`).
+/// Load added to a server in another zone, as a share of its slots: a remote server is preferred
+/// only if its load is lower than that of the local ones by more than this. Loads of other zones
+/// are 0.3 s old, so fronts that select remote servers too readily all fill the same ones: with
+/// 0.25, 3.1% of the requests of a small fleet had their first token after 300 ms; with 0.45,
+/// 0.8% (`foxwheel-load model`).
 const CROSS_ZONE_PENALTY: f64 = 0.45;
 
-/// Ranks lapsed servers behind all others that are not suspect.
-const LAPSED_PENALTY: f64 = 4.0;
+/// Load added to a server with an expired entry, so that it ranks behind all others that are not
+/// suspect.
+const EXPIRED_ENTRY_PENALTY: f64 = 4.0;
 
-/// Load, as a share of a server's slots, that a server which fails every request counts as
-/// more than it has. One that fails two in five ranks behind sound ones that are full, and
-/// before none at all: a failed request is lost or runs again.
+/// Load added to a server that fails every request, as a share of its slots; at lower failure
+/// rates proportionally less. A server that fails two in five requests ranks behind full servers
+/// without failures, because a failed request is lost or has to run again, but it is still used
+/// if there is no other.
 const FAILURE_PENALTY: f64 = 4.0;
 
-/// Ranks suspect servers last.
+/// Load added to a suspect server, so that it ranks last.
 const SUSPECT_PENALTY: f64 = 16.0;
 
-/// Requests beyond its slots, as a share of them, with which a server is still given online
-/// work. A longer queue makes all of them late: on a fleet with steps a third above what it
-/// carries 55% of the requests were in time with a half, 64% with a quarter, and 0.5% instead
-/// of none were refused twice (`foxwheel-load model`).
+/// Length of a server's queue, as a share of its slots, up to which it still gets online
+/// requests. A longer queue makes all of them late: on a fleet with traffic steps a third above
+/// its capacity, 55% of the requests were in time with a half and 64% with a quarter, while with
+/// a quarter 0.5% instead of none were refused twice (`foxwheel-load model`).
 const ONLINE_QUEUE_SHARE: f64 = 0.25;
 
-/// What a batch item counts of an online request where an online request is placed: it is
-/// taken off within tens of milliseconds once online requests exceed the slots, while an
-/// online request holds its slot for half a second. Counted whole, requests of a full zone
-/// queued behind each other beside zones that batch filled: 0.6% of a small fleet's requests
-/// were late, 0.1% with this (`foxwheel-load model`).
+/// Weight of a batch item, relative to an online request, in the load that an online request is
+/// placed by. Batch items are preempted within tens of milliseconds once online requests exceed
+/// the slots, while an online request holds its slot for half a second. With a weight of 1,
+/// online requests queued in a full zone while other zones were filled only by batch items: 0.6%
+/// of a small fleet's requests were late, 0.1% with this weight (`foxwheel-load model`).
 const BATCH_WEIGHT: f64 = 0.2;
 
-/// A server with a free slot is found for most requests of a trough, so that few stop a run.
-const KEEPER_RESERVE_SHARE: f64 = 1.0 / 8.0;
+/// Share of the slots that the slot manager leaves free of batch items. With it, most requests of
+/// a period of low traffic find a server with a free slot, so that few of them preempt a batch
+/// item.
+const MANAGED_RESERVE_SHARE: f64 = 1.0 / 8.0;
 
-/// Workers that see one free slot at a server whose slots none of them gives out would all
-/// fill it before they hear of each other.
-const GUEST_RESERVE_SHARE: f64 = 1.0 / 2.0;
+/// Share of the slots that workers leave free of batch items at a server that another worker
+/// manages. Otherwise several workers that see the same free slot would all fill it before they
+/// receive each other's loads.
+const UNMANAGED_RESERVE_SHARE: f64 = 1.0 / 2.0;
 
-/// How far servers are filled. The processes use the default; the load model weighs others.
+/// Limits up to which servers are filled. The processes use the default values; the load model
+/// compares others.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FillLimits {
-    /// Requests beyond its slots, as a share of them, with which a server is still given
-    /// online work.
+    /// Length of a server's queue, as a share of its slots, up to which it still gets online
+    /// requests.
     pub online_queue_share: f64,
-    /// What a batch item counts of an online request where an online request is placed.
+    /// Weight of a batch item, relative to an online request, in the load that an online request
+    /// is placed by.
     pub batch_weight: f64,
-    /// Share of a server's slots that batch items leave free for online requests that come
-    /// before the next look at its load; one slot at least.
+    /// Share of a server's slots that its slot manager leaves free of batch items, for online
+    /// requests that arrive before the load is checked again; at least one slot.
     pub keeper_reserve_share: f64,
-    /// The same at a server whose batch slots another worker gives out.
+    /// The same for a server whose batch slots another worker manages.
     pub guest_reserve_share: f64,
 }
 
@@ -107,53 +115,58 @@
         Self {
             online_queue_share: ONLINE_QUEUE_SHARE,
             batch_weight: BATCH_WEIGHT,
-            keeper_reserve_share: KEEPER_RESERVE_SHARE,
-            guest_reserve_share: GUEST_RESERVE_SHARE,
+            keeper_reserve_share: MANAGED_RESERVE_SHARE,
+            guest_reserve_share: UNMANAGED_RESERVE_SHARE,
         }
     }
 }
 
 impl FillLimits {
-    /// Picks the server for an online request. `draw` breaks ties. None when every server is
-    /// at its slots and queue allowance: the request would miss its target anywhere.
+    /// Returns the server for an online request; `draw` breaks ties. Returns `None` if the slots
+    /// and the permitted queue of every server are full: the request would miss its latency
+    /// target at any of them.
     pub fn pick_online<'a>(
         &self,
         candidates: &'a [Candidate],
         own_zone: &str,
         draw: usize,
     ) -> Option<&'a Candidate> {
-        let cost = |one: &Candidate| share(self.online_load(one), one) + surcharge(one, own_zone);
+        let cost = |candidate: &Candidate| {
+            share_of_slots(self.online_load(candidate), candidate) + penalty(candidate, own_zone)
+        };
         let best = cheapest(candidates, draw, cost)?;
         let limit = f64::from(best.slots) * (1.0 + self.online_queue_share);
         (self.online_load(best) < limit).then_some(best)
     }
 
-    /// Picks the server for a batch item: one with a slot that online work leaves free and
-    /// the reserve besides. None when there is none; the item waits.
+    /// Returns the server for a batch item; `draw` breaks ties. Returns `None` if no server that
+    /// is not suspect has a free slot beyond the reserve for online requests; the item then waits.
     pub fn pick_batch<'a>(
         &self,
         candidates: &'a [Candidate],
         own_zone: &str,
         draw: usize,
     ) -> Option<&'a Candidate> {
-        let has_room =
-            |one: &Candidate| !one.suspect && one.in_flight + self.reserve(one) < one.slots;
-        let cost = |one: &Candidate| match has_room(one) {
-            true => cost(one, own_zone),
+        let has_room = |candidate: &Candidate| {
+            !candidate.suspect
+                && candidate.in_flight + self.reserved_slots(candidate) < candidate.slots
+        };
+        let cost = |candidate: &Candidate| match has_room(candidate) {
+            true => cost(candidate, own_zone),
             false => f64::INFINITY,
         };
         cheapest(candidates, draw, cost).filter(|best| has_room(best))
     }
 
-    /// The load at a server that an online request meets, in online requests.
+    /// Returns the load of a server in units of online requests, as it affects an online request.
     fn online_load(&self, candidate: &Candidate) -> f64 {
         let batch = f64::from(candidate.batch_in_flight);
         f64::from(candidate.in_flight) - batch * (1.0 - self.batch_weight)
     }
 
-    /// Slots that batch items leave free at a server. A server with a single slot has none to
-    /// spare: batch items run there while it is idle.
-    fn reserve(&self, candidate: &Candidate) -> u32 {
+    /// Returns the number of slots that batch items leave free at a server. A server with a single
+    /// slot has no reserve: batch items run there while it is idle.
+    fn reserved_slots(&self, candidate: &Candidate) -> u32 {
         let share = match candidate.is_slot_manager {
             true => self.keeper_reserve_share,
             false => self.guest_reserve_share,
@@ -163,7 +176,7 @@
     }
 }
 
-/// Picks the server for an online request with the usual limits.
+/// Calls [`FillLimits::pick_online`] with the default limits.
 pub fn pick_online<'a>(
     candidates: &'a [Candidate],
     own_zone: &str,
@@ -172,7 +185,7 @@
     FillLimits::default().pick_online(candidates, own_zone, draw)
 }
 
-/// Picks the server for a batch item with the usual limits.
+/// Calls [`FillLimits::pick_batch`] with the default limits.
 pub fn pick_batch<'a>(
     candidates: &'a [Candidate],
     own_zone: &str,
@@ -181,28 +194,31 @@
     FillLimits::default().pick_batch(candidates, own_zone, draw)
 }
 
-/// Longest wait behind a full server that is expected: beyond it silence is a fault.
-const LONGEST_EXPECTED_WAIT: Duration = Duration::from_secs(2);
+/// Longest wait for a slot of a full server that counts as normal. A server that does not respond
+/// for longer counts as faulty.
+const MAX_EXPECTED_WAIT: Duration = Duration::from_secs(2);
 
-/// How long a request sent to `candidate` waits for a slot there, if each request holds one
-/// for `hold_time`.
+/// Returns how long a request sent to `candidate` is expected to wait for a slot there if each
+/// request holds its slot for `hold_time`; at most 2 s.
 pub fn expected_wait(candidate: &Candidate, hold_time: Duration) -> Duration {
     let slots = candidate.slots.max(1);
     let ahead = (candidate.in_flight + 1).saturating_sub(slots);
     let wait = hold_time * ahead / slots;
-    wait.min(LONGEST_EXPECTED_WAIT)
+    wait.min(MAX_EXPECTED_WAIT)
 }
 
-/// Age below which a batch run is not stopped. A run started a moment ago costs its slot
-/// for a few milliseconds more, but stopping it wastes its prompt and its connection, and
-/// an item that fails at once would fail again and again without ever being heard.
+/// Minimum age of a batch run before it may be preempted. Letting a new run continue occupies its
+/// slot for a few milliseconds more, whereas preempting it wastes the processing of its prompt and
+/// its connection. An item that fails at once would also be preempted and run again each time
+/// before its failure is reported.
 pub const MIN_RUN_TIME: Duration = Duration::from_millis(120);
 
-/// Pause before a stopped item runs again, so that it does not return into the same step.
+/// Delay before a preempted item runs again, so that it does not meet the same traffic step.
 pub const PREEMPTED_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// This process's batch items to take off a server so that its online requests have
-/// slots: its share of what all processes have there, rounded up.
+/// Returns how many of this process's batch items to preempt at a server so that the online
+/// requests there have slots: the process's share of the batch items of all processes there,
+/// rounded up.
 pub fn batch_items_to_preempt(candidate: &Candidate) -> u32 {
     let over = candidate.in_flight.saturating_sub(candidate.slots);
     let excess = over.min(candidate.batch_in_flight);
@@ -210,17 +226,18 @@
     share.min(candidate.own_batch_in_flight)
 }
 
-/// The server at which a request waits least, whether or not it has a slot: for callers
-/// whose servers keep a queue of their own and refuse when that is full. `draw` breaks ties.
+/// Returns the server at which a request waits least, whether or not it has a free slot; `draw`
+/// breaks ties. For callers whose servers have a queue of their own and refuse requests when it
+/// is full.
 pub fn least_loaded<'a>(
     candidates: &'a [Candidate],
     own_zone: &str,
     draw: usize,
 ) -> Option<&'a Candidate> {
-    cheapest(candidates, draw, |one| cost(one, own_zone))
+    cheapest(candidates, draw, |candidate| cost(candidate, own_zone))
 }
 
-/// The candidate that costs least; of equals the first from the one that `draw` means on.
+/// Returns the candidate with the lowest cost; of equal ones the first from position `draw` on.
 fn cheapest(
     candidates: &[Candidate],
     draw: usize,
@@ -233,25 +250,26 @@
 }
 
 fn cost(candidate: &Candidate, own_zone: &str) -> f64 {
-    share(f64::from(candidate.in_flight), candidate) + surcharge(candidate, own_zone)
+    share_of_slots(f64::from(candidate.in_flight), candidate) + penalty(candidate, own_zone)
 }
 
-/// A load as a share of a server's slots.
-fn share(load: f64, candidate: &Candidate) -> f64 {
+/// Returns `load` as a share of the candidate's slots.
+fn share_of_slots(load: f64, candidate: &Candidate) -> f64 {
     load / f64::from(candidate.slots.max(1))
 }
 
-/// What speaks against a server beside its load, as a share of its slots.
-fn surcharge(candidate: &Candidate, own_zone: &str) -> f64 {
-    let mut surcharge = candidate.failure_rate * FAILURE_PENALTY;
+/// Returns the load added to a server for reasons other than its requests, as a share of its
+/// slots.
+fn penalty(candidate: &Candidate, own_zone: &str) -> f64 {
+    let mut penalty = candidate.failure_rate * FAILURE_PENALTY;
     if candidate.zone != own_zone {
-        surcharge += CROSS_ZONE_PENALTY;
+        penalty += CROSS_ZONE_PENALTY;
     }
     if candidate.entry_expired {
-        surcharge += LAPSED_PENALTY;
+        penalty += EXPIRED_ENTRY_PENALTY;
     }
     if candidate.suspect {
-        surcharge += SUSPECT_PENALTY;
+        penalty += SUSPECT_PENALTY;
     }
-    surcharge
+    penalty
 }
--- a/crates/foxwheel-policy/tests/membership.rs
+++ b/crates/foxwheel-policy/tests/membership.rs
@@ -23,7 +23,7 @@
 
 fn usable_at(directory: &ServerDirectory, now: Instant) -> Vec<&str> {
     directory
-        .usable_servers("model", now)
+        .usable_entries("model", now)
         .map(|member| member.server.id.as_str())
         .collect()
 }
@@ -45,9 +45,9 @@
     let now = Instant::now();
     let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Ready));
-    directory.remove("a", now);
+    directory.remove_entry("a", now);
     assert!(directory
-        .usable_servers("model", Instant::now())
+        .usable_entries("model", Instant::now())
         .all(|member| member.grace_until.is_some()));
     // Work must not reach it 2 s after its entry went.
     let gone = directory.remove_expired(now + Duration::from_millis(1_900));
@@ -59,7 +59,7 @@
 fn a_draining_server_whose_entry_goes_is_gone_at_once() {
     let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Draining));
-    directory.remove("a", Instant::now());
+    directory.remove_entry("a", Instant::now());
     assert!(directory.entries().is_empty());
 }
 
@@ -89,13 +89,13 @@
     let now = Instant::now();
     let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Ready));
-    directory.remove("a", now);
+    directory.remove_entry("a", now);
     directory.upsert(server("a", ServerState::Ready));
     assert!(directory
         .remove_expired(now + Duration::from_secs(60))
         .is_empty());
     assert!(directory
-        .usable_servers("model", Instant::now())
+        .usable_entries("model", Instant::now())
         .all(|member| member.grace_until.is_none()));
 }
 
@@ -107,7 +107,7 @@
     let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Ready));
     directory.record_source_lost();
-    directory.remove("a", now);
+    directory.remove_entry("a", now);
     directory.record_source_regained(now);
     assert!(directory
         .remove_expired(now + Duration::from_millis(2_300))
@@ -174,7 +174,7 @@
     let now = Instant::now();
     let mut directory = ServerDirectory::default();
     directory.upsert(start("a", 2_000, 80));
-    directory.remove("a", now);
+    directory.remove_entry("a", now);
     directory.upsert(start("a", 1_000, 81));
     assert_eq!(directory.entries()[0].server.addr.port(), 81);
 }
--- a/crates/foxwheel-policy/tests/server_changes.rs
+++ b/crates/foxwheel-policy/tests/server_changes.rs
@@ -23,7 +23,7 @@
 }
 
 fn usable(directory: &ServerDirectory) -> Vec<String> {
-    let usable = directory.usable_servers("model", Instant::now());
+    let usable = directory.usable_entries("model", Instant::now());
     let fresh = usable.filter(|member| member.grace_until.is_none());
     fresh.map(|member| member.server.id.clone()).collect()
 }
@@ -95,7 +95,7 @@
         other.apply_list(vec![ready("b"), ready("c")], known.unwrap_or(1), now);
         let news = follower.updates_since(known);
         assert!(other.apply_update(news, known, now));
-        let all: Vec<_> = other.usable_servers("model", now).collect();
+        let all: Vec<_> = other.usable_entries("model", now).collect();
         assert_eq!(all.len(), 1, "only c: {all:?}");
     }
 }
