--- a/crates/foxwheel-node/src/server_probe.rs
+++ b/crates/foxwheel-node/src/server_probe.rs
@@ -64,7 +64,7 @@
             server: zone_loads::fingerprint(&run.server),
             service: server.service,
             sent_at: run.sent_at,
-            broke_at: run.broke_at,
+            cut_off_at: run.broke_at,
         };
         node.record_crash(content, crash);
     }
--- a/crates/foxwheel-policy/src/admission.rs
+++ b/crates/foxwheel-policy/src/admission.rs
@@ -52,8 +52,8 @@
 impl RetrySchedule {
     /// Returns how long the caller refused at `now` should wait before it retries.
     ///
-    /// `draw`, from 0 to 1, spreads the callers for which no slot becomes free within
-    /// [`MAX_RETRY_AFTER`].
+    /// `draw`, from 0 to 1, spreads the callers for which no slot becomes free within the longest
+    /// retry time, 1.5 s.
     pub fn next_retry_after(&mut self, supply: SlotSupply, draw: f64, now: Instant) -> Duration {
         // Every request that holds a slot now has ended by then.
         let earliest = now
--- a/crates/foxwheel-policy/src/quarantine.rs
+++ b/crates/foxwheel-policy/src/quarantine.rs
@@ -1,14 +1,16 @@
-//! Requests that crash the backend servers that run them.
+//! Quarantine of request contents that crash the backend servers that run them.
 //!
-//! Load pattern: one request crashes each server that begins to run it and comes again, under
-//! new ids, at any front, a few times a second; servers are back after seconds. Whatever else
-//! ran at a server breaks with it, so each crash also accuses innocents. Retries within one
-//! attempt are bounded by their route, but the fleet is lost to the repeats.
+//! Load pattern: one request crashes every server that starts to run it and is sent again a few
+//! times per second, under new ids and to any front, while crashed servers take seconds to
+//! restart. All other requests at a crashed server fail with it, so each crash also makes
+//! requests suspected that are not at fault. Routes limit the retries of each single request,
+//! but the repeated requests still take down the fleet.
 //!
-//! What counts is a request's content. Every process keeps the crashes that any process saw;
-//! merging them in any order, once or often, gives the same. A content under which enough
-//! starts of servers crashed, one after the other, is not run for a while; one whole answer of
-//! the same service clears it, since what always crashes its server never gets that far.
+//! Crashes are therefore counted per request content. Every process keeps the crashes observed
+//! by any process; merging them is commutative and idempotent. A content under which enough
+//! server instances crashed one after the other is not run for a while. One complete response
+//! from the same service clears the content, because a request that always crashes its server
+//! never gets one.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::{Duration, Instant};
@@ -19,90 +21,91 @@
 
 use crate::zone_loads::ServerFingerprint;
 
-/// Crashes one after the other after which a content is quarantined. Two happen to innocents: a
-/// stream that breaks with its server is resumed at another one, at times just where the
-/// culprit went too.
+/// Number of successive crashes after which a content is quarantined. Two also happen to requests
+/// that are not at fault: a stream that is cut off by a crash is resumed at another server, at
+/// times the one to which the request that causes the crashes was sent as well.
 pub const CRASHES_TO_QUARANTINE: usize = 3;
 
-/// Time between two crashes from which servers were not lost together: a loss of many is seen
-/// by all within some ten milliseconds.
-const CLEARLY_LATER: Duration = Duration::from_millis(250);
+/// Minimum time between two crashes that count as separate failures. The loss of many servers at
+/// once is observed by all processes within tens of milliseconds.
+const MIN_CRASH_SEPARATION: Duration = Duration::from_millis(250);
 
-/// How long a content is not run after its last crash. Then it may run again, and the next
-/// crash quarantines it at once: whoever is accused wrongly gets a new trial, and a culprit
-/// costs one server each time.
-const QUARANTINED_FOR: Duration = Duration::from_secs(600);
+/// How long a content is quarantined after its last crash. After that it may run again, and the
+/// next crash quarantines it at once: a wrongly suspected content gets another chance, and one
+/// that does cause the crashes takes down one server each time.
+const QUARANTINE_DURATION: Duration = Duration::from_secs(600);
 
-/// Further crashes that a quarantined batch item may cost: a worker has one run of it at a time,
-/// and nobody asks again for an item that lies still, as a caller does.
-const ITEM_TRIALS: usize = 2;
+/// Number of further crashes that a quarantined batch item may cause before it is no longer tried.
+/// Trying it is cheap, because a worker has only one run of it at a time, and needed, because no
+/// caller sends the item again.
+const MAX_ITEM_TRIALS: usize = 2;
 
-/// How long after the last crash such an item is tried again: what took its servers, if it was
-/// not the item, is over by then.
-const ITEM_TRIAL_AFTER: Duration = Duration::from_secs(3);
+/// Delay between the last crash and the next trial of such an item. If something other than the
+/// item took its servers down, that is over by then.
+const ITEM_TRIAL_DELAY: Duration = Duration::from_secs(3);
 
-/// How long a crash is remembered.
+/// How long a crash is kept.
 pub const CRASH_RETENTION: Duration = Duration::from_secs(3_600);
 
-/// Most contents remembered, the least suspect and oldest go first; about 100 KB. A lost
-/// availability zone accuses some thousand innocents at once, which must not push out the
-/// contents that are quarantined.
+/// Maximum number of contents kept, about 100 KB; the least suspected and then the oldest are
+/// dropped first. The loss of an availability zone makes about a thousand contents suspected at
+/// once that are not at fault, and these must not displace the quarantined contents.
 const MAX_CONTENTS: usize = 512;
 
-/// Most crashes remembered of one content.
+/// Maximum number of crashes kept per content.
 const MAX_CRASHES: usize = 8;
 
-/// What processes tell each other of one crash.
+/// One crash, as processes report it to each other.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The request's content.
+    /// Fingerprint of the request's content.
     pub content: ContentFingerprint,
-    /// The start of a server that crashed.
+    /// The server instance that crashed.
     pub server: ServerFingerprint,
     /// The server's service.
     pub service: ServiceName,
-    /// How long ago.
+    /// Time since the crash.
     #[serde(rename = "age_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub age: Duration,
-    /// How long before that the request was sent there.
+    /// Time between sending the request to the server and the crash.
     #[serde(rename = "ran_for_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub ran_for: Duration,
-    /// The content was answered whole later on.
+    /// The content was cleared by a complete response after the crash.
     pub cleared: bool,
 }
 
-/// Stands for all that a process remembers, so that two can tell whether they remember the
-/// same; 0 for nothing.
+/// A digest of all crashes that a process keeps, by which two processes can tell whether they keep
+/// the same ones; 0 if there is none.
 pub type QuarantineDigest = u64;
 
-/// What may be done with a request.
+/// Whether requests with a content may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ContentStatus {
-    /// Nothing is held against it.
+    /// No crash counts against the content.
     Clear,
-    /// Servers crashed under it, too few to tell.
+    /// Servers crashed while they ran it, but not enough of them to quarantine it.
     Suspect,
-    /// It is not run for as long.
+    /// The content must not run for this long.
     Quarantined(Duration),
 }
 
-/// A crash as the process saw it that had a request there.
+/// A crash observed by the process that had a request in flight at the server.
 #[derive(Debug, Clone)]
 pub struct ObservedCrash {
-    /// The start of a server that crashed.
+    /// The server instance that crashed.
     pub server: ServerFingerprint,
     /// The server's service.
     pub service: ServiceName,
-    /// When the request was sent there.
+    /// When the request was sent to the server.
     pub sent_at: Instant,
-    /// When its answer broke.
-    pub broke_at: Instant,
+    /// When the response was cut off.
+    pub cut_off_at: Instant,
 }
 
-/// A crash that is remembered.
+/// A crash that this process keeps.
 #[derive(Debug, Clone)]
 struct Crash {
     server: ServerFingerprint,
@@ -110,171 +113,176 @@
     sent_at: Instant,
     at: Instant,
     cleared: bool,
-    /// This process saw it.
-    seen_here: bool,
+    /// This process observed the crash itself.
+    observed_locally: bool,
 }
 
-/// A content and the crashes under it.
+/// A content and the crashes of servers that ran it.
 #[derive(Debug, Clone)]
-struct Accused {
+struct SuspectedContent {
     content: ContentFingerprint,
     /// Sorted by server; never empty, at most [`MAX_CRASHES`].
     crashes: Vec<Crash>,
 }
 
-/// The crashes that one process knows of.
+/// The crashes that one process knows of, by request content.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     /// Sorted by content; at most [`MAX_CONTENTS`].
-    accused: Vec<Accused>,
-    /// Stands for `accused`; each heartbeat tells it.
+    suspected: Vec<SuspectedContent>,
+    /// Digest of `suspected`, sent with each heartbeat.
     digest: QuarantineDigest,
 }
 
-impl Accused {
+impl SuspectedContent {
     fn status(&self, now: Instant) -> ContentStatus {
-        let held = self.crashes.iter().filter(|crash| !crash.cleared);
-        let Some(last) = held.map(|crash| crash.at).max() else {
+        let counted = self.crashes.iter().filter(|crash| !crash.cleared);
+        let Some(last) = counted.map(|crash| crash.at).max() else {
             return ContentStatus::Clear;
         };
-        let left = (last + QUARANTINED_FOR).saturating_duration_since(now);
-        if self.crashes_in_turn().len() < CRASHES_TO_QUARANTINE || left.is_zero() {
+        let left = (last + QUARANTINE_DURATION).saturating_duration_since(now);
+        if self.successive_crashes().len() < CRASHES_TO_QUARANTINE || left.is_zero() {
             return ContentStatus::Suspect;
         }
         ContentStatus::Quarantined(left)
     }
 
-    /// The crashes, by server, that came one after the other: the request was sent after the
-    /// crash before, or the server crashed clearly later. Servers that are lost together, with
-    /// the same content at each because many ask for it, count as one.
-    fn crashes_in_turn(&self) -> Vec<ServerFingerprint> {
-        let mut held: Vec<&Crash> = self.crashes.iter().filter(|crash| !crash.cleared).collect();
-        held.sort_unstable_by_key(|crash| crash.at);
-        let mut in_turn = Vec::new();
+    /// Returns the servers whose crashes were successive: the request was sent after the previous
+    /// crash, or the server crashed at least [`MIN_CRASH_SEPARATION`] later. Servers that are lost
+    /// together, each while running a popular content, count as one.
+    fn successive_crashes(&self) -> Vec<ServerFingerprint> {
+        let mut counted: Vec<&Crash> = self.crashes.iter().filter(|crash| !crash.cleared).collect();
+        counted.sort_unstable_by_key(|crash| crash.at);
+        let mut successive = Vec::new();
         let mut last = None;
-        for crash in held {
+        for crash in counted {
             let is_next = last.is_none_or(|last: Instant| {
-                crash.sent_at >= last || crash.at >= last + CLEARLY_LATER
+                crash.sent_at >= last || crash.at >= last + MIN_CRASH_SEPARATION
             });
             if is_next {
-                in_turn.push(crash.server);
+                successive.push(crash.server);
                 last = Some(crash.at);
             }
         }
-        in_turn
+        successive
     }
 
     fn is_quarantined(&self, now: Instant) -> bool {
         matches!(self.status(now), ContentStatus::Quarantined(_))
     }
 
-    /// Takes a crash; answers whether that changed anything.
-    fn take(&mut self, crash: Crash) -> bool {
+    /// Adds a crash, or merges it with the known one of the same server. Returns whether that
+    /// changed anything.
+    fn add_crash(&mut self, crash: Crash) -> bool {
         let found = self
             .crashes
             .binary_search_by_key(&crash.server, |known| known.server);
         match found {
             Ok(at) => {
                 let known = &mut self.crashes[at];
-                let is_news = crash.cleared && !known.cleared;
+                let is_new = crash.cleared && !known.cleared;
                 known.cleared |= crash.cleared;
-                known.seen_here |= crash.seen_here;
-                is_news
+                known.observed_locally |= crash.observed_locally;
+                is_new
             }
             Err(at) => {
                 self.crashes.insert(at, crash);
                 if self.crashes.len() > MAX_CRASHES {
-                    self.drop_one();
+                    self.drop_least_relevant();
                 }
                 true
             }
         }
     }
 
-    /// Drops the oldest crash, of those first that add nothing to what is held against it.
-    fn drop_one(&mut self) {
-        let in_turn = self.crashes_in_turn();
+    /// Drops the oldest crash, preferably one that is not counted as successive.
+    fn drop_least_relevant(&mut self) {
+        let successive = self.successive_crashes();
         let crashes = self.crashes.iter().enumerate();
-        let least = crashes.min_by_key(|(_, crash)| (in_turn.contains(&crash.server), crash.at));
+        let least = crashes.min_by_key(|(_, crash)| (successive.contains(&crash.server), crash.at));
         if let Some((at, _)) = least {
             self.crashes.remove(at);
         }
     }
 
-    /// How much is held against it, and when the last of it happened: what goes first is least.
-    fn weight(&self) -> (usize, Option<Instant>) {
-        let held = self.crashes.iter().filter(|crash| !crash.cleared).count();
-        (held, self.crashes.iter().map(|crash| crash.at).max())
+    /// Returns the number of crashes that count against the content and the time of the last crash.
+    /// The content with the lowest value is dropped first.
+    fn eviction_rank(&self) -> (usize, Option<Instant>) {
+        let counted = self.crashes.iter().filter(|crash| !crash.cleared).count();
+        (counted, self.crashes.iter().map(|crash| crash.at).max())
     }
 }
 
 impl Quarantine {
-    /// Whether nothing is remembered.
+    /// Returns whether no crash is kept.
     pub fn is_empty(&self) -> bool {
-        self.accused.is_empty()
+        self.suspected.is_empty()
     }
 
-    /// What may be done with a request of that content.
+    /// Returns whether requests with that content may run.
     pub fn status(&self, content: &str, now: Instant) -> ContentStatus {
         match self.position(content) {
-            Ok(at) => self.accused[at].status(now),
+            Ok(at) => self.suspected[at].status(now),
             Err(_) => ContentStatus::Clear,
         }
     }
 
-    /// Whether a batch item of that content may run: also as a trial while it is quarantined.
+    /// Returns whether a batch item with that content may run, including as a trial while the
+    /// content is quarantined.
     pub fn may_run_item(&self, content: &str, now: Instant) -> bool {
         let Ok(at) = self.position(content) else {
             return true;
         };
-        let accused = &self.accused[at];
-        if !accused.is_quarantined(now) {
+        let suspected = &self.suspected[at];
+        if !suspected.is_quarantined(now) {
             return true;
         }
-        let trials_left = accused.crashes_in_turn().len() < CRASHES_TO_QUARANTINE + ITEM_TRIALS;
-        let held = accused.crashes.iter().filter(|crash| !crash.cleared);
-        let last = held.map(|crash| crash.at).max();
-        trials_left && last.is_none_or(|last| now >= last + ITEM_TRIAL_AFTER)
+        let trials_left =
+            suspected.successive_crashes().len() < CRASHES_TO_QUARANTINE + MAX_ITEM_TRIALS;
+        let counted = suspected.crashes.iter().filter(|crash| !crash.cleared);
+        let last = counted.map(|crash| crash.at).max();
+        trials_left && last.is_none_or(|last| now >= last + ITEM_TRIAL_DELAY)
     }
 
-    /// Takes note that a server crashed under a request, as this process saw. Answers whether
-    /// the content is quarantined by it.
-    pub fn record_crash(&mut self, content: &str, seen: ObservedCrash, now: Instant) -> bool {
+    /// Records a crash that this process observed while a request with that content was at the
+    /// server. Returns whether the crash caused the content to be quarantined.
+    pub fn record_crash(&mut self, content: &str, observed: ObservedCrash, now: Instant) -> bool {
         let before = self.status(content, now);
         let crash = Crash {
-            server: seen.server,
-            service: seen.service,
-            sent_at: seen.sent_at,
-            at: seen.broke_at,
+            server: observed.server,
+            service: observed.service,
+            sent_at: observed.sent_at,
+            at: observed.cut_off_at,
             cleared: false,
-            seen_here: true,
+            observed_locally: true,
         };
-        self.take(content, crash);
-        self.forget(now);
-        self.digest = digest_of(&self.accused);
+        self.add_crash(content, crash);
+        self.prune_crashes(now);
+        self.digest = digest_of(&self.suspected);
         let after = self.status(content, now);
         matches!(after, ContentStatus::Quarantined(_))
             && !matches!(before, ContentStatus::Quarantined(_))
     }
 
-    /// Takes note that a server of `service` answered a request of that content whole. Answers
-    /// whether a crash there was held against it: what another service makes of it says nothing.
+    /// Records that a server of `service` sent a complete response to a request with that content.
+    /// Returns whether this cleared a crash. Only crashes of the same service are cleared, because
+    /// another service may process the content in another way.
     pub fn record_success(&mut self, content: &str, service: &str) -> bool {
         let Ok(at) = self.position(content) else {
             return false;
         };
-        let mut was_held = false;
-        for crash in &mut self.accused[at].crashes {
+        let mut cleared_any = false;
+        for crash in &mut self.suspected[at].crashes {
             if crash.service == service {
-                was_held |= !crash.cleared;
+                cleared_any |= !crash.cleared;
                 crash.cleared = true;
             }
         }
-        self.digest = digest_of(&self.accused);
-        was_held
+        self.digest = digest_of(&self.suspected);
+        cleared_any
     }
 
-    /// Takes what another process knows. Answers whether anything was new.
+    /// Merges the crashes that another process reported. Returns whether that changed anything.
     pub fn merge(&mut self, reports: &[CrashReport], now: Instant) -> bool {
         let mut changed = false;
         for report in reports {
@@ -288,22 +296,22 @@
                 sent_at: at.checked_sub(report.ran_for).unwrap_or(at),
                 at,
                 cleared: report.cleared,
-                seen_here: false,
+                observed_locally: false,
             };
-            changed |= self.take(&report.content, crash);
+            changed |= self.add_crash(&report.content, crash);
         }
-        self.forget(now);
-        self.digest = digest_of(&self.accused);
+        self.prune_crashes(now);
+        self.digest = digest_of(&self.suspected);
         changed
     }
 
-    /// All that is remembered.
+    /// Returns all crashes that are kept.
     pub fn reports(&self, now: Instant) -> Vec<CrashReport> {
-        let accused = self.accused.iter();
-        accused
-            .flat_map(|accused| {
-                accused.crashes.iter().map(|crash| CrashReport {
-                    content: accused.content.clone(),
+        let suspected = self.suspected.iter();
+        suspected
+            .flat_map(|suspected| {
+                suspected.crashes.iter().map(|crash| CrashReport {
+                    content: suspected.content.clone(),
                     server: crash.server,
                     service: crash.service.clone(),
                     age: now.duration_since(crash.at),
@@ -314,70 +322,74 @@
             .collect()
     }
 
-    /// What is remembered of one content.
+    /// Returns the crashes that are kept of one content.
     pub fn reports_on(&self, content: &str, now: Instant) -> Vec<CrashReport> {
         let mut reports = self.reports(now);
         reports.retain(|report| report.content == content);
         reports
     }
 
-    /// Quarantined contents of which this process saw a crash; sorted.
+    /// Returns the quarantined contents of which this process observed a crash itself, sorted.
     pub fn quarantined_locally(&self, now: Instant) -> Vec<ContentFingerprint> {
-        let quarantined = self.accused.iter().filter(|accused| {
-            let seen_here = accused.crashes.iter().any(|crash| crash.seen_here);
-            seen_here && accused.is_quarantined(now)
+        let quarantined = self.suspected.iter().filter(|suspected| {
+            let observed_locally = suspected.crashes.iter().any(|crash| crash.observed_locally);
+            observed_locally && suspected.is_quarantined(now)
         });
-        quarantined.map(|accused| accused.content.clone()).collect()
+        quarantined
+            .map(|suspected| suspected.content.clone())
+            .collect()
     }
 
-    /// Stands for all that is remembered.
+    /// Returns the digest of all crashes that are kept.
     pub fn digest(&self) -> QuarantineDigest {
         self.digest
     }
 
-    fn take(&mut self, content: &str, crash: Crash) -> bool {
+    fn add_crash(&mut self, content: &str, crash: Crash) -> bool {
         match self.position(content) {
-            Ok(at) => self.accused[at].take(crash),
+            Ok(at) => self.suspected[at].add_crash(crash),
             Err(at) => {
-                let accused = Accused {
+                let suspected = SuspectedContent {
                     content: content.to_owned(),
                     crashes: vec![crash],
                 };
-                self.accused.insert(at, accused);
+                self.suspected.insert(at, suspected);
                 true
             }
         }
     }
 
-    /// Drops what is too old, and the least suspect of too many contents.
-    fn forget(&mut self, now: Instant) {
-        for accused in &mut self.accused {
-            let crashes = &mut accused.crashes;
+    /// Drops crashes older than [`CRASH_RETENTION`], and the least suspected of more than
+    /// [`MAX_CONTENTS`] contents.
+    fn prune_crashes(&mut self, now: Instant) {
+        for suspected in &mut self.suspected {
+            let crashes = &mut suspected.crashes;
             crashes.retain(|crash| now.duration_since(crash.at) < CRASH_RETENTION);
         }
-        self.accused.retain(|accused| !accused.crashes.is_empty());
-        while self.accused.len() > MAX_CONTENTS {
-            let accused = self.accused.iter().enumerate();
-            let least = accused.min_by_key(|(_, accused)| accused.weight());
+        self.suspected
+            .retain(|suspected| !suspected.crashes.is_empty());
+        while self.suspected.len() > MAX_CONTENTS {
+            let suspected = self.suspected.iter().enumerate();
+            let least = suspected.min_by_key(|(_, suspected)| suspected.eviction_rank());
             let Some((at, _)) = least else { break };
-            self.accused.remove(at);
+            self.suspected.remove(at);
         }
     }
 
     fn position(&self, content: &str) -> Result<usize, usize> {
-        self.accused
-            .binary_search_by(|accused| accused.content.as_str().cmp(content))
+        self.suspected
+            .binary_search_by(|suspected| suspected.content.as_str().cmp(content))
     }
 }
 
-fn digest_of(accused: &[Accused]) -> QuarantineDigest {
-    if accused.is_empty() {
+fn digest_of(suspected: &[SuspectedContent]) -> QuarantineDigest {
+    if suspected.is_empty() {
         return 0;
     }
     let mut hasher = DefaultHasher::new();
-    for one in accused {
-        one.content.hash(&mut hasher);
-        for crash in &one.crashes {
+    for entry in suspected {
+        entry.content.hash(&mut hasher);
+        for crash in &entry.crashes {
             (crash.server, crash.cleared).hash(&mut hasher);
         }
     }
--- a/crates/foxwheel-policy/tests/quarantine.rs
+++ b/crates/foxwheel-policy/tests/quarantine.rs
@@ -25,7 +25,7 @@
         server,
         service: "model".to_owned(),
         sent_at: at - Duration::from_millis(20),
-        broke_at: at,
+        cut_off_at: at,
     }
 }
 
