--- a/crates/foxwheel-node/src/job_store.rs
+++ b/crates/foxwheel-node/src/job_store.rs
@@ -81,7 +81,7 @@
         source: serde_json::Error,
     },
     /// A single item does not fit into one value of the store.
-    #[error("item '{item}' is larger than the store's maximum value size")]
+    #[error("item '{item}' is larger than the store's values may be")]
     ItemTooLarge {
         /// Id of the item.
         item: String,
--- a/crates/foxwheel-store/src/client.rs
+++ b/crates/foxwheel-store/src/client.rs
@@ -291,7 +291,7 @@
         match error {
             store::StoreError::RateLimited { .. } => StoreError::Busy { step, peer },
             store::StoreError::TooLarge { .. } => StoreError::TooLarge { step, peer },
-            store::StoreError::Unreadable { reason, .. } => StoreError::Decode {
+            store::StoreError::InvalidResponse { reason, .. } => StoreError::Decode {
                 step,
                 peer,
                 detail: reason,
