--- a/crates/foxwheel-node/src/heartbeat.rs
+++ b/crates/foxwheel-node/src/heartbeat.rs
@@ -1,8 +1,8 @@
-//! Datagrams between processes: heartbeats and changes of load within a zone, summaries and
-//! the load of guests between zones.
+//! Sends and receives datagrams between processes: heartbeats and load changes within a zone,
+//! summaries and cross-zone loads between zones.
 //!
-//! They carry liveness, load and held jobs without a call to the platform: a check through
-//! the store would cost a write and a wake-up of every watcher for each beat.
+//! Datagrams report liveness, load and owned jobs without calls to the platform. Liveness checks
+//! through the store would cost one write, and one wake-up of every watcher, per heartbeat.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -27,52 +27,53 @@
 };
 use crate::zone_representative;
 
-/// Largest datagram that can be received.
+/// Size of the receive buffer: the largest possible datagram.
 const MAX_DATAGRAM_BYTES: usize = 65_535;
 
-/// Most addresses of others told in one heartbeat.
-const MAX_KNOWN: usize = 40;
+/// Maximum number of other processes' addresses in one heartbeat.
+const MAX_KNOWN_ADDRESSES: usize = 40;
 
-/// Heartbeats for each one that tells of all processes that are heard: once a second. The
-/// others tell of workers only, whose liveness others rely on; with all addresses in each,
-/// these took half of the bytes in a zone of 25 processes.
-const PER_FULL_INTRODUCTION: u64 = 10;
+/// Every tenth heartbeat, one per second, contains the addresses of all processes whose
+/// heartbeats are received. The others contain only those of workers, because other processes
+/// derive the liveness of workers from them. With all addresses in every heartbeat, the addresses
+/// were half of the bytes sent in a zone of 25 processes.
+const HEARTBEATS_PER_FULL_ADDRESS_LIST: u64 = 10;
 
-/// Sends and receives until cancelled.
+/// Sends and receives datagrams until cancelled.
 pub async fn run(node: Arc<Node>, socket: UdpSocket, cancel: CancellationToken) {
     let socket = Arc::new(socket);
     let sequence = Arc::new(AtomicU64::new(0));
-    let datagram_sender = DatagramSender::new(Arc::clone(&node), Arc::clone(&socket));
-    let receiving = receive(datagram_sender.clone(), socket, Arc::clone(&sequence));
-    let sender = Sender {
-        datagram_sender,
+    let datagrams = DatagramSender::new(Arc::clone(&node), Arc::clone(&socket));
+    let receiving = receive_messages(datagrams.clone(), socket, Arc::clone(&sequence));
+    let reporter = Reporter {
+        datagrams,
         node,
         sequence,
-        heartbeats: 0,
+        heartbeat_count: 0,
         next_heartbeat_at: Instant::now(),
-        changes: ReportTimer::new(load_reports::MIN_CHANGES_INTERVAL),
-        cross_zone_loads: ReportTimer::new(load_reports::MIN_CROSS_ZONE_LOADS_INTERVAL),
-        visited: Vec::new(),
+        load_changes_timer: ReportTimer::new(load_reports::MIN_CHANGES_INTERVAL),
+        cross_zone_timer: ReportTimer::new(load_reports::MIN_CROSS_ZONE_LOADS_INTERVAL),
+        zones_to_report: Vec::new(),
     };
     tokio::select! {
         () = cancel.cancelled() => {}
         () = receiving => {}
-        () = sender.run() => {}
+        () = reporter.run() => {}
     }
 }
 
-async fn receive(
-    datagram_sender: DatagramSender,
+async fn receive_messages(
+    datagrams: DatagramSender,
     socket: Arc<UdpSocket>,
     sequence: Arc<AtomicU64>,
 ) {
-    let node = datagram_sender.node();
+    let node = datagrams.node();
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let received = match socket.recv_from(&mut buffer).await {
             Ok((length, _)) => &buffer[..length],
             Err(e) => {
-                log::warn!(error:% = e; "heartbeat not received");
+                log::warn!(error:% = e; "cannot receive datagram");
                 tokio::time::sleep(load_reports::HEARTBEAT_INTERVAL).await;
                 continue;
             }
@@ -80,136 +81,139 @@
         node.metrics.incr(Counter::PeerMessageReceived);
         node.metrics.add(Counter::PeerBytesReceived, received.len());
         match postcard::from_bytes::<PeerMessage>(received) {
-            Ok(message) => take(&datagram_sender, message, &sequence).await,
+            Ok(message) => apply_message(&datagrams, message, &sequence).await,
             Err(_) => node.metrics.incr(Counter::HeartbeatDecodeFailed),
         }
     }
 }
 
-async fn take(datagram_sender: &DatagramSender, message: PeerMessage, sequence: &AtomicU64) {
-    let node = datagram_sender.node();
+/// Stores the content of a message, or responds to it if it asks for something.
+async fn apply_message(datagrams: &DatagramSender, message: PeerMessage, sequence: &AtomicU64) {
+    let node = datagrams.node();
     let now = Instant::now();
     let own = node.settings.peer_address();
     match message {
-        PeerMessage::Heartbeat(beat) if node.peers.should_introduce(&beat) => {
-            return introduce(datagram_sender, &beat).await;
+        PeerMessage::Heartbeat(heartbeat) if node.peers.should_introduce(&heartbeat) => {
+            return send_introduction(datagrams, &heartbeat).await;
         }
-        PeerMessage::Heartbeat(beat) => apply_heartbeat(node, beat, own, now),
+        PeerMessage::Heartbeat(heartbeat) => apply_heartbeat(node, heartbeat, own, now),
         PeerMessage::LoadChanges(changes) => node.peers.apply_load_changes(changes, now),
-        PeerMessage::GuestLoads(told) => {
-            zone_representative::apply_cross_zone_loads(datagram_sender, node, told, now).await
+        PeerMessage::GuestLoads(report) => {
+            zone_representative::apply_cross_zone_loads(datagrams, node, report, now).await
         }
         PeerMessage::Summary(summary) => {
-            hear_quarantine(node, summary.quarantine);
+            request_crash_sync_if_different(node, summary.quarantine);
             let age = Duration::ZERO;
-            let told = AgedSummary { age, summary };
-            node.peers.apply_summary(told, SummarySource::Direct, now);
+            let received = AgedSummary { age, summary };
+            node.peers
+                .apply_summary(received, SummarySource::Direct, now);
         }
         PeerMessage::Summaries(summaries) => {
-            for told in summaries {
+            for received in summaries {
                 node.peers
-                    .apply_summary(told, SummarySource::Forwarded, now);
+                    .apply_summary(received, SummarySource::Forwarded, now);
             }
         }
-        PeerMessage::SummaryWanted(asker) => {
-            return zone_representative::answer(
-                datagram_sender,
+        PeerMessage::SummaryWanted(requester) => {
+            return zone_representative::respond_with_summary(
+                datagrams,
                 node,
-                &asker,
+                &requester,
                 next_sequence(sequence),
             )
             .await;
         }
-        PeerMessage::Introduction(told) => node.peers.apply_introduction(&told, own, now),
+        PeerMessage::Introduction(received) => node.peers.apply_introduction(&received, own, now),
     }
     node.peer_update.notify_waiters();
 }
 
-fn apply_heartbeat(node: &Node, beat: Heartbeat, own: SocketAddr, now: Instant) {
-    let host = beat.host.clone();
-    let (incarnation, leaving) = (beat.incarnation, beat.leaving);
-    if beat.follows && beat.knows.is_newer_than(node.state_version()) {
+fn apply_heartbeat(node: &Node, heartbeat: Heartbeat, own: SocketAddr, now: Instant) {
+    let host = heartbeat.host.clone();
+    let (incarnation, leaving) = (heartbeat.incarnation, heartbeat.leaving);
+    if heartbeat.follows && heartbeat.knows.is_newer_than(node.state_version()) {
         node.watcher_update.notify_one();
     }
-    hear_quarantine(node, beat.quarantine);
-    if node.peers.apply_heartbeat(beat, own, now) {
+    request_crash_sync_if_different(node, heartbeat.quarantine);
+    if node.peers.apply_heartbeat(heartbeat, own, now) {
         log::info!(peer = host, incarnation, leaving; "peer is alive");
     }
 }
 
-/// Has the sender of a message asked, if it knows of other crashes of servers.
-fn hear_quarantine(node: &Node, told: QuarantineDigest) {
-    if told != 0 && told != node.quarantine_state() {
+/// Triggers a request for crash reports if the sender of a message knows crashes of servers and
+/// its set of them differs from that of this process.
+fn request_crash_sync_if_different(node: &Node, reported: QuarantineDigest) {
+    if reported != 0 && reported != node.quarantine_state() {
         node.quarantine_update.notify_one();
     }
 }
 
-/// Answers a process of another zone that does not know who is here.
-async fn introduce(datagram_sender: &DatagramSender, beat: &Heartbeat) {
-    let node = datagram_sender.node();
-    let stranger = PeerEndpoint {
-        addr: beat.addr,
-        zone: beat.zone.clone(),
-        role: beat.role,
+/// Responds to a process of another zone that does not know this process.
+async fn send_introduction(datagrams: &DatagramSender, heartbeat: &Heartbeat) {
+    let node = datagrams.node();
+    let unknown_process = PeerEndpoint {
+        addr: heartbeat.addr,
+        zone: heartbeat.zone.clone(),
+        role: heartbeat.role,
     };
-    node.peers.add_endpoint(&stranger, Instant::now());
+    node.peers.add_endpoint(&unknown_process, Instant::now());
     let introduction = Introduction {
         from: node.endpoint(),
-        others: node.peers.endpoints_to_introduce(&beat.zone),
+        others: node.peers.endpoints_to_introduce(&heartbeat.zone),
     };
     let message = PeerMessage::Introduction(introduction);
-    datagram_sender.send(&message, &[beat.addr]).await;
+    datagrams.send(&message, &[heartbeat.addr]).await;
 }
 
 /// Why a heartbeat is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Cause {
-    /// Its time has come.
-    Time,
-    /// Something must be known at once.
-    News,
+enum HeartbeatTrigger {
+    /// The heartbeat interval has passed.
+    Interval,
+    /// The process's state changed in a way that others must learn at once.
+    UrgentUpdate,
 }
 
-/// What a process tells the others.
-struct Sender {
-    datagram_sender: DatagramSender,
+/// Sends this process's state to the other processes.
+struct Reporter {
+    datagrams: DatagramSender,
     node: Arc<Node>,
-    /// Number of the last message; answers to others are counted with it.
+    /// Sequence number of the last message. Responses to other processes' messages share it.
     sequence: Arc<AtomicU64>,
-    /// Heartbeats so far.
-    heartbeats: u64,
+    /// Number of heartbeats sent so far.
+    heartbeat_count: u64,
     next_heartbeat_at: Instant,
-    changes: ReportTimer,
-    cross_zone_loads: ReportTimer,
-    /// Other zones to be told of the load on their servers; sorted.
-    visited: Vec<Zone>,
+    load_changes_timer: ReportTimer,
+    cross_zone_timer: ReportTimer,
+    /// Other zones that need a report of this process's load on their servers, sorted.
+    zones_to_report: Vec<Zone>,
 }
 
-impl Sender {
+impl Reporter {
     async fn run(mut self) {
         let mut ticks = tokio::time::interval(load_reports::HEARTBEAT_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let node = Arc::clone(&self.node);
         loop {
             let heartbeat = tokio::select! {
-                _ = ticks.tick() => Some(Cause::Time),
-                () = node.urgent_heartbeat.notified() => Some(Cause::News),
+                _ = ticks.tick() => Some(HeartbeatTrigger::Interval),
+                () = node.urgent_heartbeat.notified() => Some(HeartbeatTrigger::UrgentUpdate),
                 () = node.loads.load_changed.notified() => None,
-                () = wait_until(self.changes.next_at()), if node.loads.has_changes() => None,
-                () = wait_until(self.cross_zone_loads.next_at()), if !self.visited.is_empty() => None,
+                () = wait_until(self.load_changes_timer.next_at()), if node.loads.has_changes() => None,
+                () = wait_until(self.cross_zone_timer.next_at()), if !self.zones_to_report.is_empty() => None,
             };
             let now = Instant::now();
-            if let Some(cause) = heartbeat.filter(|_| now >= self.next_heartbeat_at) {
-                let bytes = self.send_heartbeat(cause, now).await;
+            if let Some(trigger) = heartbeat.filter(|_| now >= self.next_heartbeat_at) {
+                let bytes = self.send_heartbeat(trigger, now).await;
                 self.next_heartbeat_at = now + load_reports::min_delay_after(bytes);
             }
-            if self.changes.is_due(now) && node.loads.has_changes() {
-                self.changes.record_report(now);
-                self.send_changes(now).await;
+            if self.load_changes_timer.is_due(now) && node.loads.has_changes() {
+                self.load_changes_timer.record_report(now);
+                self.send_load_changes(now).await;
             }
-            if self.cross_zone_loads.is_due(now) && !self.visited.is_empty() {
-                self.cross_zone_loads.record_report(now);
-                self.send_guest_loads(now).await;
+            if self.cross_zone_timer.is_due(now) && !self.zones_to_report.is_empty() {
+                self.cross_zone_timer.record_report(now);
+                self.send_cross_zone_loads(now).await;
             }
         }
     }
@@ -218,54 +222,56 @@
         next_sequence(&self.sequence)
     }
 
-    /// Sends one heartbeat, and what goes out with every few of them; answers its size.
-    async fn send_heartbeat(&mut self, cause: Cause, now: Instant) -> usize {
-        self.heartbeats += 1;
+    /// Sends one heartbeat and the messages that accompany every few heartbeats. Returns the
+    /// size of the heartbeat in bytes.
+    async fn send_heartbeat(&mut self, trigger: HeartbeatTrigger, now: Instant) -> usize {
+        self.heartbeat_count += 1;
         self.node.select_representatives(now);
         let sequence = self.next_sequence();
-        let mut beat = heartbeat(&self.node, sequence, now);
-        let whole = self.heartbeats % PER_FULL_INTRODUCTION == 1;
-        beat.known = self.node.peers.live_addresses(!whole, now);
-        beat.known.truncate(MAX_KNOWN);
+        let mut heartbeat = build_heartbeat(&self.node, sequence, now);
+        let is_full = self.heartbeat_count % HEARTBEATS_PER_FULL_ADDRESS_LIST == 1;
+        heartbeat.known = self.node.peers.live_addresses(!is_full, now);
+        heartbeat.known.truncate(MAX_KNOWN_ADDRESSES);
         let mut local = self
             .node
             .peers
             .heartbeat_recipients(HeartbeatScope::OwnZone, now);
-        if cause == Cause::Time && !load_reports::is_zone_wide(self.heartbeats, local.len()) {
+        if trigger == HeartbeatTrigger::Interval
+            && !load_reports::is_zone_wide(self.heartbeat_count, local.len())
+        {
             local = self.node.representatives_and_subscribers(now);
         }
-        let message = PeerMessage::Heartbeat(beat.clone());
-        let bytes = self.datagram_sender.send(&message, &local).await;
-        if self.heartbeats % load_reports::REPORTS_PER_REMOTE_REPORT == 1 {
-            beat.loads.clear();
-            let beyond = self
+        let message = PeerMessage::Heartbeat(heartbeat.clone());
+        let bytes = self.datagrams.send(&message, &local).await;
+        if self.heartbeat_count % load_reports::REPORTS_PER_REMOTE_REPORT == 1 {
+            heartbeat.loads.clear();
+            let remote = self
                 .node
                 .peers
                 .heartbeat_recipients(HeartbeatScope::OtherZones, now);
-            let message = PeerMessage::Heartbeat(beat);
-            self.datagram_sender.send(&message, &beyond).await;
+            let message = PeerMessage::Heartbeat(heartbeat);
+            self.datagrams.send(&message, &remote).await;
             let loads = self.node.loads.snapshot();
-            self.note_visited(&loads);
-            zone_representative::ask_silent_zones(&self.datagram_sender, &self.node, now).await;
+            self.record_zones_to_report(&loads);
+            zone_representative::request_missing_summaries(&self.datagrams, &self.node, now).await;
         }
         let per_summary = match self.node.representative_rank(now) {
             Rank::Primary => Some(load_reports::REPORTS_PER_SUMMARY),
             Rank::Secondary => Some(load_reports::REPORTS_PER_SECONDARY_SUMMARY),
             Rank::None => None,
         };
-        if per_summary.is_some_and(|per_summary| self.heartbeats % per_summary == 1) {
+        if per_summary.is_some_and(|per_summary| self.heartbeat_count % per_summary == 1) {
             let sequence = self.next_sequence();
-            zone_representative::send_summary(&self.datagram_sender, &self.node, sequence, now)
-                .await;
+            zone_representative::send_summary(&self.datagrams, &self.node, sequence, now).await;
         }
-        zone_representative::pass_on_summaries(&self.datagram_sender, &self.node, now).await;
+        zone_representative::forward_summaries(&self.datagrams, &self.node, now).await;
         bytes
     }
 
-    /// Tells changes of load to the own zone, and notes which other zones must know of them.
-    async fn send_changes(&mut self, now: Instant) {
+    /// Sends load changes to the own zone and records which other zones need a report of them.
+    async fn send_load_changes(&mut self, now: Instant) {
         let loads = self.node.loads.take_changes();
-        self.note_visited(&loads);
+        self.record_zones_to_report(&loads);
         let changes = LoadChanges {
             host: self.node.settings.host.clone(),
             incarnation: self.node.incarnation,
@@ -277,42 +283,44 @@
             .peers
             .heartbeat_recipients(HeartbeatScope::OwnZone, now);
         let message = PeerMessage::LoadChanges(changes);
-        self.datagram_sender.send(&message, &local).await;
+        self.datagrams.send(&message, &local).await;
     }
 
-    fn note_visited(&mut self, loads: &[ServerLoad]) {
+    fn record_zones_to_report(&mut self, loads: &[ServerLoad]) {
         let zones = loads
             .iter()
             .filter_map(|load| self.node.server_zone(&load.server));
         for zone in zones.filter(|zone| *zone != self.node.settings.availability_zone) {
-            if let Err(at) = self.visited.binary_search(&zone) {
-                self.visited.insert(at, zone);
+            if let Err(at) = self.zones_to_report.binary_search(&zone) {
+                self.zones_to_report.insert(at, zone);
             }
         }
     }
 
-    /// Tells other zones of this process's load on their servers: who chooses among them must
-    /// know of it.
-    async fn send_guest_loads(&mut self, now: Instant) {
+    /// Reports this process's load on other zones' servers to those zones, because the processes
+    /// there that choose among the same servers must take it into account.
+    async fn send_cross_zone_loads(&mut self, now: Instant) {
         let loads = self.node.loads.snapshot();
         let zones = self.node.peers.other_zone_recipients(now);
-        for visited in std::mem::take(&mut self.visited) {
-            let Some((_, speakers)) = zones.iter().find(|(zone, _)| *zone == visited) else {
+        for reported_zone in std::mem::take(&mut self.zones_to_report) {
+            let Some((_, recipients)) = zones.iter().find(|(zone, _)| *zone == reported_zone)
+            else {
                 continue;
             };
             let sequence = self.next_sequence();
-            let at_zone =
-                |load: &&ServerLoad| self.node.server_zone(&load.server).as_ref() == Some(&visited);
-            let told = CrossZoneLoads {
+            let is_in_zone = |load: &&ServerLoad| {
+                self.node.server_zone(&load.server).as_ref() == Some(&reported_zone)
+            };
+            let report = CrossZoneLoads {
                 host: self.node.settings.host.clone(),
                 zone: self.node.settings.availability_zone.clone(),
                 incarnation: self.node.incarnation,
                 sequence,
                 passed_on: false,
-                loads: loads.iter().filter(at_zone).cloned().collect(),
+                loads: loads.iter().filter(is_in_zone).cloned().collect(),
             };
-            self.datagram_sender
-                .send(&PeerMessage::GuestLoads(told), speakers)
+            self.datagrams
+                .send(&PeerMessage::GuestLoads(report), recipients)
                 .await;
         }
     }
@@ -322,13 +330,14 @@
     sequence.fetch_add(1, Ordering::Relaxed) + 1
 }
 
+/// Waits until `at`. Returns at once if it is None.
 async fn wait_until(at: Option<Instant>) {
     if let Some(at) = at {
         tokio::time::sleep_until(at.into()).await;
     }
 }
 
-fn heartbeat(node: &Node, sequence: u64, now: Instant) -> Heartbeat {
+fn build_heartbeat(node: &Node, sequence: u64, now: Instant) -> Heartbeat {
     Heartbeat {
         host: node.settings.host.clone(),
         incarnation: node.incarnation,
@@ -342,7 +351,7 @@
         store_answered_ago: node.store.time_since_response(now),
         knows: node.state_version(),
         quarantine: node.quarantine_state(),
-        speakers: node.speakers(),
+        speakers: node.representatives(),
         loads: node.loads.snapshot(),
         gone: node.dead_instances(now),
         claims: node.claims(),
--- a/crates/foxwheel-node/src/load_table.rs
+++ b/crates/foxwheel-node/src/load_table.rs
@@ -1,5 +1,6 @@
-//! What this process knows of each backend server's load and health. All of it belongs to one
-//! start of a server: a later start under the same id begins with nothing.
+//! This process's own load on each backend server, and its record of each server's health. All
+//! of it is kept by server instance: a restarted server with the same id begins without load and
+//! without failures.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -11,15 +12,15 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-/// How long a server that was silent or could not be connected to is avoided.
-const SUSPECT_FOR: Duration = Duration::from_millis(1_500);
+/// How long a server is avoided after it was silent or could not be connected to.
+const SUSPICION_DURATION: Duration = Duration::from_millis(1_500);
 
-/// Which kind of work a request is.
+/// The class of work that a request belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkClass {
-    /// A caller waits for it.
+    /// An online request, whose caller is waiting for the response.
     Online,
-    /// A batch item.
+    /// An item of a batch job.
     Batch,
 }
 
@@ -28,25 +29,25 @@
     server: ServerInstance,
     online: u32,
     batch: u32,
-    suspect_until: Option<Instant>,
+    suspected_until: Option<Instant>,
     outcomes: OutcomeHistory,
-    progress_at: Option<Instant>,
+    last_progress_at: Option<Instant>,
 }
 
-/// In-flight requests of this process by server, and servers it has reason to avoid.
+/// The requests that this process has in flight at each server, and the servers that it avoids.
 #[derive(Debug, Default)]
 pub struct LoadTable {
-    /// Sorted by server and start.
+    /// Sorted by server instance.
     entries: Mutex<Vec<Entry>>,
-    /// Servers whose load changed since the others were told; sorted.
-    changed: Mutex<Vec<ServerInstance>>,
-    /// Woken when the load of a server changes.
+    /// Servers whose load changed since the last report to the other processes, sorted.
+    unreported: Mutex<Vec<ServerInstance>>,
+    /// Notified when this process's load on a server changes.
     pub load_changed: Notify,
-    /// Woken when a request ends and its slot is free.
+    /// Notified when a request ends and frees its slot.
     pub slot_freed: Notify,
 }
 
-/// A request in flight; dropping it frees its slot.
+/// A request in flight. Dropping it frees the request's slot.
 #[derive(Debug)]
 pub struct InFlight {
     table: Arc<LoadTable>,
@@ -55,25 +56,25 @@
 }
 
 impl InFlight {
-    /// The server.
+    /// Returns the server instance that serves the request.
     pub fn server(&self) -> &ServerInstance {
         &self.server
     }
 }
 
-/// Requests in flight at one start of a server from one process.
+/// The requests that one process has in flight at one server instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerLoad {
-    /// The server.
+    /// The server instance.
     pub server: ServerInstance,
-    /// Online requests.
+    /// Number of online requests.
     pub online: u32,
-    /// Batch items.
+    /// Number of batch items.
     pub batch: u32,
 }
 
 impl ServerLoad {
-    /// The load alone.
+    /// Returns the numbers of requests without the server.
     pub fn requests(&self) -> RequestCounts {
         RequestCounts {
             online: self.online,
@@ -82,24 +83,24 @@
     }
 }
 
-/// One server's load from this process.
+/// This process's load on one server, and its view of the server's health.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct OwnLoad {
-    /// Online requests in flight.
+    /// Number of online requests in flight.
     pub online: u32,
-    /// Batch items in flight.
+    /// Number of batch items in flight.
     pub batch: u32,
-    /// It has been silent or could not be connected to lately.
+    /// Whether the server was recently silent or could not be connected to.
     pub is_suspected: bool,
-    /// The share of this process's requests that it is expected to fail.
+    /// The fraction of this process's requests that the server is expected to fail, 0 to 1.
     pub failure_rate: f64,
 }
 
 impl LoadTable {
-    /// Counts a request as in flight at `server` until the answer is dropped.
+    /// Counts a request as in flight at `server` until the returned value is dropped.
     pub fn begin_request(self: &Arc<Self>, server: &ServerInstance, class: WorkClass) -> InFlight {
-        self.with(server, |entry| *entry.count(class) += 1);
-        self.note_change(server);
+        self.with_entry(server, |entry| *entry.in_flight_mut(class) += 1);
+        self.record_change(server);
         InFlight {
             table: Arc::clone(self),
             server: server.clone(),
@@ -107,21 +108,21 @@
         }
     }
 
-    /// The load this process puts on `server`.
+    /// Returns the load that this process puts on `server`.
     pub fn own_load(&self, server: &ServerInstance, now: Instant) -> OwnLoad {
         let entries = self.entries.lock().expect("load lock");
         match entries.binary_search_by(|entry| entry.server.cmp(server)) {
             Ok(at) => OwnLoad {
                 online: entries[at].online,
                 batch: entries[at].batch,
-                is_suspected: entries[at].suspect_until.is_some_and(|until| now < until),
+                is_suspected: entries[at].suspected_until.is_some_and(|until| now < until),
                 failure_rate: entries[at].outcomes.failure_rate(now),
             },
             Err(_) => OwnLoad::default(),
         }
     }
 
-    /// The load on every server with requests in flight; sorted by server and start.
+    /// Returns the load on every server with requests in flight, sorted by server instance.
     pub fn snapshot(&self) -> Vec<ServerLoad> {
         let entries = self.entries.lock().expect("load lock");
         entries
@@ -135,21 +136,22 @@
             .collect()
     }
 
-    /// Whether there are changes that the others were not told of.
+    /// Returns whether the load of any server changed since the last [`Self::take_changes`].
     pub fn has_changes(&self) -> bool {
         !self
-            .changed
+            .unreported
             .lock()
-            .expect("changed servers lock")
+            .expect("unreported servers lock")
             .is_empty()
     }
 
-    /// The load on every server whose load changed since the last call; sorted by server and
-    /// start.
+    /// Returns the current load on every server whose load changed since the last call, sorted by
+    /// server instance.
     pub fn take_changes(&self) -> Vec<ServerLoad> {
-        let changed = std::mem::take(&mut *self.changed.lock().expect("changed servers lock"));
-        let loads = changed.into_iter().map(|server| {
-            let (online, batch) = self.with(&server, |entry| (entry.online, entry.batch));
+        let unreported =
+            std::mem::take(&mut *self.unreported.lock().expect("unreported servers lock"));
+        let loads = unreported.into_iter().map(|server| {
+            let (online, batch) = self.with_entry(&server, |entry| (entry.online, entry.batch));
             ServerLoad {
                 server,
                 online,
@@ -159,55 +161,58 @@
         loads.collect()
     }
 
-    fn note_change(&self, server: &ServerInstance) {
+    fn record_change(&self, server: &ServerInstance) {
         {
-            let mut changed = self.changed.lock().expect("changed servers lock");
-            if let Err(at) = changed.binary_search(server) {
-                changed.insert(at, server.clone());
+            let mut unreported = self.unreported.lock().expect("unreported servers lock");
+            if let Err(at) = unreported.binary_search(server) {
+                unreported.insert(at, server.clone());
             }
         }
         self.load_changed.notify_one();
     }
 
-    /// Avoids `server` for a while; answers whether that is new.
+    /// Avoids `server` for the next 1.5 seconds. Returns whether it was not being avoided before.
     pub fn mark_suspected(&self, server: &ServerInstance, now: Instant) -> bool {
-        self.with(server, |entry| {
-            let known = entry.suspect_until.is_some_and(|until| now < until);
-            entry.suspect_until = Some(now + SUSPECT_FOR);
-            !known
+        self.with_entry(server, |entry| {
+            let was_suspected = entry.suspected_until.is_some_and(|until| now < until);
+            entry.suspected_until = Some(now + SUSPICION_DURATION);
+            !was_suspected
         })
     }
 
-    /// Takes note of a request that `server` served, or failed.
+    /// Records whether `server` failed a request or served it.
     pub fn record_outcome(&self, server: &ServerInstance, failed: bool, now: Instant) {
-        self.with(server, |entry| entry.outcomes.record(failed, now));
+        self.with_entry(server, |entry| entry.outcomes.record(failed, now));
     }
 
-    /// `server` sent something: it is not avoided any more.
+    /// Records that `server` sent something, and stops avoiding it.
     pub fn record_progress(&self, server: &ServerInstance, now: Instant) {
-        self.with(server, |entry| {
-            entry.suspect_until = None;
-            entry.progress_at = Some(now);
+        self.with_entry(server, |entry| {
+            entry.suspected_until = None;
+            entry.last_progress_at = Some(now);
         });
     }
 
-    /// Whether `server` sent nothing for any request of this process for `silence`. One
-    /// request may wait long at a full server that is at work on others.
+    /// Returns whether `server` has sent nothing for any request of this process for `silence`.
+    /// The silence of a single request is no sign of a failure, because it may wait long at a
+    /// full server that is serving others.
     pub fn is_silent(&self, server: &ServerInstance, silence: Duration, now: Instant) -> bool {
-        self.with(server, |entry| {
+        self.with_entry(server, |entry| {
             entry
-                .progress_at
+                .last_progress_at
                 .is_none_or(|at| now.duration_since(at) >= silence)
         })
     }
 
-    /// Forgets servers that are gone.
-    pub fn remove_servers(&self, gone: &[ServerId]) {
+    /// Removes the records of the servers in `removed`, except of instances with requests in
+    /// flight.
+    pub fn remove_servers(&self, removed: &[ServerId]) {
         let mut entries = self.entries.lock().expect("load lock");
-        entries.retain(|entry| entry.online + entry.batch > 0 || !gone.contains(&entry.server.id));
+        entries
+            .retain(|entry| entry.online + entry.batch > 0 || !removed.contains(&entry.server.id));
     }
 
-    fn with<T>(&self, server: &ServerInstance, act: impl FnOnce(&mut Entry) -> T) -> T {
+    fn with_entry<T>(&self, server: &ServerInstance, update: impl FnOnce(&mut Entry) -> T) -> T {
         let mut entries = self.entries.lock().expect("load lock");
         let at = entries
             .binary_search_by(|entry| entry.server.cmp(server))
@@ -219,12 +224,12 @@
                 entries.insert(at, entry);
                 at
             });
-        act(&mut entries[at])
+        update(&mut entries[at])
     }
 }
 
 impl Entry {
-    fn count(&mut self, class: WorkClass) -> &mut u32 {
+    fn in_flight_mut(&mut self, class: WorkClass) -> &mut u32 {
         match class {
             WorkClass::Online => &mut self.online,
             WorkClass::Batch => &mut self.batch,
@@ -236,8 +241,8 @@
     fn drop(&mut self) {
         let class = self.class;
         self.table
-            .with(&self.server, |entry| *entry.count(class) -= 1);
-        self.table.note_change(&self.server);
+            .with_entry(&self.server, |entry| *entry.in_flight_mut(class) -= 1);
+        self.table.record_change(&self.server);
         self.table.slot_freed.notify_one();
     }
 }
--- a/crates/foxwheel-node/src/node.rs
+++ b/crates/foxwheel-node/src/node.rs
@@ -1,4 +1,4 @@
-//! What the parts of one process share.
+//! The state that the tasks of one process share.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -32,10 +32,11 @@
 use crate::settings::{NodeSettings, Role};
 use crate::store_access::StoreAccess;
 
-/// Bounds on a backend server's silence at the connection level.
+/// Connection timeouts towards backend servers.
 const SERVER_CONNECT_OPTIONS: ConnectOptions = ConnectOptions {
-    // A round trip takes a few milliseconds and a new connection one more; a server that
-    // drops the opening packet is full or gone, and the packet comes again too late.
+    // A round trip takes a few milliseconds, and opening a connection takes one more. A server
+    // that drops the opening packet is overloaded or dead, and the kernel would resend the packet
+    // too late to be of use.
     connect_timeout: Duration::from_millis(250),
     unacknowledged_timeout: drain_timing::MAX_TRANSIT_TIME,
     given_up: GivenUp::Reset,
@@ -44,64 +45,65 @@
 /// The shared state of a front or worker.
 #[derive(Debug)]
 pub struct Node {
-    /// Settings at start.
+    /// Settings from the start of the process.
     pub settings: NodeSettings,
     /// When the process started, in milliseconds since the Unix epoch.
     pub incarnation: Incarnation,
-    /// The operator's configuration in force here.
+    /// The operator's configuration in force.
     pub config: Mutex<ConfigInForce>,
-    /// The backend servers known here.
+    /// The known backend servers.
     pub directory: Mutex<ServerDirectory>,
-    /// Index of the directory's servers, and the generation that it shows.
+    /// Index of the directory's servers, with the directory generation from which it was built.
     server_index: Mutex<(u64, Arc<ServerIndex>)>,
     /// This process's load on each backend server.
     pub loads: Arc<LoadTable>,
-    /// How fast the slots of each service are freed.
+    /// Hold times of slots by service.
     pub hold_times: ServiceHoldTimes,
-    /// Woken to send a heartbeat at once.
+    /// Notified to send a heartbeat at once.
     pub urgent_heartbeat: Notify,
-    /// The other processes.
+    /// What is known of the other processes.
     pub peers: Peers,
-    /// The processes of the zone that this one takes as speakers, first choice first.
-    speakers: Mutex<Vec<NodeId>>,
-    /// When another process last named this one as one of the zone's speakers.
+    /// The representatives of the zone that this process selected, primary first.
+    representatives: Mutex<Vec<NodeId>>,
+    /// When another process was last known to have selected this one as a representative.
     had_subscribers_at: Mutex<Option<Instant>>,
-    /// When what other processes told was last known to be all that the store has.
+    /// When the state received from other processes was last known to equal that of the store.
     peer_state_current_at: Mutex<Option<Instant>>,
-    /// It follows the store's configuration, which answers.
+    /// Whether this process watches the configuration in the store and the store responds.
     pub config_is_current: AtomicBool,
-    /// It follows the store's list of servers, which answers.
+    /// Whether this process watches the server list in the store and the store responds.
     pub servers_are_current: AtomicBool,
-    /// Woken when a process that follows the store tells that it knows more.
+    /// Notified when a heartbeat of a store watcher shows that it has newer state.
     pub watcher_update: Notify,
-    /// Requests under which servers crashed.
+    /// Requests during which servers crashed.
     pub quarantine: Mutex<Quarantine>,
-    /// Woken when another process tells that it knows of other crashes.
+    /// Notified when a message shows that another process knows other server crashes.
     pub quarantine_update: Notify,
-    /// Woken when this process knows of more crashes.
+    /// Notified when this process learns of more server crashes.
     pub crashes_changed: Notify,
-    /// Woken at every heartbeat heard.
+    /// Notified after every received message that may change the view of the other processes.
     pub peer_update: Notify,
-    /// Calls to the other processes.
+    /// Client for calls to the other processes.
     pub peer_calls: PeerCalls,
-    /// The platform's store.
+    /// Access to the platform's store.
     pub store: StoreAccess,
-    /// Connections to backend servers.
+    /// Pool of connections to backend servers.
     pub pool: Pool<ServerInstance>,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Jobs that this process runs or closed a short while ago; sorted by job.
+    /// Jobs that this process runs or closed recently, sorted by job.
     claims: Mutex<Vec<JobClaim>>,
-    /// Items of its jobs that could run now and found no slot.
+    /// Number of items of this process's jobs that are ready to run but found no free slot.
     waiting_items: AtomicU32,
-    /// Cancelled when the process is told to stop: it takes no new work from then on.
+    /// Cancelled when the process is told to stop. It accepts no new work from then on.
     pub leaving: CancellationToken,
-    /// Cancelled when the operator asks that this host be emptied.
+    /// Cancelled when the operator asks for this host to be drained.
     pub retiring: CancellationToken,
 }
 
 impl Node {
-    /// A process that knows nothing yet. `leaving` is cancelled when it must stop.
+    /// Creates the state of a process that has no configuration, servers or peers yet. `leaving`
+    /// is cancelled when the process must stop.
     pub fn new(settings: NodeSettings, leaving: CancellationToken) -> Arc<Self> {
         let metrics = Metrics::default();
         Arc::new(Self {
@@ -113,7 +115,7 @@
             hold_times: ServiceHoldTimes::default(),
             urgent_heartbeat: Notify::new(),
             peers: Peers::new(settings.availability_zone.clone(), settings.role),
-            speakers: Mutex::default(),
+            representatives: Mutex::default(),
             had_subscribers_at: Mutex::default(),
             peer_state_current_at: Mutex::default(),
             config_is_current: AtomicBool::new(false),
@@ -135,12 +137,12 @@
         })
     }
 
-    /// The configuration in force, or none before the first.
+    /// Returns the configuration in force, or None before the first one.
     pub fn config(&self) -> Option<Arc<Config>> {
         self.config.lock().expect("config lock").get()
     }
 
-    /// Puts `config` in force if it is newer; `source` is for the log.
+    /// Puts `config` in force if it is newer than the present one. `source` is written to the log.
     pub fn apply_config(&self, config: Config, source: &str) {
         let version = config.version;
         let routes = config.routes.len();
@@ -148,17 +150,19 @@
         let before = in_force.version();
         if in_force.replace_if_newer(config) {
             log::info!(version, before, routes, source; "configuration in force");
-            // Others of the zone may wait to hear of it.
+            // Other processes of the zone may be waiting for this version.
             self.urgent_heartbeat.notify_one();
         }
     }
 
-    /// Whether the process takes no new work: it was told to stop or its host is emptied.
+    /// Returns whether the process accepts no new work, because it was told to stop or because its
+    /// host is being drained.
     pub fn is_leaving(&self) -> bool {
         self.leaving.is_cancelled() || self.retiring.is_cancelled()
     }
 
-    /// Whether the process knows enough to serve.
+    /// Returns whether the process has a configuration and at least one server, so that it can
+    /// serve requests.
     pub fn is_synced(&self) -> bool {
         let knows_servers = {
             let directory = self.directory.lock().expect("directory lock");
@@ -167,53 +171,55 @@
         knows_servers && self.config().is_some()
     }
 
-    /// Servers of `service` that may take work, without those named in `tried`: a sample of
-    /// those of the own zone and of those that other zones told of.
+    /// Returns a sample of the servers of `service` that may accept work, except those in `tried`:
+    /// some of the own zone, and for each other zone some of the servers in its summary.
     pub fn online_candidates(
         &self,
         service: &str,
         tried: &[ServerInstance],
         now: Instant,
     ) -> Vec<Candidate> {
-        self.sample(service, server_index::MAX_LOCAL_SAMPLE, now)
+        self.sample_servers(service, server_index::MAX_LOCAL_SAMPLE, now)
             .iter()
-            .filter(|key| !tried.contains(key))
-            .filter_map(|key| self.candidate(key, now))
+            .filter(|instance| !tried.contains(instance))
+            .filter_map(|instance| self.candidate(instance, now))
             .collect()
     }
 
-    /// Servers of `service` as places for batch items: a larger sample.
+    /// Returns a larger sample of the servers of `service`, for the placement of batch items.
     pub fn batch_candidates(&self, service: &str, now: Instant) -> Vec<Candidate> {
-        self.sample(service, server_index::MAX_BATCH_SAMPLE, now)
+        self.sample_servers(service, server_index::MAX_BATCH_SAMPLE, now)
             .iter()
-            .filter_map(|key| self.candidate(key, now))
+            .filter_map(|instance| self.candidate(instance, now))
             .collect()
     }
 
-    fn sample(&self, service: &str, most_local: usize, now: Instant) -> Vec<ServerInstance> {
+    /// Samples at most `max_local` servers of the own zone and a fixed number of each other zone.
+    fn sample_servers(&self, service: &str, max_local: usize, now: Instant) -> Vec<ServerInstance> {
         let index = self.server_index();
-        let draw = rand::random::<u32>() as usize;
+        let random = rand::random::<u32>() as usize;
         let mut sampled = Vec::new();
         for group in index.groups_of_service(service) {
             if group.zone == self.settings.availability_zone {
-                sampled.extend(group.sample(most_local, draw).cloned());
+                sampled.extend(group.sample(max_local, random).cloned());
                 continue;
             }
-            let most = server_index::MAX_REMOTE_SAMPLE;
-            let told = self.peers.summarized_servers(&group.zone, now);
-            match told.filter(|_| group.len() > most) {
-                Some(told) => {
-                    let servers = told
+            let max_remote = server_index::MAX_REMOTE_SAMPLE;
+            let summarized = self.peers.summarized_servers(&group.zone, now);
+            match summarized.filter(|_| group.len() > max_remote) {
+                Some(summarized) => {
+                    let servers = summarized
                         .iter()
-                        .filter_map(|one| group.find_by_fingerprint(*one));
-                    sampled.extend(servers.take(most).cloned());
+                        .filter_map(|server| group.find_by_fingerprint(*server));
+                    sampled.extend(servers.take(max_remote).cloned());
                 }
-                None => sampled.extend(group.sample(most, draw).cloned()),
+                None => sampled.extend(group.sample(max_remote, random).cloned()),
             }
         }
         sampled
     }
 
+    /// Returns the index of the directory's servers, rebuilt if the directory has changed.
     fn server_index(&self) -> Arc<ServerIndex> {
         let directory = self.directory.lock().expect("directory lock");
         let mut index = self.server_index.lock().expect("server index lock");
@@ -224,60 +230,61 @@
         Arc::clone(&index.1)
     }
 
-    /// That start of a server, if it may take work.
-    pub fn candidate(&self, key: &ServerInstance, now: Instant) -> Option<Candidate> {
+    /// Returns the server instance as a candidate, or None if it must not be given work.
+    pub fn candidate(&self, instance: &ServerInstance, now: Instant) -> Option<Candidate> {
         let directory = self.directory.lock().expect("directory lock");
-        let member = directory.usable_entry(key, now)?;
-        let gone = self.peers.is_reported_dead(key, now);
-        (!gone).then(|| self.candidate_of(member, key.clone(), now))
+        let entry = directory.usable_entry(instance, now)?;
+        let is_dead = self.peers.is_reported_dead(instance, now);
+        (!is_dead).then(|| self.build_candidate(entry, instance.clone(), now))
     }
 
-    /// The address of that start of a server, if it may take work.
-    pub fn usable_addr(&self, key: &ServerInstance, now: Instant) -> Option<SocketAddr> {
+    /// Returns the address of the server instance, or None if it must not be given work.
+    pub fn usable_addr(&self, instance: &ServerInstance, now: Instant) -> Option<SocketAddr> {
         let directory = self.directory.lock().expect("directory lock");
-        let member = directory.usable_entry(key, now)?;
-        let gone = self.peers.is_reported_dead(key, now);
-        (!gone).then_some(member.server.addr)
+        let entry = directory.usable_entry(instance, now)?;
+        let is_dead = self.peers.is_reported_dead(instance, now);
+        (!is_dead).then_some(entry.server.addr)
     }
 
-    fn candidate_of(
+    fn build_candidate(
         &self,
-        member: &membership::DirectoryEntry,
-        key: ServerInstance,
+        entry: &membership::DirectoryEntry,
+        instance: ServerInstance,
         now: Instant,
     ) -> Candidate {
-        let server = &member.server;
-        let own = self.loads.own_load(&key, now);
+        let server = &entry.server;
+        let own = self.loads.own_load(&instance, now);
         let own_requests = RequestCounts {
             online: own.online,
             batch: own.batch,
         };
-        let elsewhere =
+        let other_zone_load =
             self.peers
-                .other_zone_load(&server.zone, &key, server.slots, own_requests, now);
-        let load = elsewhere.unwrap_or_else(|| {
-            let (online, batch) = self.peers.in_flight(&key, now);
+                .other_zone_load(&server.zone, &instance, server.slots, own_requests, now);
+        let load = other_zone_load.unwrap_or_else(|| {
+            let (online, batch) = self.peers.in_flight(&instance, now);
             RequestCounts {
                 online: own.online + online,
                 batch: own.batch + batch,
             }
         });
         Candidate {
-            id: key.id,
-            incarnation: key.incarnation,
+            id: instance.id,
+            incarnation: instance.incarnation,
             zone: server.zone.clone(),
             slots: server.slots,
             in_flight: load.total(),
             batch_in_flight: load.batch,
             own_batch_in_flight: own.batch,
-            entry_expired: member.grace_until.is_some(),
+            entry_expired: entry.grace_until.is_some(),
             suspect: own.is_suspected,
             failure_rate: own.failure_rate,
             is_slot_manager: false,
         }
     }
 
-    /// When a caller should come back who found every slot of `service` taken.
+    /// Returns the delay after which a caller should retry that found every slot of `service`
+    /// occupied.
     pub fn retry_after_full(&self, service: &ServiceName, now: Instant) -> Duration {
         let index = self.server_index();
         let slots = index
@@ -288,40 +295,40 @@
         self.hold_times.retry_after(service, slots, fronts, now)
     }
 
-    /// That start of a server as it is listed.
-    pub fn listed_server(&self, key: &ServerInstance) -> Option<BackendServer> {
+    /// Returns the listed server if this instance of it is the listed one, otherwise None.
+    pub fn listed_server(&self, instance: &ServerInstance) -> Option<BackendServer> {
         let directory = self.directory.lock().expect("directory lock");
-        directory.server(key).cloned()
+        directory.server(instance).cloned()
     }
 
-    /// The availability zone of a listed start of a server.
-    pub fn server_zone(&self, key: &ServerInstance) -> Option<Zone> {
+    /// Returns the availability zone of a listed server instance, or None if it is not listed.
+    pub fn server_zone(&self, instance: &ServerInstance) -> Option<Zone> {
         let directory = self.directory.lock().expect("directory lock");
-        let server = directory.server(key);
+        let server = directory.server(instance);
         server.map(|server| server.zone.clone())
     }
 
-    /// Takes note that another start answered at a server's address: that start is gone for
-    /// certain, here and at every peer.
+    /// Records that another instance responded at the address of `server`. That proves the instance
+    /// dead, and every peer is informed of it.
     pub fn record_dead_instance(&self, server: &ServerInstance) {
         let now = Instant::now();
-        let is_news = {
+        let is_new = {
             let mut directory = self.directory.lock().expect("directory lock");
             directory.record_dead_instance(server.clone(), now)
         };
-        if is_news {
-            log::info!(server = server.id, incarnation = server.incarnation; "another start has the server's address");
+        if is_new {
+            log::info!(server = server.id, incarnation = server.incarnation; "another server instance has taken the address");
             self.urgent_heartbeat.notify_one();
         }
     }
 
-    /// Starts of servers that this process found to be gone a short while ago; sorted.
+    /// Returns the server instances that this process recently found to be dead, sorted.
     pub fn dead_instances(&self, now: Instant) -> Vec<ServerInstance> {
         let directory = self.directory.lock().expect("directory lock");
         directory.dead_instances(now)
     }
 
-    /// This process, as others reach it.
+    /// Returns the endpoint at which other processes reach this one.
     pub fn endpoint(&self) -> PeerEndpoint {
         PeerEndpoint {
             addr: self.settings.peer_address(),
@@ -330,76 +337,88 @@
         }
     }
 
-    /// Names the processes of the zone that it takes as speakers from now on.
+    /// Selects the zone's representatives anew from the processes that are live at `now`.
     pub fn select_representatives(&self, now: Instant) {
-        let mut members: Vec<ZoneProcess> = self
+        let mut processes: Vec<ZoneProcess> = self
             .peers
             .own_zone_peers(now)
             .into_iter()
             .map(|peer| peer.member)
             .collect();
-        members.push(ZoneProcess {
+        processes.push(ZoneProcess {
             host: self.settings.host.clone(),
             is_worker: self.settings.role == Role::Worker,
             leaving: self.is_leaving(),
             store_reached: self.store.failing_for(now).is_none(),
             silent_for: Duration::ZERO,
         });
-        let picked = representatives::select(&members);
+        let selected = representatives::select(&processes);
         if self.has_subscribers(now) {
-            *self.had_subscribers_at.lock().expect("naming lock") = Some(now);
+            *self
+                .had_subscribers_at
+                .lock()
+                .expect("subscription time lock") = Some(now);
         }
-        let mut known = self.speakers.lock().expect("speakers lock");
-        if *known != picked {
-            log::info!(speakers:? = picked; "speakers of the zone");
-            *known = picked;
+        let mut current = self.representatives.lock().expect("representatives lock");
+        if *current != selected {
+            log::info!(speakers:? = selected; "zone representatives selected");
+            *current = selected;
         }
     }
 
-    /// The processes of the zone that this one takes as speakers, first choice first.
-    pub fn speakers(&self) -> Vec<NodeId> {
-        self.speakers.lock().expect("speakers lock").clone()
+    /// Returns the representatives of the zone that this process selected, primary first.
+    pub fn representatives(&self) -> Vec<NodeId> {
+        self.representatives
+            .lock()
+            .expect("representatives lock")
+            .clone()
     }
 
-    /// Whether another process of the zone named this one as one of its speakers.
+    /// Returns whether another process of the zone selected this one as a representative.
     pub fn has_subscribers(&self, now: Instant) -> bool {
         self.peers.is_representative(&self.settings.host, now)
     }
 
-    /// Whether this process should follow the platform's store itself.
+    /// Returns whether this process should watch the platform's store itself.
     pub fn should_watch_store(&self, now: Instant) -> bool {
-        let had_subscribers_at = *self.had_subscribers_at.lock().expect("naming lock");
-        let speakers = self.speakers.lock().expect("speakers lock");
+        let had_subscribers_at = *self
+            .had_subscribers_at
+            .lock()
+            .expect("subscription time lock");
+        let representatives = self.representatives.lock().expect("representatives lock");
         watcher_selection::should_watch_store(WatchState {
-            selects_itself: speakers.contains(&self.settings.host),
+            selects_itself: representatives.contains(&self.settings.host),
             selected_by_peer_ago: had_subscribers_at.map(|at| now.duration_since(at)),
             synced_ago: self.peer_state_age(now),
         })
     }
 
-    /// The age of what this process knows of the store by others: how long ago the store last
-    /// answered a process that follows it and has told nothing that is not known here.
+    /// Returns the age of the store state that this process has from others: the time since the
+    /// store last responded to a store watcher that has no newer state than this process. None if
+    /// that never happened.
     fn peer_state_age(&self, now: Instant) -> Option<Duration> {
-        let told_at = self.peers.state_current_at(self.state_version());
-        let mut current_at = self.peer_state_current_at.lock().expect("told state lock");
-        *current_at = (*current_at).max(told_at);
+        let confirmed_at = self.peers.state_current_at(self.state_version());
+        let mut current_at = self.peer_state_current_at.lock().expect("peer state lock");
+        *current_at = (*current_at).max(confirmed_at);
         current_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Whether this process follows the platform's store, which answers.
+    /// Returns whether this process watches the platform's store and the store responds.
     pub fn is_watching_store(&self, now: Instant) -> bool {
-        let both = [&self.config_is_current, &self.servers_are_current];
-        let is_current = both.iter().all(|kind| kind.load(Ordering::Relaxed));
+        let flags = [&self.config_is_current, &self.servers_are_current];
+        let is_current = flags.iter().all(|flag| flag.load(Ordering::Relaxed));
         is_current && self.store.failing_for(now).is_none()
     }
 
-    /// Whether this process follows the platform's store, or is told by one that does.
+    /// Returns whether this process has the store's current state, because it watches the store or
+    /// recently synced with a process that does.
     pub fn is_current(&self, now: Instant) -> bool {
-        let told = self.peer_state_age(now);
-        self.is_watching_store(now) || told.is_some_and(|ago| ago < watcher_selection::MAX_SYNC_AGE)
+        let synced_ago = self.peer_state_age(now);
+        self.is_watching_store(now)
+            || synced_ago.is_some_and(|ago| ago < watcher_selection::MAX_SYNC_AGE)
     }
 
-    /// How new the configuration and the list of servers are that are known here.
+    /// Returns the versions of the configuration and of the server list that this process has.
     pub fn state_version(&self) -> StoreStateVersion {
         let config_version = self.config.lock().expect("config lock").version();
         let directory = self.directory.lock().expect("directory lock");
@@ -409,52 +428,56 @@
         }
     }
 
-    /// Addresses of the zone's processes that take this one for a speaker of `rank`.
+    /// Returns the addresses of the zone's processes for which this one is the representative of
+    /// `rank`.
     pub fn subscribers(&self, rank: Rank, now: Instant) -> Vec<SocketAddr> {
         let own = &self.settings.host;
-        self.peers.own_zone_addresses(now, |_, speakers| {
-            representatives::highest_rank(own, std::iter::once(speakers)) == rank
+        self.peers.own_zone_addresses(now, |_, representatives| {
+            representatives::highest_rank(own, std::iter::once(representatives)) == rank
         })
     }
 
-    /// Addresses of the zone's processes that this one named as speakers, or that named it.
+    /// Returns the addresses of the processes that this one selected as representatives, and of
+    /// those that selected it.
     pub fn representatives_and_subscribers(&self, now: Instant) -> Vec<SocketAddr> {
-        let named = self.speakers();
+        let selected = self.representatives();
         let own = &self.settings.host;
-        self.peers.own_zone_addresses(now, |host, speakers| {
-            speakers.contains(own) || named.contains(host)
+        self.peers.own_zone_addresses(now, |host, representatives| {
+            representatives.contains(own) || selected.contains(host)
         })
     }
 
-    /// What this process is taken for by the zone's processes and itself.
+    /// Returns the highest rank that this process has as a representative, according to itself and
+    /// to the other processes of the zone.
     pub fn representative_rank(&self, now: Instant) -> Rank {
-        let own = self.speakers();
+        let own = self.representatives();
         let local = self.peers.own_zone_peers(now);
-        let named = local.iter().map(|peer| peer.representatives.as_slice());
-        representatives::highest_rank(&self.settings.host, named.chain([own.as_slice()]))
+        let selections = local.iter().map(|peer| peer.representatives.as_slice());
+        representatives::highest_rank(&self.settings.host, selections.chain([own.as_slice()]))
     }
 
-    /// Jobs that this process runs or closed a short while ago; sorted by job.
+    /// Returns the jobs that this process runs or closed recently, sorted by job.
     pub fn claims(&self) -> Vec<JobClaim> {
         self.claims.lock().expect("claims lock").clone()
     }
 
-    /// Replaces what this process tells of its jobs; `claims` must be sorted by job.
+    /// Replaces the jobs that this process reports as its own. `claims` must be sorted by job.
     pub fn set_claims(&self, claims: Vec<JobClaim>) {
         *self.claims.lock().expect("claims lock") = claims;
     }
 
-    /// Items of this process's jobs that could run now and found no slot.
+    /// Returns the number of items of this process's jobs that are ready to run but found no free
+    /// slot.
     pub fn waiting_items(&self) -> u32 {
         self.waiting_items.load(Ordering::Relaxed)
     }
 
-    /// Replaces what this process tells of its waiting items.
+    /// Replaces the number of waiting items that this process reports.
     pub fn set_waiting_items(&self, count: u32) {
         self.waiting_items.store(count, Ordering::Relaxed);
     }
 
-    /// Whether this process runs any job.
+    /// Returns whether this process owns any job.
     pub fn has_owned_jobs(&self) -> bool {
         let claims = self.claims.lock().expect("claims lock");
         claims
--- a/crates/foxwheel-node/src/peer_calls.rs
+++ b/crates/foxwheel-node/src/peer_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to other processes, over `tarpc`.
+//! Calls to other processes over `tarpc`: the service, its data types and the client.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -18,234 +18,243 @@
 use tarpc::tokio_serde::formats::Bincode;
 use tarpc::{client, context, serde_transport};
 
-/// Longest wait for a connection to a peer: the peer's kernel opens it, so this is many round
-/// trips within a region. A front behind a cut path accepted each job 8 ms after its target of
-/// 400 ms when it waited so long for the ledger's keeper.
+/// Timeout for a connection to a peer. The peer's kernel accepts the connection, so this equals
+/// many round trips within a region. A front that waited this long for the ledger writer across
+/// a cut path, at each job, accepted each job 8 ms after its target of 400 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long a peer that did not answer is not asked where another way leads to the same end.
-/// Cuts last for seconds; one call in that time shows that they are over.
-const AVOID_FAILED_FOR: Duration = Duration::from_millis(2_000);
+/// How long a peer is avoided after a failed call, if there is another way to get the same
+/// result. Cut paths last for seconds, and one call per this period detects that the path works
+/// again.
+const FAILED_PEER_RETRY_DELAY: Duration = Duration::from_millis(2_000);
 
-/// Longest wait for a peer's answer, beside what the call itself may wait.
+/// Timeout for a peer's response, in addition to the time for which the call itself may wait.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Longest wait for a call that the peer makes to the store: its own bound and a hop.
+/// Timeout for a call that the peer relays to the store: the timeout of the peer's own call and
+/// the time of one hop.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_700);
 
-/// How new a process's knowledge of the platform is.
+/// The versions of the configuration and of the server list that a process has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStateVersion {
-    /// The version of the configuration in force there, or none before the first.
+    /// The version of the configuration in force, or None before the first one.
     pub config_version: Option<Version>,
-    /// The store's revision that its list of servers shows, or none before the first.
+    /// The store's revision that the server list represents, or None before the first list.
     pub servers_revision: Option<u64>,
 }
 
 impl StoreStateVersion {
-    /// Whether one of both is newer than in `other`.
+    /// Returns whether the configuration, the server list or both are newer than in `other`.
     pub fn is_newer_than(self, other: Self) -> bool {
         self.config_version > other.config_version || self.servers_revision > other.servers_revision
     }
 }
 
-/// What a process knows of the platform, beyond what the one that asks knows.
+/// The part of a process's store state that is newer than that of the requesting process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StoreState {
-    /// It follows the store, which answers, or is told by a process that does.
+    /// Whether the process has the store's current state, because it watches the store itself or
+    /// receives the state from a process that does.
     pub is_current: bool,
-    /// The configuration in force there, if it is newer.
+    /// The configuration in force, if it is newer than the requesting process's.
     pub config: Option<Config>,
-    /// The backend servers listed there.
+    /// The backend servers that changed, or all of them.
     pub servers: ServerUpdate,
 }
 
-/// Which results to read.
+/// Selects a range of a job's results.
 #[serde_as]
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct ResultsQuery {
-    /// First position wanted.
+    /// Position of the first result to return.
     pub from: usize,
-    /// Most bytes of results; one result is answered even if it is larger.
+    /// Maximum number of bytes to return. One result is returned even if it is larger.
     pub max_bytes: usize,
-    /// Parts of the results that are known to be stored: the answer must know them.
+    /// Number of result parts that the reader knows to be stored. The response must include
+    /// them.
     pub known_parts: u32,
-    /// Longest wait for a first result.
+    /// Maximum wait for the first result.
     #[serde(rename = "wait_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub wait: Duration,
 }
 
-/// A worker's answer to a read of results.
+/// A worker's response to a read of results.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ResultsResponse {
-    /// Results from the wanted position on; empty if there are none yet.
+    /// Results from the requested position on. Empty if there are none yet.
     Results {
-        /// Items of the job.
+        /// Number of items of the job.
         item_count: usize,
         /// The results.
         results: Vec<ItemResult>,
     },
-    /// The worker at this address runs the job.
+    /// The worker at this address owns the job.
     Elsewhere(SocketAddr),
-    /// No such job was ever accepted.
+    /// No job with this id was ever accepted.
     NoSuchJob,
-    /// It cannot be told now.
+    /// This process cannot tell at present.
     Unsure,
 }
 
-/// A worker's answer to a read of an item's body.
+/// A worker's response to a read of an item's body.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ItemBodyResponse {
     /// The body.
     Body(Vec<u8>),
-    /// The worker at this address runs the job.
+    /// The worker at this address owns the job.
     Elsewhere(SocketAddr),
-    /// No such job or item.
+    /// There is no such job or item.
     NoSuchItem,
-    /// It cannot be told now.
+    /// This process cannot tell at present.
     Unsure,
 }
 
-/// What a worker's answer means for whom to ask next.
+/// The process to ask next after a worker's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextPeer {
-    /// Nobody: the answer settles the question.
+    /// No process: the response is final.
     Nobody,
     /// The worker at this address.
     Worker(SocketAddr),
-    /// Whoever else may know.
+    /// Any other worker that may know.
     Others,
 }
 
 impl ResultsResponse {
-    /// Whom to ask after this answer.
+    /// Returns the process to ask after this response.
     pub fn next_peer(&self) -> NextPeer {
         match self {
             Self::Results { .. } | Self::NoSuchJob => NextPeer::Nobody,
-            Self::Elsewhere(holder) => NextPeer::Worker(*holder),
+            Self::Elsewhere(owner) => NextPeer::Worker(*owner),
             Self::Unsure => NextPeer::Others,
         }
     }
 }
 
 impl ItemBodyResponse {
-    /// Whom to ask after this answer.
+    /// Returns the process to ask after this response.
     pub fn next_peer(&self) -> NextPeer {
         match self {
             Self::Body(_) | Self::NoSuchItem => NextPeer::Nobody,
-            Self::Elsewhere(holder) => NextPeer::Worker(*holder),
+            Self::Elsewhere(owner) => NextPeer::Worker(*owner),
             Self::Unsure => NextPeer::Others,
         }
     }
 }
 
-/// What came of a call to the store that a peer made for another process.
+/// The result of a call to the store that a peer made on behalf of another process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum RelayedResult<T> {
-    /// The store answered.
+    /// The store responded.
     Settled(T),
-    /// The store did not act.
+    /// The store did not execute the call, for this reason.
     NotDone(String),
-    /// The store may have acted.
+    /// The store may have executed the call. The text is the error.
     Unknown(String),
 }
 
-/// Calls that processes make to each other; all idempotent but `store_write`, which is as
-/// conditional as its write.
+/// Calls that processes make to each other. All are idempotent except `store_write`, whose
+/// repetition has the effect of repeating its write: only a conditional write is safe to repeat.
 #[tarpc::service]
 pub trait PeerService {
-    /// What the peer knows of the platform that a process which knows `known` does not.
+    /// Returns the peer's store state as far as it is newer than `known`.
     async fn knowledge(known: StoreStateVersion) -> StoreState;
-    /// Tells a worker of a job that was just accepted.
+    /// Informs a worker of a job that was just accepted.
     async fn accepted(job: JobSpec);
-    /// Tells a worker that a job was ended.
+    /// Informs a worker that a job was ended.
     async fn ended(job: JobId);
-    /// Reads results.
+    /// Reads results of a job.
     async fn read(job: JobId, read: ResultsQuery) -> ResultsResponse;
-    /// Reads the body of an item.
+    /// Reads the body of an item of a job.
     async fn body(job: JobId, item: ItemId) -> ItemBodyResponse;
-    /// Makes a change of the ledger.
+    /// Applies a change to the job ledger.
     async fn change_ledger(change: LedgerChange) -> RelayedResult<LedgerResponse>;
-    /// The crashes of servers that the peer knows of.
+    /// Returns the server crashes that the peer knows.
     async fn crashes() -> Vec<CrashReport>;
-    /// Performs a write for a process that the store turns away.
+    /// Performs a write for a process whose calls the store rejects.
     async fn store_write(write: Write) -> RelayedResult<WriteOutcome>;
-    /// Reads an object for a process that the store turns away.
+    /// Reads an object for a process whose calls the store rejects.
     async fn store_get(kind: String, name: String) -> RelayedResult<Option<Object>>;
 }
 
-/// Why a call to a peer got no answer.
+/// Error of a call to a peer that got no response.
 #[derive(Debug, thiserror::Error)]
 #[error("no answer {origin}: {reason}")]
 pub struct PeerError {
-    /// The step and the peer's address.
+    /// The step that failed and the peer's address.
     origin: Origin,
-    /// What the connection or tarpc said.
+    /// The error text of the connection or of tarpc.
     reason: String,
-    /// The peer cannot have received the call.
+    /// Whether the call cannot have reached the peer.
     not_sent: bool,
 }
 
 impl PeerError {
-    /// Whether the peer certainly never received the call.
+    /// Returns whether the call certainly never reached the peer.
     pub fn is_not_sent(&self) -> bool {
         self.not_sent
     }
 }
 
-/// Connections to peers; one each, opened when first needed and after a failure.
+/// Client for calls to peers. Keeps one connection to each peer, opened when first needed and
+/// again after a failure.
 #[derive(Debug, Default)]
 pub struct PeerCalls {
     /// Sorted by address.
     clients: Mutex<Vec<(SocketAddr, PeerServiceClient)>>,
-    /// Peers whose last call failed, and when; sorted by address.
-    failed: Mutex<Vec<(SocketAddr, Instant)>>,
+    /// Peers whose last call failed, with the time of the failure. Sorted by address.
+    failures: Mutex<Vec<(SocketAddr, Instant)>>,
 }
 
 impl PeerCalls {
-    /// Whether a call to the peer at `addr` failed a short while ago and none succeeded since.
+    /// Returns whether the last call to the peer at `addr` failed within the last 2 seconds.
     pub fn has_failed_recently(&self, addr: SocketAddr, now: Instant) -> bool {
-        let failed = self.failed.lock().expect("failed peers lock");
-        let found = failed.binary_search_by_key(&addr, |(addr, _)| *addr);
-        found.is_ok_and(|at| now.duration_since(failed[at].1) < AVOID_FAILED_FOR)
+        let failures = self.failures.lock().expect("failed peers lock");
+        let found = failures.binary_search_by_key(&addr, |(addr, _)| *addr);
+        found.is_ok_and(|at| now.duration_since(failures[at].1) < FAILED_PEER_RETRY_DELAY)
     }
 
-    fn note_outcome(&self, addr: SocketAddr, answered: bool) {
-        let mut failed = self.failed.lock().expect("failed peers lock");
-        failed.retain(|(known, _)| *known != addr);
-        if !answered {
-            let at = failed.partition_point(|(known, _)| *known < addr);
-            failed.insert(at, (addr, Instant::now()));
+    fn record_call(&self, addr: SocketAddr, succeeded: bool) {
+        let mut failures = self.failures.lock().expect("failed peers lock");
+        failures.retain(|(known, _)| *known != addr);
+        if !succeeded {
+            let at = failures.partition_point(|(known, _)| *known < addr);
+            failures.insert(at, (addr, Instant::now()));
         }
     }
 
-    /// What the peer at `addr` knows of the platform beyond `known`.
+    /// Fetches the store state of the peer at `addr` as far as it is newer than `known`.
     pub async fn fetch_state(
         &self,
         addr: SocketAddr,
         known: StoreStateVersion,
     ) -> Result<StoreState, PeerError> {
         let client = self.client(addr).await?;
-        let answer = client.knowledge(context_for(CALL_TIMEOUT), known).await;
-        self.checked("ask for knowledge", addr, answer)
+        let response = client
+            .knowledge(context_with_timeout(CALL_TIMEOUT), known)
+            .await;
+        self.check_response("fetch store state", addr, response)
     }
 
-    /// Tells the worker at `addr` of an accepted job.
+    /// Informs the worker at `addr` of an accepted job.
     pub async fn send_accepted_job(&self, addr: SocketAddr, job: JobSpec) -> Result<(), PeerError> {
         let client = self.client(addr).await?;
-        let answer = client.accepted(context_for(CALL_TIMEOUT), job).await;
-        self.checked("hand over job", addr, answer)
+        let response = client
+            .accepted(context_with_timeout(CALL_TIMEOUT), job)
+            .await;
+        self.check_response("send accepted job", addr, response)
     }
 
-    /// Tells the worker at `addr` that a job was ended.
+    /// Informs the worker at `addr` that a job was ended.
     pub async fn send_ended_job(&self, addr: SocketAddr, job: JobId) -> Result<(), PeerError> {
         let client = self.client(addr).await?;
-        let answer = client.ended(context_for(CALL_TIMEOUT), job).await;
-        self.checked("tell of ended job", addr, answer)
+        let response = client.ended(context_with_timeout(CALL_TIMEOUT), job).await;
+        self.check_response("send ended job", addr, response)
     }
 
-    /// Reads results from the worker at `addr`.
+    /// Reads results of a job from the worker at `addr`.
     pub async fn read_results(
         &self,
         addr: SocketAddr,
@@ -253,9 +262,9 @@
         read: ResultsQuery,
     ) -> Result<ResultsResponse, PeerError> {
         let client = self.client(addr).await?;
-        let context = context_for(read.wait + CALL_TIMEOUT);
-        let answer = client.read(context, job, read).await;
-        self.checked("read results", addr, answer)
+        let context = context_with_timeout(read.wait + CALL_TIMEOUT);
+        let response = client.read(context, job, read).await;
+        self.check_response("read results", addr, response)
     }
 
     /// Reads an item's body from the worker at `addr`.
@@ -266,41 +275,46 @@
         item: ItemId,
     ) -> Result<ItemBodyResponse, PeerError> {
         let client = self.client(addr).await?;
-        let answer = client.body(context_for(CALL_TIMEOUT), job, item).await;
-        self.checked("read item body", addr, answer)
+        let response = client
+            .body(context_with_timeout(CALL_TIMEOUT), job, item)
+            .await;
+        self.check_response("read item body", addr, response)
     }
 
-    /// Has the worker at `addr` make a change of the ledger.
+    /// Requests a change of the job ledger from the worker at `addr`.
     pub async fn change_ledger(
         &self,
         addr: SocketAddr,
         change: LedgerChange,
     ) -> Result<RelayedResult<LedgerResponse>, PeerError> {
         let client = self.client(addr).await?;
-        let context = context_for(ledger::LEDGER_WRITER_TIMEOUT);
-        let answer = client.change_ledger(context, change).await;
-        self.checked("change ledger", addr, answer)
+        let context = context_with_timeout(ledger::LEDGER_WRITER_TIMEOUT);
+        let response = client.change_ledger(context, change).await;
+        self.check_response("change ledger", addr, response)
     }
 
-    /// The crashes of servers that the peer at `addr` knows of.
+    /// Fetches the server crashes that the peer at `addr` knows.
     pub async fn fetch_crashes(&self, addr: SocketAddr) -> Result<Vec<CrashReport>, PeerError> {
         let client = self.client(addr).await?;
-        let answer = client.crashes(context_for(CALL_TIMEOUT)).await;
-        self.checked("ask for crashes", addr, answer)
+        let response = client.crashes(context_with_timeout(CALL_TIMEOUT)).await;
+        self.check_response("fetch server crashes", addr, response)
     }
 
-    /// Has the peer at `addr` perform a write.
+    /// Performs a write to the store through the peer at `addr`.
     pub async fn store_write(
         &self,
         addr: SocketAddr,
         write: Write,
     ) -> Result<RelayedResult<WriteOutcome>, PeerError> {
         let client = self.client(addr).await?;
-        let answer = client.store_write(context_for(STORE_TIMEOUT), write).await;
-        self.checked("write through peer", addr, answer)
+        let response = client
+            .store_write(context_with_timeout(STORE_TIMEOUT), write)
+            .await;
+        self.check_response("write through peer", addr, response)
     }
 
-    /// Has the peer at `addr` read an object.
+    /// Reads an object of the store through the peer at `addr`. Returns None if the object does
+    /// not exist.
     pub async fn store_get(
         &self,
         addr: SocketAddr,
@@ -308,14 +322,14 @@
         name: String,
     ) -> Result<RelayedResult<Option<Object>>, PeerError> {
         let client = self.client(addr).await?;
-        let answer = client
-            .store_get(context_for(STORE_TIMEOUT), kind, name)
+        let response = client
+            .store_get(context_with_timeout(STORE_TIMEOUT), kind, name)
             .await;
-        self.checked("read through peer", addr, answer)
+        self.check_response("read through peer", addr, response)
     }
 
     async fn client(&self, addr: SocketAddr) -> Result<PeerServiceClient, PeerError> {
-        if let Some(client) = self.known(addr) {
+        if let Some(client) = self.connected_client(addr) {
             return Ok(client);
         }
         let connecting = serde_transport::tcp::connect(addr, Bincode::default);
@@ -324,7 +338,7 @@
             .map_err(std::io::Error::from)
             .and_then(|connected| connected)
             .map_err(|e| {
-                self.note_outcome(addr, false);
+                self.record_call(addr, false);
                 PeerError {
                     origin: Origin::new("connect to peer", addr.to_string()),
                     reason: e.to_string(),
@@ -340,21 +354,22 @@
         Ok(client)
     }
 
-    fn known(&self, addr: SocketAddr) -> Option<PeerServiceClient> {
+    fn connected_client(&self, addr: SocketAddr) -> Option<PeerServiceClient> {
         let clients = self.clients.lock().expect("peer clients lock");
         let found = clients.binary_search_by_key(&addr, |(addr, _)| *addr);
         found.ok().map(|at| clients[at].1.clone())
     }
 
-    /// Forgets the connection after a failure: it may be silent for good.
-    fn checked<T>(
+    /// Records the outcome of a call and drops the connection after a failure, because a broken
+    /// connection may never respond again.
+    fn check_response<T>(
         &self,
         step: &'static str,
         addr: SocketAddr,
-        answer: Result<T, client::RpcError>,
+        response: Result<T, client::RpcError>,
     ) -> Result<T, PeerError> {
-        self.note_outcome(addr, answer.is_ok());
-        answer.map_err(|e| {
+        self.record_call(addr, response.is_ok());
+        response.map_err(|e| {
             let mut clients = self.clients.lock().expect("peer clients lock");
             clients.retain(|(known, _)| *known != addr);
             PeerError {
@@ -366,7 +381,7 @@
     }
 }
 
-fn context_for(timeout: Duration) -> context::Context {
+fn context_with_timeout(timeout: Duration) -> context::Context {
     let mut context = context::current();
     context.deadline = Instant::now() + timeout;
     context
--- a/crates/foxwheel-node/src/peer_server.rs
+++ b/crates/foxwheel-node/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answering other processes' calls.
+//! Serves the calls of other processes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,13 +24,13 @@
 use crate::worker_jobs::WorkerJobs;
 
 #[derive(Clone)]
-struct Handler {
+struct PeerServiceHandler {
     node: Arc<Node>,
-    /// None on a front: it answers that it cannot tell.
+    /// The worker's jobs. None on a front, which responds that it does not know.
     jobs: Option<Arc<WorkerJobs>>,
 }
 
-impl PeerService for Handler {
+impl PeerService for PeerServiceHandler {
     async fn knowledge(self, _: context::Context, known: StoreStateVersion) -> StoreState {
         let is_newer = |config: &Arc<Config>| Some(config.version) > known.config_version;
         let config = self.node.config().filter(is_newer);
@@ -58,7 +58,7 @@
     async fn read(self, _: context::Context, job: JobId, read: ResultsQuery) -> ResultsResponse {
         match &self.jobs {
             Some(jobs) => match jobs.remote_owner(&job) {
-                Some(holder) => ResultsResponse::Elsewhere(holder),
+                Some(owner) => ResultsResponse::Elsewhere(owner),
                 None => jobs.read_results(&job, read).await,
             },
             None => ResultsResponse::Unsure,
@@ -68,7 +68,7 @@
     async fn body(self, _: context::Context, job: JobId, item: ItemId) -> ItemBodyResponse {
         match &self.jobs {
             Some(jobs) => match jobs.remote_owner(&job) {
-                Some(holder) => ItemBodyResponse::Elsewhere(holder),
+                Some(owner) => ItemBodyResponse::Elsewhere(owner),
                 None => jobs.read_item_body(&job, &item).await,
             },
             None => ItemBodyResponse::Unsure,
@@ -82,7 +82,7 @@
     ) -> RelayedResult<LedgerResponse> {
         match &self.jobs {
             Some(jobs) => jobs.ledger_writer.submit(change).await,
-            None => RelayedResult::NotDone("not a worker".to_owned()),
+            None => RelayedResult::NotDone("this process is not a worker".to_owned()),
         }
     }
 
@@ -92,7 +92,7 @@
     }
 
     async fn store_write(self, _: context::Context, write: Write) -> RelayedResult<WriteOutcome> {
-        relayed(self.node.store.write(&write).await)
+        to_relayed(self.node.store.write(&write).await)
     }
 
     async fn store_get(
@@ -101,19 +101,20 @@
         kind: String,
         name: String,
     ) -> RelayedResult<Option<Object>> {
-        relayed(self.node.store.get(&kind, &name).await)
+        to_relayed(self.node.store.get(&kind, &name).await)
     }
 }
 
-fn relayed<T>(answer: Result<T, StoreError>) -> RelayedResult<T> {
-    match answer {
-        Ok(answer) => RelayedResult::Settled(answer),
+fn to_relayed<T>(result: Result<T, StoreError>) -> RelayedResult<T> {
+    match result {
+        Ok(response) => RelayedResult::Settled(response),
         Err(e) if e.is_not_done() => RelayedResult::NotDone(e.to_string()),
         Err(e) => RelayedResult::Unknown(e.to_string()),
     }
 }
 
-/// Answers peers' calls on `addr` until cancelled.
+/// Listens on `addr` and serves the calls of other processes in the background until cancelled.
+/// Returns an error if `addr` cannot be bound.
 pub async fn serve(
     node: Arc<Node>,
     jobs: Option<Arc<WorkerJobs>>,
@@ -121,7 +122,7 @@
     cancel: CancellationToken,
 ) -> std::io::Result<()> {
     let mut incoming = serde_transport::tcp::listen(addr, Bincode::default).await?;
-    let handler = Handler { node, jobs };
+    let handler = PeerServiceHandler { node, jobs };
     tokio::spawn(async move {
         loop {
             let accepted = tokio::select! {
@@ -143,7 +144,7 @@
                         }
                     });
                 }
-                Some(Err(e)) => log::warn!(error:% = e; "peer connection not accepted"),
+                Some(Err(e)) => log::warn!(error:% = e; "cannot accept peer connection"),
                 None => return,
             }
         }
--- a/crates/foxwheel-node/src/state_sync.rs
+++ b/crates/foxwheel-node/src/state_sync.rs
@@ -1,5 +1,5 @@
-//! Taking the configuration and the servers from other processes: from those that follow the
-//! store for the zone, and from any while the store is out of reach.
+//! Fetches the configuration and the server list from other processes: from the store watchers
+//! of the own zone, and from any process while the store is out of reach.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,87 +10,94 @@
 use crate::peer_calls::{StoreState, StoreStateVersion};
 use crate::settings::Role;
 
-/// How often a process looks whether those that follow for the zone know more, in case the
-/// wake-up by their heartbeats was missed.
-const LOOK_EVERY: Duration = Duration::from_millis(300);
+/// Interval at which the state versions of the zone's store watchers are checked. Their
+/// heartbeats trigger the check at once; the interval covers a missed notification.
+const SYNC_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Least time between two questions of one process: changes come several at a time.
-const ASK_PAUSE: Duration = Duration::from_millis(20);
+/// Minimum delay between two requests, because changes often come several at a time.
+const MIN_SYNC_DELAY: Duration = Duration::from_millis(20);
 
-/// How long the store may fail before any peer is asked for what it knows.
-const ASK_PEERS_AFTER: Duration = Duration::from_millis(600);
+/// How long calls to the store must have failed before any peer is asked for its state.
+const ANY_PEER_SYNC_DELAY: Duration = Duration::from_millis(600);
 
-/// Time between questions to peers while the store is out of reach.
-const ASK_PEERS_EVERY: Duration = Duration::from_millis(1_000);
+/// Interval at which peers are asked while the store is out of reach.
+const ANY_PEER_SYNC_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Asks a process that follows the store for the zone, as soon as its heartbeat tells of
-/// something newer.
-pub async fn run(node: &Node) {
+/// Fetches the state of a store watcher of the zone whenever a heartbeat shows that it has newer
+/// state. Never returns.
+pub async fn sync_from_watchers(node: &Node) {
     loop {
-        // Both mean that there may be news.
-        let _ = tokio::time::timeout(LOOK_EVERY, node.watcher_update.notified()).await;
+        // After a timeout, newer state is looked for in the same way as after a notification.
+        let _ = tokio::time::timeout(SYNC_CHECK_INTERVAL, node.watcher_update.notified()).await;
         let now = Instant::now();
         let known = node.state_version();
-        for follower in node.peers.store_watchers(now) {
-            if !follower.is_newer_than(known) {
+        for watcher in node.peers.store_watchers(now) {
+            if !watcher.is_newer_than(known) {
                 continue;
             }
-            if ask(node, &follower.host, follower.addr, known).await {
+            if sync_from_peer(node, &watcher.host, watcher.addr, known).await {
                 break;
             }
         }
-        tokio::time::sleep(ASK_PAUSE).await;
+        tokio::time::sleep(MIN_SYNC_DELAY).await;
     }
 }
 
-/// While the store is out of reach and nobody follows it for the zone, takes what any peer
-/// knows that is told of its changes.
-pub async fn ask_peers(node: &Node) {
+/// Fetches the state of any peer that has the store's current one, while the store is out of
+/// reach and no other process watches it for the zone. Never returns.
+pub async fn sync_from_any_peer(node: &Node) {
     loop {
-        tokio::time::sleep(ASK_PEERS_EVERY).await;
+        tokio::time::sleep(ANY_PEER_SYNC_INTERVAL).await;
         let now = Instant::now();
         let failing = node.store.failing_for(now);
-        let is_cut_off = failing.is_some_and(|failing| failing >= ASK_PEERS_AFTER);
+        let is_cut_off = failing.is_some_and(|failing| failing >= ANY_PEER_SYNC_DELAY);
         if !is_cut_off || !node.should_watch_store(now) {
             continue;
         }
-        for (host, addr) in peers_in_turn(node, now) {
-            if ask(node, &host, addr, node.state_version()).await {
+        for (host, addr) in peers_from_random_start(node, now) {
+            if sync_from_peer(node, &host, addr, node.state_version()).await {
                 break;
             }
         }
     }
 }
 
-/// Asks a peer and takes what it knows; answers whether the peer knew the store's state.
-async fn ask(node: &Node, host: &NodeId, addr: SocketAddr, known: StoreStateVersion) -> bool {
-    let knowledge = match node.peer_calls.fetch_state(addr, known).await {
-        Ok(knowledge) => knowledge,
+/// Fetches and applies the state of one peer. Returns false if the peer did not respond or does
+/// not have the store's current state itself.
+async fn sync_from_peer(
+    node: &Node,
+    host: &NodeId,
+    addr: SocketAddr,
+    known: StoreStateVersion,
+) -> bool {
+    let state = match node.peer_calls.fetch_state(addr, known).await {
+        Ok(state) => state,
         Err(e) => {
-            log::info!(peer = host, error:% = e; "peer did not tell what it knows");
+            log::info!(peer = host, error:% = e; "cannot fetch store state from peer");
             return false;
         }
     };
-    if !knowledge.is_current {
+    if !state.is_current {
         return false;
     }
-    take(node, host, known, knowledge);
+    apply_state(node, host, known, state);
     true
 }
 
-fn take(node: &Node, host: &NodeId, known: StoreStateVersion, knowledge: StoreState) {
-    if let Some(config) = knowledge.config {
+fn apply_state(node: &Node, host: &NodeId, known: StoreStateVersion, state: StoreState) {
+    if let Some(config) = state.config {
         node.apply_config(config, "peer");
     }
     let mut directory = node.directory.lock().expect("directory lock");
-    let taken = directory.apply_update(knowledge.servers, known.servers_revision, Instant::now());
-    if taken {
+    let is_applied = directory.apply_update(state.servers, known.servers_revision, Instant::now());
+    if is_applied {
         let revision = directory.revision();
-        log::info!(peer = host, revision; "backend servers taken from a peer");
+        log::info!(peer = host, revision; "backend servers updated from a peer");
     }
 }
 
-fn peers_in_turn(node: &Node, now: Instant) -> Vec<(NodeId, SocketAddr)> {
+/// Returns the live workers and then the live fronts, rotated to start at a random one.
+fn peers_from_random_start(node: &Node, now: Instant) -> Vec<(NodeId, SocketAddr)> {
     let mut peers = node.peers.live_processes(Role::Worker, now);
     peers.extend(node.peers.live_processes(Role::Front, now));
     let first = rand::random_range(0..peers.len().max(1));
--- a/crates/foxwheel-node/src/store_watch.rs
+++ b/crates/foxwheel-node/src/store_watch.rs
@@ -1,4 +1,4 @@
-//! Following the platform's store: the configuration and the backend servers.
+//! Keeps the configuration and the backend servers up to date with the platform's store.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -16,103 +16,109 @@
 use crate::store_access::Backoff;
 use crate::{discovery, quarantine_store, request_quarantine, state_sync};
 
-/// How long one watch waits. Longer costs fewer calls; a connection that fell silent is
-/// found by its keep-alive probes and not by this.
+/// How long the store may hold one watch call open while nothing changes. A longer wait costs
+/// fewer calls. It does not delay the detection of a dead connection, which is left to the
+/// connection's keep-alive probes.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 
-/// How often servers whose entries vanished are looked over.
-const EXPIRE_EVERY: Duration = Duration::from_millis(200);
+/// Interval at which servers with expired entries and idle connections are removed.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What follows one kind of object.
-trait Follower: Send + Sync + 'static {
-    /// The kind.
+/// Applies the store's objects of one kind to a [`Node`].
+trait KindWatcher: Send + Sync + 'static {
+    /// The kind of the objects.
     const KIND: &'static str;
 
-    /// Whether `node` knows every change of the kind as the store tells it.
+    /// Returns the flag of `node` which says that it has every change of the kind from the store.
     fn is_current(node: &Node) -> &AtomicBool;
 
-    /// Whether `node` took the kind's objects from the store or a peer before.
+    /// Returns whether `node` has already received the objects of the kind from the store or a
+    /// peer.
     fn was_listed(node: &Node) -> bool;
 
-    /// Pause after a watch that brought changes, so that several cost one call.
-    const PAUSE: Duration = Duration::ZERO;
+    /// Delay after a watch that returned changes, so that several changes cost one call.
+    const COALESCING_DELAY: Duration = Duration::ZERO;
 
-    /// The store stopped answering.
-    fn lost(&self, _node: &Node) {}
+    /// Called when the store stops responding.
+    fn on_store_lost(&self, _node: &Node) {}
 
-    /// The store answers again; called before the next list is taken.
-    fn regained(&self, _node: &Node) {}
+    /// Called when the store responds again, before the next list is applied.
+    fn on_store_regained(&self, _node: &Node) {}
 
-    /// Takes every object of the kind.
-    fn take_all(&self, node: &Node, objects: Vec<Object>, revision: u64);
+    /// Applies a list of all objects of the kind.
+    fn apply_list(&self, node: &Node, objects: Vec<Object>, revision: u64);
 
-    /// Takes one change.
-    fn take_change(&self, node: &Node, change: Change);
+    /// Applies one change.
+    fn apply_change(&self, node: &Node, change: Change);
 
-    /// Every change up to `revision` was taken.
-    fn advance(&self, _node: &Node, _revision: u64) {}
+    /// Called when every change up to `revision` has been applied.
+    fn on_revision_reached(&self, _node: &Node, _revision: u64) {}
 }
 
-/// Follows the store until cancelled.
+/// Runs all tasks that keep `node` up to date with the store and its peers, until cancelled.
 pub async fn run(node: Arc<Node>, cancel: CancellationToken) {
-    let following = async {
+    let tasks = async {
         tokio::join!(
-            follow(&node, ConfigFollower),
-            follow(&node, ServerFollower::default()),
+            watch_kind(&node, ConfigWatcher),
+            watch_kind(&node, ServerWatcher::default()),
             discovery::discover_processes(&node),
             discovery::announce_process(&node),
-            expire(&node),
-            state_sync::run(&node),
-            state_sync::ask_peers(&node),
+            remove_expired(&node),
+            state_sync::sync_from_watchers(&node),
+            state_sync::sync_from_any_peer(&node),
             request_quarantine::sync_crash_reports(&node),
             quarantine_store::run(&node),
-            probe(&node),
+            probe_store(&node),
         )
     };
     tokio::select! {
         () = cancel.cancelled() => {}
-        _ = following => {}
+        _ = tasks => {}
     }
 }
 
-/// How long a process that just started and has its first list waits before it watches: by
-/// then it has heard who follows for its zone, and its watch is not needed: two heartbeats.
-/// A tenth of the shortest bound for a change (2 s); the watch goes on from the list.
-const SETTLE_AFTER_START: Duration = Duration::from_millis(200);
+/// Delay between the start of a process and its first watch.
+///
+/// It lasts two heartbeats. By then the process knows which processes watch the store for its
+/// zone and usually needs no watch of its own. It is a tenth of the shortest time limit for
+/// applying a change (2 s), and no change is missed, because the watch continues from the list.
+const FIRST_WATCH_DELAY: Duration = Duration::from_millis(200);
 
-async fn follow<F: Follower>(node: &Node, follower: F) {
+/// Lists and watches the objects of one kind for as long as this process should watch the
+/// store. Never returns.
+async fn watch_kind<W: KindWatcher>(node: &Node, watcher: W) {
     let mut backoff = Backoff::default();
     let mut revision = None;
     let mut failing = false;
-    let settled_at = Instant::now() + SETTLE_AFTER_START;
+    let first_watch_at = Instant::now() + FIRST_WATCH_DELAY;
     loop {
         if revision.is_some() {
-            tokio::time::sleep_until(settled_at.into()).await;
+            tokio::time::sleep_until(first_watch_at.into()).await;
         }
-        // A process that never listed asks at once; one whose calls fail goes on until the
-        // store answers, so that it knows whether it is turned away.
-        let must_go_on = failing || !F::was_listed(node);
+        // A process that has no list yet asks for one at once. A process whose calls fail
+        // continues until the store responds, so that it knows whether it is still rejected.
+        let must_continue = failing || !W::was_listed(node);
         node.select_representatives(Instant::now());
-        while !must_go_on && !node.should_watch_store(Instant::now()) {
-            F::is_current(node).store(false, Ordering::Relaxed);
+        while !must_continue && !node.should_watch_store(Instant::now()) {
+            W::is_current(node).store(false, Ordering::Relaxed);
             revision = None;
             tokio::time::sleep(watcher_selection::CHECK_INTERVAL).await;
         }
-        let step = follow_once(node, &follower, revision).await;
-        F::is_current(node).store(step.is_ok(), Ordering::Relaxed);
-        match step {
+        let result = list_or_watch(node, &watcher, revision).await;
+        W::is_current(node).store(result.is_ok(), Ordering::Relaxed);
+        match result {
             Ok(next) => {
                 if failing {
-                    follower.regained(node);
+                    watcher.on_store_regained(node);
                     failing = false;
                 }
                 backoff = Backoff::default();
                 revision = next;
             }
             Err(_) => {
-                // StoreAccess logs the loss of the store once for all followers.
+                // StoreAccess logs the loss of the store once for all kinds.
                 if !failing {
-                    follower.lost(node);
+                    watcher.on_store_lost(node);
                     failing = true;
                     revision = None;
                 }
@@ -122,60 +128,63 @@
     }
 }
 
-/// Makes sure that the store answers: while others rely on this process, and while its own
-/// calls fail and it does not follow. It would not call again for long, and go on sending its
-/// writes through peers when the store answers it again.
-async fn probe(node: &Node) {
+/// Probes the store periodically. Never returns.
+///
+/// A watching process with subscribers does so to find out quickly that the store no longer
+/// responds to it. A process that does not watch the store does so while its calls fail:
+/// otherwise it would make no further call for a long time, and would keep sending its writes
+/// through peers after the store serves it again.
+async fn probe_store(node: &Node) {
     loop {
         tokio::time::sleep(watcher_selection::PROBE_INTERVAL).await;
         let now = Instant::now();
-        let reached = node.store.failing_for(now).is_none();
-        let follows = node.should_watch_store(now);
-        if (follows && node.has_subscribers(now)) || (!follows && !reached) {
-            let answered = node.store.probe(config::KIND, config::NAME).await;
-            if answered.is_err() && reached {
-                // The others must take another process for the zone's follower now.
+        let was_reached = node.store.failing_for(now).is_none();
+        let should_watch = node.should_watch_store(now);
+        if (should_watch && node.has_subscribers(now)) || (!should_watch && !was_reached) {
+            let probed = node.store.probe(config::KIND, config::NAME).await;
+            if probed.is_err() && was_reached {
+                // The zone's processes must select another store watcher now.
                 node.urgent_heartbeat.notify_one();
             }
         }
     }
 }
 
-/// Lists the kind if `revision` is none, else watches from it. Answers where to go on, or
-/// none to list again.
-async fn follow_once<F: Follower>(
+/// Lists the kind if `revision` is None, otherwise watches it from that revision. Returns the
+/// revision for the next watch, or None if the kind must be listed again.
+async fn list_or_watch<W: KindWatcher>(
     node: &Node,
-    follower: &F,
+    watcher: &W,
     revision: Option<u64>,
 ) -> Result<Option<u64>, StoreError> {
     let Some(revision) = revision else {
-        let listing = node.store.list(F::KIND).await?;
-        follower.regained(node);
-        follower.take_all(node, listing.objects, listing.revision);
+        let listing = node.store.list(W::KIND).await?;
+        watcher.on_store_regained(node);
+        watcher.apply_list(node, listing.objects, listing.revision);
         return Ok(Some(listing.revision));
     };
-    match node.store.watch(F::KIND, revision, WATCH_WAIT).await? {
+    match node.store.watch(W::KIND, revision, WATCH_WAIT).await? {
         WatchOutcome::Changes { changes, revision } => {
-            let changed = !changes.is_empty();
+            let any_changed = !changes.is_empty();
             for change in changes {
-                follower.take_change(node, change);
+                watcher.apply_change(node, change);
             }
-            follower.advance(node, revision);
-            if changed && !F::PAUSE.is_zero() {
-                tokio::time::sleep(F::PAUSE).await;
+            watcher.on_revision_reached(node, revision);
+            if any_changed && !W::COALESCING_DELAY.is_zero() {
+                tokio::time::sleep(W::COALESCING_DELAY).await;
             }
             Ok(Some(revision))
         }
         WatchOutcome::HistoryExpired => {
-            log::info!(kind = F::KIND, revision; "history gone, listing again");
+            log::info!(kind = W::KIND, revision; "watch history expired; listing again");
             Ok(None)
         }
     }
 }
 
-struct ConfigFollower;
+struct ConfigWatcher;
 
-impl Follower for ConfigFollower {
+impl KindWatcher for ConfigWatcher {
     const KIND: &'static str = config::KIND;
 
     fn is_current(node: &Node) -> &AtomicBool {
@@ -186,27 +195,27 @@
         node.config().is_some()
     }
 
-    fn take_all(&self, node: &Node, objects: Vec<Object>, _revision: u64) {
+    fn apply_list(&self, node: &Node, objects: Vec<Object>, _revision: u64) {
         for object in objects {
-            take_config(node, &object);
+            apply_config_object(node, &object);
         }
     }
 
-    fn take_change(&self, node: &Node, change: Change) {
+    fn apply_change(&self, node: &Node, change: Change) {
         if !change.removed {
-            take_config(node, &change.object);
+            apply_config_object(node, &change.object);
         }
     }
 }
 
-fn take_config(node: &Node, object: &Object) {
+fn apply_config_object(node: &Node, object: &Object) {
     if object.name != config::NAME {
         return;
     }
     match config::decode(&object.spec) {
         Ok((config, faults)) => {
             for fault in faults {
-                log::warn!(revision = object.revision, fault; "configuration entry left out");
+                log::warn!(revision = object.revision, fault; "invalid configuration entry ignored");
             }
             node.apply_config(config, "store");
         }
@@ -217,14 +226,14 @@
 }
 
 #[derive(Default)]
-struct ServerFollower {
-    /// Spoiled entries and the revisions at which they were logged; sorted by name.
-    spoiled: Mutex<Vec<(ServerId, Version)>>,
+struct ServerWatcher {
+    /// Unreadable entries and the revisions at which they were logged, sorted by name.
+    logged_entries: Mutex<Vec<(ServerId, Version)>>,
 }
 
-impl Follower for ServerFollower {
+impl KindWatcher for ServerWatcher {
     const KIND: &'static str = servers::KIND;
-    const PAUSE: Duration = drain_timing::WATCH_COALESCING_DELAY;
+    const COALESCING_DELAY: Duration = drain_timing::WATCH_COALESCING_DELAY;
 
     fn is_current(node: &Node) -> &AtomicBool {
         &node.servers_are_current
@@ -235,44 +244,44 @@
         directory.revision().is_some()
     }
 
-    fn lost(&self, node: &Node) {
+    fn on_store_lost(&self, node: &Node) {
         node.directory
             .lock()
             .expect("directory lock")
             .record_source_lost();
     }
 
-    fn regained(&self, node: &Node) {
+    fn on_store_regained(&self, node: &Node) {
         let mut directory = node.directory.lock().expect("directory lock");
         directory.record_source_regained(Instant::now());
     }
 
-    fn take_all(&self, node: &Node, objects: Vec<Object>, revision: u64) {
-        let (mut listed, mut spoiled) = (Vec::new(), Vec::new());
+    fn apply_list(&self, node: &Node, objects: Vec<Object>, revision: u64) {
+        let (mut listed, mut unreadable) = (Vec::new(), Vec::new());
         for object in &objects {
             match self.decode(object) {
                 Some(server) => listed.push(server),
-                None => spoiled.push(&object.name),
+                None => unreadable.push(&object.name),
             }
         }
-        self.forget_logged(&spoiled);
-        let (servers, spoiled_entries) = (listed.len(), spoiled.len());
+        self.retain_logged(&unreadable);
+        let (servers, spoiled_entries) = (listed.len(), unreadable.len());
         let mut directory = node.directory.lock().expect("directory lock");
         let taken = directory.apply_list(listed, revision, Instant::now());
-        for id in spoiled.into_iter().filter(|_| taken) {
+        for id in unreadable.into_iter().filter(|_| taken) {
             directory.refuse_entry(id);
         }
         log::info!(servers, spoiled_entries, revision, taken; "backend servers listed");
     }
 
-    fn advance(&self, node: &Node, revision: u64) {
+    fn on_revision_reached(&self, node: &Node, revision: u64) {
         let mut directory = node.directory.lock().expect("directory lock");
         directory.advance_revision(revision);
-        // Others of the zone may wait to hear of it.
+        // Other processes of the zone may be waiting for the new revision.
         node.urgent_heartbeat.notify_one();
     }
 
-    fn take_change(&self, node: &Node, change: Change) {
+    fn apply_change(&self, node: &Node, change: Change) {
         let id = change.object.name.clone();
         let revision = change.object.revision;
         let change = if change.removed {
@@ -289,51 +298,52 @@
     }
 }
 
-impl ServerFollower {
-    /// The server that an entry names, if it names one. Each version of a spoiled entry is
-    /// logged once, however often it is read.
+impl ServerWatcher {
+    /// Decodes a server's entry. Returns None if the entry is unreadable, and logs each version
+    /// of an unreadable entry once, however often it is read.
     fn decode(&self, object: &Object) -> Option<BackendServer> {
         let error = match servers::decode(&object.name, &object.spec) {
             Ok(server) => return Some(server),
             Err(error) => error,
         };
-        let mut logged = self.spoiled.lock().expect("spoiled entries lock");
+        let mut logged = self.logged_entries.lock().expect("logged entries lock");
         let found = logged.binary_search_by(|(name, _)| name.cmp(&object.name));
         match found {
             Ok(at) if logged[at].1 == object.revision => return None,
             Ok(at) => logged[at].1 = object.revision,
             Err(at) => logged.insert(at, (object.name.clone(), object.revision)),
         }
-        log::warn!(server = object.name, revision = object.revision, error:% = error; "backend server's entry names no server");
+        log::warn!(server = object.name, revision = object.revision, error:% = error; "cannot decode backend server entry");
         None
     }
 
-    /// Forgets what was logged of entries that a whole list does not show as spoiled.
-    fn forget_logged(&self, spoiled: &[&ServerId]) {
-        let mut logged = self.spoiled.lock().expect("spoiled entries lock");
-        logged.retain(|(name, _)| spoiled.contains(&name));
+    /// Drops the log records of all entries except the `unreadable` ones of a complete list.
+    fn retain_logged(&self, unreadable: &[&ServerId]) {
+        let mut logged = self.logged_entries.lock().expect("logged entries lock");
+        logged.retain(|(name, _)| unreadable.contains(&name));
     }
 }
 
-/// Drops servers whose time as a last resort is over, and idle connections past theirs.
-async fn expire(node: &Node) {
-    let mut ticks = tokio::time::interval(EXPIRE_EVERY);
+/// Periodically removes servers whose expired entries are past their grace period, and idle
+/// connections past their lifetime. Never returns.
+async fn remove_expired(node: &Node) {
+    let mut ticks = tokio::time::interval(EXPIRY_CHECK_INTERVAL);
     loop {
         ticks.tick().await;
         let now = Instant::now();
         let failing = node.should_watch_store(now) && node.store.failing_for(now).is_some();
-        let gone = {
+        let removed = {
             let mut directory = node.directory.lock().expect("directory lock");
-            // The watch of the servers may wait through an outage that other calls show.
+            // The open watch of the servers may not notice an outage that other calls show.
             match failing {
                 true => directory.record_source_lost(),
                 false => directory.record_source_regained(now),
             }
             directory.remove_expired(now)
         };
-        if !gone.is_empty() {
-            log::info!(servers:? = gone; "backend servers gone");
-            node.loads.remove_servers(&gone);
+        if !removed.is_empty() {
+            log::info!(servers:? = removed; "backend servers gone");
+            node.loads.remove_servers(&removed);
         }
         node.pool.close_expired();
     }
--- a/crates/foxwheel-node/src/zone_representative.rs
+++ b/crates/foxwheel-node/src/zone_representative.rs
@@ -1,6 +1,7 @@
-//! What a process does that others of its zone named as a speaker: it tells other zones how
-//! full its zone's servers are, and passes on what it hears from them. The second speaker does
-//! so where the first one does not, because a path to it is cut.
+//! The duties of a process that others of its zone selected as a representative: it reports the
+//! load of its zone's servers to other zones and forwards their summaries within its zone. The
+//! secondary representative does the same where the primary one cannot, because a path to it is
+//! cut.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,51 +16,48 @@
 use crate::peer_messages::{CrossZoneLoads, PeerEndpoint, PeerMessage, WorkerSummary, ZoneSummary};
 use crate::settings::Role;
 
-/// Tells the other zones' speakers.
-pub async fn send_summary(
-    datagram_sender: &DatagramSender,
-    node: &Node,
-    sequence: u64,
-    now: Instant,
-) {
+/// Sends a summary of this zone to the representatives of every other zone.
+pub async fn send_summary(datagrams: &DatagramSender, node: &Node, sequence: u64, now: Instant) {
     let others = node.peers.other_zone_recipients(now);
     if others.is_empty() {
         return;
     }
-    let mut summary = summary(node, sequence, now);
+    let mut summary = build_summary(node, sequence, now);
     for (zone, addresses) in others {
-        summary.servers = server_loads(node, &zone, now);
+        summary.servers = server_loads_for(node, &zone, now);
         let message = PeerMessage::Summary(summary.clone());
-        datagram_sender.send(&message, &addresses).await;
+        datagrams.send(&message, &addresses).await;
     }
 }
 
-/// Asks the processes of each zone that nobody tells of any more: the paths to this zone's
-/// speakers may be cut, or those speakers may be dead. A front that knew of no other zone's
-/// workers handed its jobs to nobody: they began seconds late.
-pub async fn ask_silent_zones(datagram_sender: &DatagramSender, node: &Node, now: Instant) {
+/// Requests a summary from the processes of each zone of which no recent summary is known. The
+/// paths from that zone to this zone's representatives may be cut, or those representatives may
+/// be dead. A front that knew no workers of other zones had no process to send its accepted jobs
+/// to, and the jobs began seconds late.
+pub async fn request_missing_summaries(datagrams: &DatagramSender, node: &Node, now: Instant) {
     let message = PeerMessage::SummaryWanted(node.endpoint());
     for addresses in node.peers.silent_zone_recipients(now) {
-        datagram_sender.send(&message, &addresses).await;
+        datagrams.send(&message, &addresses).await;
     }
 }
 
-/// Answers a process that hears nothing of this zone.
-pub async fn answer(
-    datagram_sender: &DatagramSender,
+/// Sends a summary of this zone to a process of another zone that requested it.
+pub async fn respond_with_summary(
+    datagrams: &DatagramSender,
     node: &Node,
-    asker: &PeerEndpoint,
+    requester: &PeerEndpoint,
     sequence: u64,
 ) {
     let now = Instant::now();
-    let mut summary = summary(node, sequence, now);
-    summary.servers = server_loads(node, &asker.zone, now);
+    let mut summary = build_summary(node, sequence, now);
+    summary.servers = server_loads_for(node, &requester.zone, now);
     let message = PeerMessage::Summary(summary);
-    datagram_sender.send(&message, &[asker.addr]).await;
+    datagrams.send(&message, &[requester.addr]).await;
 }
 
-/// Passes new summaries of other zones on to those who named this process.
-pub async fn pass_on_summaries(datagram_sender: &DatagramSender, node: &Node, now: Instant) {
+/// Forwards new summaries of other zones to the processes that selected this one as a
+/// representative.
+pub async fn forward_summaries(datagrams: &DatagramSender, node: &Node, now: Instant) {
     for rank in [Rank::Primary, Rank::Secondary] {
         let subscribers = node.subscribers(rank, now);
         if subscribers.is_empty() {
@@ -68,29 +66,31 @@
         let summaries = node.peers.summaries_to_forward(rank == Rank::Primary, now);
         if !summaries.is_empty() {
             let message = PeerMessage::Summaries(summaries);
-            datagram_sender.send(&message, &subscribers).await;
+            datagrams.send(&message, &subscribers).await;
         }
     }
 }
 
-/// Takes the load of a process of another zone, and passes it on to those who named this
-/// process.
+/// Stores the load that a process of another zone puts on this zone's servers. If the report is
+/// new and came directly, also forwards it to the processes that selected this one as their
+/// primary representative.
 pub async fn apply_cross_zone_loads(
-    datagram_sender: &DatagramSender,
+    datagrams: &DatagramSender,
     node: &Node,
-    mut told: CrossZoneLoads,
+    mut report: CrossZoneLoads,
     now: Instant,
 ) {
-    if node.peers.apply_cross_zone_loads(&told, now) && !told.passed_on {
-        told.passed_on = true;
+    if node.peers.apply_cross_zone_loads(&report, now) && !report.passed_on {
+        report.passed_on = true;
         let subscribers = node.subscribers(Rank::Primary, now);
-        let message = PeerMessage::GuestLoads(told);
-        datagram_sender.send(&message, &subscribers).await;
+        let message = PeerMessage::GuestLoads(report);
+        datagrams.send(&message, &subscribers).await;
     }
 }
 
-/// What every zone is told; the loads are for each one apart.
-fn summary(node: &Node, sequence: u64, now: Instant) -> ZoneSummary {
+/// Builds the part of the summary that is the same for every recipient zone. The server loads
+/// are left empty.
+fn build_summary(node: &Node, sequence: u64, now: Instant) -> ZoneSummary {
     let settings = &node.settings;
     let local = node.peers.own_zone_peers(now);
     let own_front = usize::from(settings.role == Role::Front);
@@ -103,9 +103,10 @@
             .find(|peer| peer.member.host == *host)
             .map(|peer| peer.addr),
     };
-    let mut speakers: Vec<SocketAddr> = node.speakers().iter().filter_map(addr_of).collect();
-    if !speakers.contains(&own) {
-        speakers.push(own);
+    let mut representatives: Vec<SocketAddr> =
+        node.representatives().iter().filter_map(addr_of).collect();
+    if !representatives.contains(&own) {
+        representatives.push(own);
     }
     let mut workers = node.peers.worker_summaries(now);
     if settings.role == Role::Worker {
@@ -119,10 +120,10 @@
         });
         workers.sort_unstable_by(|a, b| a.host.cmp(&b.host));
     }
-    let mut gone = node.peers.reported_dead_instances(now);
-    gone.extend(node.dead_instances(now));
-    gone.sort_unstable();
-    gone.dedup();
+    let mut dead_instances = node.peers.reported_dead_instances(now);
+    dead_instances.extend(node.dead_instances(now));
+    dead_instances.sort_unstable();
+    dead_instances.dedup();
     ZoneSummary {
         zone: settings.availability_zone.clone(),
         host: settings.host.clone(),
@@ -130,36 +131,37 @@
         quarantine: node.quarantine_state(),
         incarnation: node.incarnation,
         sequence,
-        speakers,
+        speakers: representatives,
         fronts: fronts as u32,
         servers: Vec::new(),
-        gone,
+        gone: dead_instances,
         workers,
     }
 }
 
-/// The load on the zone's servers without that of `told_zone`, which knows its own better.
-fn server_loads(
+/// Returns the load on this zone's servers for a summary to `recipient_zone`. Excludes the load
+/// from that zone itself, which it knows better.
+fn server_loads_for(
     node: &Node,
-    told_zone: &Zone,
+    recipient_zone: &Zone,
     now: Instant,
 ) -> Vec<(zone_loads::ServerFingerprint, zone_loads::RequestCounts)> {
-    let theirs = node.peers.cross_zone_loads(told_zone, now);
+    let from_recipient = node.peers.cross_zone_loads(recipient_zone, now);
     let directory = node.directory.lock().expect("directory lock");
-    let local = directory.entries().iter().filter(|member| {
-        let server = &member.server;
+    let local = directory.entries().iter().filter(|entry| {
+        let server = &entry.server;
         server.zone == node.settings.availability_zone && server.state == ServerState::Ready
     });
-    let servers = local.map(|member| {
-        let key = member.server.instance();
-        let own = node.loads.own_load(&key, now);
-        let (online, batch) = node.peers.in_flight(&key, now);
-        let (their_online, their_batch) = theirs.in_flight(&key);
+    let servers = local.map(|entry| {
+        let instance = entry.server.instance();
+        let own = node.loads.own_load(&instance, now);
+        let (online, batch) = node.peers.in_flight(&instance, now);
+        let (recipient_online, recipient_batch) = from_recipient.in_flight(&instance);
         let load = zone_loads::RequestCounts {
-            online: own.online + online.saturating_sub(their_online),
-            batch: own.batch + batch.saturating_sub(their_batch),
+            online: own.online + online.saturating_sub(recipient_online),
+            batch: own.batch + batch.saturating_sub(recipient_batch),
         };
-        (zone_loads::fingerprint(&key), load, member.server.slots)
+        (zone_loads::fingerprint(&instance), load, entry.server.slots)
     });
     zone_loads::select_freest_servers(servers.collect())
 }
