--- a/crates/foxwheel-node/src/attempt.rs
+++ b/crates/foxwheel-node/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one backend server.
+//! Sends one request to one backend server and reads its response.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,60 +22,64 @@
 use crate::request_content::RequestContent;
 use crate::server_probe::{self, CutOffRequest};
 
-/// Silence of a server on all requests of this process after which it is sent nothing new:
-/// engines take a step every few milliseconds.
-const SUSPECT_SILENCE: Duration = Duration::from_millis(400);
+/// A server that sends nothing on any request of this process for this long is suspected and
+/// gets no new requests. Engines take a step every few milliseconds, so that a working server
+/// is never silent for so long.
+const SUSPECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Longest wait for what became of a server that broke an answer off: one that crashed refuses
-/// connections within a round trip.
-const FINDING_PATIENCE: Duration = Duration::from_millis(100);
+/// How long a request waits for the liveness probe of a server that cut its response off. A
+/// crashed server refuses connections within one round trip.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Where an attempt goes and how long it may take.
+/// The server of an attempt, the request's identity and the time limits of the attempt.
 #[derive(Debug)]
 pub struct Target {
-    /// The slot taken when the server was chosen, so that the next choice counts it.
+    /// The server's slot. It is reserved when the server is chosen, so that concurrent choices
+    /// already count this request in the server's load.
     pub slot: InFlight,
-    /// The request's id, which the answer must carry.
+    /// The request's id; a response that carries another id is discarded.
     pub request_id: RequestId,
-    /// What the request asks for.
+    /// The request's content, under which a crash of the server is recorded.
     pub content: Arc<RequestContent>,
-    /// How long it is expected to wait for a slot there.
+    /// How long the request is expected to wait for a slot at the server. Silence during this
+    /// time does not make the server suspected.
     pub expected_wait: Duration,
-    /// When to stop waiting.
+    /// When the attempt is abandoned.
     pub deadline: Instant,
-    /// When to stop waiting for the head of the answer and try elsewhere; none waits on.
+    /// When to abandon the attempt if no response head has arrived, so that another server can
+    /// be tried; `None` waits until `deadline`.
     pub head_deadline: Option<Instant>,
 }
 
-/// Why an attempt gave no usable answer.
+/// Why an attempt produced no usable response.
 #[derive(Debug)]
 pub struct Failure {
-    /// What is known to have happened.
+    /// What is known about the execution of the request at the server.
     pub outcome: AttemptOutcome,
     /// The reason, for the log.
     pub reason: String,
-    /// The server's own whole failure, if it answered one.
-    pub answer: Option<FullResponse>,
+    /// The error response of the server, if it sent a complete one.
+    pub response: Option<FullResponse>,
 }
 
-/// A server's whole answer.
+/// A response whose body was received completely.
 #[derive(Debug)]
 pub struct FullResponse {
-    /// Its head.
+    /// Status and headers.
     pub head: response::Parts,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// An answer whose head came and whose body is on its way. Dropping it closes the
-/// connection, so that the server stops working on it.
+/// A response whose head was received and whose body is still arriving. Dropping it closes the
+/// connection, which makes the server cancel the request.
 #[derive(Debug)]
 pub struct OpenResponse {
-    /// The answer's head.
+    /// Status and headers as received.
     pub head: response::Parts,
-    /// The decoded head.
+    /// The meaning of the head: who responded, and whether the request was run.
     pub decoded_head: ResponseHead,
-    /// The server.
+    /// The server instance that sent the response.
     pub server: ServerInstance,
     node: Arc<Node>,
     request_id: RequestId,
@@ -86,18 +90,23 @@
     slot: InFlight,
 }
 
-/// What came next of a body.
+/// The result of waiting for the next frame of a response body.
 #[derive(Debug)]
 pub enum BodyFrame {
-    /// Bytes.
+    /// The next bytes of the body.
     Data(Bytes),
-    /// The body ended whole.
+    /// The body is complete.
     End,
-    /// The connection broke or the wait ended first.
+    /// The connection failed, or the deadline passed, before the body was complete. Holds the
+    /// reason.
     CutOff(String),
 }
 
-/// Sends `request` and waits for the head of an answer that belongs to it.
+/// Sends `request` and waits for the head of its response.
+///
+/// Returns an error if the request could not be sent, if no head arrived in time, or if the
+/// response belongs to another request. A response that reports a rejection or an error is
+/// returned as `Ok`.
 pub async fn send(
     node: &Arc<Node>,
     target: Target,
@@ -105,7 +114,7 @@
 ) -> Result<OpenResponse, Failure> {
     let server = target.slot.server();
     let Some(addr) = node.usable_addr(server, Instant::now()) else {
-        return Err(Failure::left());
+        return Err(Failure::no_new_work());
     };
     let sent_at = Instant::now();
     let mut is_new = true;
@@ -115,7 +124,7 @@
         if is_new {
             node.metrics.incr(Counter::ServerConnection);
         }
-        // It may have begun to drain while the connection was opened.
+        // The server may have started to drain while the connection was opened.
         if node.usable_addr(server, Instant::now()).is_none() {
             return Ok(None);
         }
@@ -125,26 +134,26 @@
     let wait_until = target
         .head_deadline
         .map_or(target.deadline, |at| at.min(target.deadline));
-    let patience = SUSPECT_SILENCE + target.expected_wait;
-    let exchanged = bounded(node, server, patience, wait_until, exchange).await;
+    let suspect_timeout = SUSPECT_TIMEOUT + target.expected_wait;
+    let exchanged = suspect_while_silent(node, server, suspect_timeout, wait_until, exchange).await;
     if !matches!(exchanged, Some(Ok(_))) {
         let waited_ms = sent_at.elapsed().as_millis() as u64;
-        log::info!(request_id = target.request_id, server = server.id, is_new, waited_ms; "connection given up");
+        log::info!(request_id = target.request_id, server = server.id, is_new, waited_ms; "attempt ended without a response head");
     }
     let (connection, response) = match exchanged {
         Some(Ok(Some(exchanged))) => exchanged,
-        Some(Ok(None)) => return Err(Failure::left()),
+        Some(Ok(None)) => return Err(Failure::no_new_work()),
         Some(Err(e)) => {
-            note_broken(node, server, &e, is_new);
+            record_exchange_error(node, server, &e, is_new);
             if matches!(e, ExchangeError::Broken { .. }) {
-                let run = CutOffRequest {
+                let cut_off = CutOffRequest {
                     server: server.clone(),
                     request_id: target.request_id,
                     content: target.content,
                     sent_at,
-                    broke_at: Instant::now(),
+                    cut_off_at: Instant::now(),
                 };
-                look_at_server(node, run).await;
+                probe_server(node, cut_off).await;
             }
             let outcome = match e.is_not_sent() {
                 true => AttemptOutcome::NotSent,
@@ -153,10 +162,13 @@
             return Err(Failure::new(outcome, e.to_string()));
         }
         None => {
-            if node.loads.is_silent(server, patience, Instant::now()) {
-                note_suspect(node, server, "no answer");
+            if node
+                .loads
+                .is_silent(server, suspect_timeout, Instant::now())
+            {
+                mark_suspected(node, server, "no answer");
             }
-            return Err(Failure::new(AttemptOutcome::Unknown, "no answer in time"));
+            return Err(Failure::new(AttemptOutcome::Unknown, "no response in time"));
         }
     };
     let (head, body) = response.into_parts();
@@ -165,7 +177,7 @@
         node.loads.record_outcome(server, true, Instant::now());
         return Err(Failure::new(
             AttemptOutcome::Unknown,
-            "answer is not the request's",
+            "response belongs to another request or is encoded",
         ));
     }
     let now = Instant::now();
@@ -193,12 +205,15 @@
 }
 
 impl OpenResponse {
-    /// The next piece of the body, waited for until `deadline`.
+    /// Waits for the next frame of the body until `deadline`. If the connection fails, the server
+    /// is probed before this returns.
     pub async fn next_frame(&mut self, deadline: Instant) -> BodyFrame {
         loop {
             let frame = self.body.frame();
-            let next = bounded(&self.node, &self.server, SUSPECT_SILENCE, deadline, frame).await;
-            return match next {
+            let next_frame =
+                suspect_while_silent(&self.node, &self.server, SUSPECT_TIMEOUT, deadline, frame)
+                    .await;
+            return match next_frame {
                 Some(None) => BodyFrame::End,
                 Some(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) => {
@@ -207,41 +222,43 @@
                             .record_progress(&self.server, Instant::now());
                         BodyFrame::Data(data)
                     }
-                    // Trailers concern the connection only.
+                    // Trailers are not passed on: they apply only to this connection.
                     Err(_) => continue,
                 },
                 Some(Some(Err(e))) => {
-                    look_at_server(&self.node, self.broken_run()).await;
+                    probe_server(&self.node, self.cut_off_request()).await;
                     BodyFrame::CutOff(WithCauses(&e).to_string())
                 }
-                None => BodyFrame::CutOff("silent for too long".to_owned()),
+                None => BodyFrame::CutOff("no more data before the deadline".to_owned()),
             };
         }
     }
 
-    fn broken_run(&self) -> CutOffRequest {
+    fn cut_off_request(&self) -> CutOffRequest {
         CutOffRequest {
             server: self.server.clone(),
             request_id: self.request_id.clone(),
             content: Arc::clone(&self.content),
             sent_at: self.sent_at,
-            broke_at: Instant::now(),
+            cut_off_at: Instant::now(),
         }
     }
 
-    /// The whole body, waited for until `deadline`.
+    /// Reads the rest of the body. Returns the reason as an error if the body is not complete at
+    /// `deadline` or the connection fails.
     pub async fn read_full_body(&mut self, deadline: Instant) -> Result<Bytes, String> {
-        let mut whole = bytes::BytesMut::new();
+        let mut body = bytes::BytesMut::new();
         loop {
             match self.next_frame(deadline).await {
-                BodyFrame::Data(data) => whole.extend_from_slice(&data),
-                BodyFrame::End => return Ok(whole.freeze()),
+                BodyFrame::Data(data) => body.extend_from_slice(&data),
+                BodyFrame::End => return Ok(body.freeze()),
                 BodyFrame::CutOff(reason) => return Err(reason),
             }
         }
     }
 
-    /// Gives the connection back after a body that ended whole.
+    /// Ends the exchange after a complete body: frees the slot, records the success for the
+    /// request's content, and returns the connection to the pool unless the server closes it.
     pub fn finish(self) {
         let Self {
             decoded_head,
@@ -264,55 +281,64 @@
 }
 
 impl Failure {
-    /// The server takes no new work, so it was sent nothing.
-    fn left() -> Self {
+    /// The server accepts no new requests, so that this one was not sent.
+    fn no_new_work() -> Self {
         Self::new(AttemptOutcome::NotSent, "server takes no new work")
     }
 
-    /// A failure without an answer of the server's.
+    /// Creates a failure that carries no response from the server.
     pub fn new(outcome: AttemptOutcome, reason: impl Into<String>) -> Self {
         Self {
             outcome,
             reason: reason.into(),
-            answer: None,
+            response: None,
         }
     }
 }
 
-/// Waits for `work` until `deadline`; meanwhile a server that stays silent for `patience`
-/// is sent nothing new.
-async fn bounded<T>(
+/// Runs `work` until `deadline`; returns `None` if it does not complete in time. If the server
+/// is silent for `suspect_timeout` meanwhile, it is marked as suspected and gets no new requests,
+/// but `work` goes on.
+async fn suspect_while_silent<T>(
     node: &Node,
     server: &ServerInstance,
-    patience: Duration,
+    suspect_timeout: Duration,
     deadline: Instant,
     work: impl std::future::Future<Output = T>,
 ) -> Option<T> {
     tokio::pin!(work);
-    let suspect_at = Instant::now() + patience;
+    let suspect_at = Instant::now() + suspect_timeout;
     if suspect_at < deadline {
         tokio::select! {
             biased;
-            done = &mut work => return Some(done),
+            output = &mut work => return Some(output),
             () = tokio::time::sleep_until(TokioInstant::from_std(suspect_at)) => {}
         }
-        if node.loads.is_silent(server, patience, Instant::now()) {
-            note_suspect(node, server, "silent");
+        if node
+            .loads
+            .is_silent(server, suspect_timeout, Instant::now())
+        {
+            mark_suspected(node, server, "silent");
         }
     }
     tokio::select! {
         biased;
-        done = &mut work => Some(done),
+        output = &mut work => Some(output),
         () = tokio::time::sleep_until(TokioInstant::from_std(deadline)) => None,
     }
 }
 
-/// What a broken exchange says of its server: one that cannot be connected to is sent nothing
-/// for a while; an answer that was lost is a failure; a connection that the server closed
-/// while it was idle says nothing.
-fn note_broken(node: &Node, server: &ServerInstance, error: &ExchangeError, is_new: bool) {
+/// Records what a failed exchange implies for the server. A server that refuses connections is
+/// marked as suspected, and a lost response counts as a failed request. A reused connection
+/// that failed before the request was sent implies nothing: the server closed it while idle.
+fn record_exchange_error(
+    node: &Node,
+    server: &ServerInstance,
+    error: &ExchangeError,
+    is_new: bool,
+) {
     match error {
-        ExchangeError::Connect { .. } => note_suspect(node, server, "no connection"),
+        ExchangeError::Connect { .. } => mark_suspected(node, server, "no connection"),
         ExchangeError::NotSent { .. } if !is_new => {}
         ExchangeError::NotSent { .. } | ExchangeError::Broken { .. } => {
             node.loads.record_outcome(server, true, Instant::now());
@@ -320,16 +346,17 @@
     }
 }
 
-/// Has the server looked at that broke an answer off, before the request goes on elsewhere:
-/// one that crashes servers would otherwise reach the next ones faster than it is found out.
-async fn look_at_server(node: &Arc<Node>, run: CutOffRequest) {
-    let look = server_probe::look(Arc::clone(node), run);
-    // Looked for to the end, also when the caller leaves meanwhile; without a finding in time
-    // the request goes on.
-    let _ = tokio::time::timeout(FINDING_PATIENCE, tokio::spawn(look)).await;
+/// Waits for a liveness probe of a server that cut a response off, before the request is sent
+/// elsewhere. Without the wait, a request that crashes servers would reach the next servers
+/// faster than it is identified.
+async fn probe_server(node: &Arc<Node>, cut_off: CutOffRequest) {
+    let probe = server_probe::probe(Arc::clone(node), cut_off);
+    // The spawned probe completes even if the caller disconnects. If it takes longer than the
+    // timeout, the request continues without its result.
+    let _ = tokio::time::timeout(PROBE_TIMEOUT, tokio::spawn(probe)).await;
 }
 
-fn note_suspect(node: &Node, server: &ServerInstance, reason: &str) {
+fn mark_suspected(node: &Node, server: &ServerInstance, reason: &str) {
     if node.loads.mark_suspected(server, Instant::now()) {
         log::info!(server = server.id, reason; "backend server suspected");
     }
--- a/crates/foxwheel-node/src/event_stream.rs
+++ b/crates/foxwheel-node/src/event_stream.rs
@@ -1,18 +1,18 @@
-//! Splitting a stream of server-sent events into whole events.
+//! Splits a byte stream of server-sent events into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// One whole event.
+/// A complete event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes as they came, with the blank line behind it.
+    /// The bytes as received, including the blank line that ends the event.
     pub bytes: Bytes,
-    /// Its id, if it has one.
+    /// The event id, if the event has one that is a number.
     pub id: Option<u64>,
 }
 
 impl Event {
-    /// Its data: the data lines joined by line feeds.
+    /// Returns the values of the `data` lines, joined by line feeds. Invalid UTF-8 is replaced.
     pub fn data(&self) -> String {
         let text = String::from_utf8_lossy(&self.bytes);
         let lines: Vec<&str> = text
@@ -24,19 +24,20 @@
     }
 }
 
-/// Collects bytes and gives out whole events.
+/// Buffers received bytes and returns the complete events among them.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
 }
 
 impl EventSplitter {
-    /// Adds bytes as they came.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event, if there is one.
+    /// Removes the next complete event from the buffer and returns it; `None` if more bytes are
+    /// needed.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = event_end(&self.buffer)?;
         let bytes = self.buffer.split_to(end).freeze();
@@ -44,18 +45,18 @@
         Some(Event { bytes, id })
     }
 
-    /// Whether bytes of an event that is not whole yet are left.
+    /// Returns whether the buffer holds bytes of an event that is not complete yet.
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Drops the bytes of an event that will not become whole.
-    pub fn clear(&mut self) {
+    /// Discards the bytes of an event that will never be completed, as its stream ended.
+    pub fn discard_partial_event(&mut self) {
         self.buffer.clear();
     }
 }
 
-/// The position behind the first blank line.
+/// Returns the position after the first blank line.
 fn event_end(buffer: &[u8]) -> Option<usize> {
     memchr::memchr_iter(b'\n', buffer).find_map(|at| match &buffer[at + 1..] {
         [b'\n', ..] => Some(at + 2),
--- a/crates/foxwheel-node/src/heartbeat.rs
+++ b/crates/foxwheel-node/src/heartbeat.rs
@@ -143,7 +143,7 @@
 /// Triggers a request for crash reports if the sender of a message knows crashes of servers and
 /// its set of them differs from that of this process.
 fn request_crash_sync_if_different(node: &Node, reported: QuarantineDigest) {
-    if reported != 0 && reported != node.quarantine_state() {
+    if reported != 0 && reported != node.quarantine_digest() {
         node.quarantine_update.notify_one();
     }
 }
@@ -350,7 +350,7 @@
         follows: node.is_watching_store(now),
         store_answered_ago: node.store.time_since_response(now),
         knows: node.state_version(),
-        quarantine: node.quarantine_state(),
+        quarantine: node.quarantine_digest(),
         speakers: node.representatives(),
         loads: node.loads.snapshot(),
         gone: node.dead_instances(now),
--- a/crates/foxwheel-node/src/online_request.rs
+++ b/crates/foxwheel-node/src/online_request.rs
@@ -170,7 +170,7 @@
                 NextStep::PassOn | NextStep::FailUnknown => {
                     return Err(Refusal::Failed {
                         reason: failure.reason,
-                        answer: failure.answer,
+                        answer: failure.response,
                     })
                 }
                 NextStep::RefuseNotRun => {
@@ -279,7 +279,7 @@
                 Failure {
                     outcome: AttemptOutcome::Failed,
                     reason,
-                    answer: Some(FullResponse { head, body }),
+                    response: Some(FullResponse { head, body }),
                 }
             }
             _ => Failure::new(AttemptOutcome::Unknown, reason),
--- a/crates/foxwheel-node/src/relay.rs
+++ b/crates/foxwheel-node/src/relay.rs
@@ -62,11 +62,11 @@
                 }
                 BodyFrame::End => {
                     answer = resume(&node, &mut request, answer, "ended within an event").await?;
-                    splitter.clear();
+                    splitter.discard_partial_event();
                 }
                 BodyFrame::CutOff(reason) => {
                     answer = resume(&node, &mut request, answer, &reason).await?;
-                    splitter.clear();
+                    splitter.discard_partial_event();
                 }
             }
         }
--- a/crates/foxwheel-node/src/request_content.rs
+++ b/crates/foxwheel-node/src/request_content.rs
@@ -1,4 +1,4 @@
-//! What stays the same of a request when it comes again.
+//! The content of a request: what stays the same when the request is sent again.
 
 use std::sync::OnceLock;
 
@@ -6,19 +6,20 @@
 use foxwheel_core::fingerprint;
 use foxwheel_core::ids::ContentFingerprint;
 
-/// A request without what each attempt has of its own: ids, time limits, where to resume.
+/// A request without the headers that differ between attempts: request id, time limit and the
+/// event to resume after.
 #[derive(Debug)]
 pub struct RequestContent {
     method: String,
     host: String,
     target: String,
     body: Bytes,
-    /// Worked out when first needed: most requests never need it.
+    /// Computed on first use: most requests never need it.
     fingerprint: OnceLock<ContentFingerprint>,
 }
 
 impl RequestContent {
-    /// The content of a request to `target` (path and query) at `host`.
+    /// Creates the content of a request to `target` (path and query) at `host`.
     pub fn new(method: &str, host: &str, target: &str, body: Bytes) -> Self {
         Self {
             method: method.to_owned(),
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Stands for the content in every process.
+    /// Returns a hash that identifies the content in every process.
     pub fn fingerprint(&self) -> &ContentFingerprint {
         self.fingerprint.get_or_init(|| {
             fingerprint::hash_parts(&[
--- a/crates/foxwheel-node/src/request_quarantine.rs
+++ b/crates/foxwheel-node/src/request_quarantine.rs
@@ -96,7 +96,7 @@
     }
 
     /// Stands for the crashes that are known here.
-    pub fn quarantine_state(&self) -> QuarantineDigest {
+    pub fn quarantine_digest(&self) -> QuarantineDigest {
         self.quarantine.lock().expect("quarantine lock").digest()
     }
 }
@@ -111,7 +111,7 @@
         for (addr, told) in node.peers.quarantine_states(Instant::now()) {
             let at = asked.partition_point(|(known, _)| *known < addr);
             let was_asked = asked.get(at) == Some(&(addr, told));
-            if told == 0 || told == node.quarantine_state() || was_asked {
+            if told == 0 || told == node.quarantine_digest() || was_asked {
                 continue;
             }
             if !ask(node, addr).await {
--- a/crates/foxwheel-node/src/responses.rs
+++ b/crates/foxwheel-node/src/responses.rs
@@ -1,4 +1,4 @@
-//! Answers of the system's own.
+//! Construction of the responses that a front sends to callers.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -10,62 +10,64 @@
 use hyper::header::{HeaderValue, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// Why a relayed stream ended before its end. The caller's connection is closed, so that
-/// the answer does not look whole.
+/// A relayed stream ended early. The error makes the HTTP server close the caller's connection,
+/// so that the response is not mistaken for a complete one.
 #[derive(Debug, thiserror::Error)]
-#[error("stream of request {request_id} broke: {reason}")]
+#[error("stream of request {request_id} ended early: {reason}")]
 pub struct RelayError {
-    /// The caller's request.
+    /// The id of the caller's request.
     pub request_id: RequestId,
-    /// What broke it.
+    /// Why the stream could not be continued.
     pub reason: String,
 }
 
-/// Body of every answer to a caller.
+/// The body of every response to a caller: complete or streamed.
 pub type CallerBody = UnsyncBoxBody<Bytes, RelayError>;
 
-/// An answer to a caller.
+/// A response to a caller.
 pub type CallerResponse = Response<CallerBody>;
 
-/// A whole body.
+/// Creates a complete body.
 pub fn full_body(bytes: impl Into<Bytes>) -> CallerBody {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
 }
 
-/// An answer without a body.
+/// Creates a response without a body.
 pub fn empty(status: StatusCode) -> CallerResponse {
-    let mut reply = Response::new(full_body(Bytes::new()));
-    *reply.status_mut() = status;
-    reply
+    let mut response = Response::new(full_body(Bytes::new()));
+    *response.status_mut() = status;
+    response
 }
 
-/// An answer with a line of text that says what is wrong.
+/// Creates a plain-text response.
 pub fn text(code: StatusCode, text: &str) -> CallerResponse {
-    let mut reply = Response::new(full_body(text.to_owned()));
-    *reply.status_mut() = code;
-    reply
+    let mut response = Response::new(full_body(text.to_owned()));
+    *response.status_mut() = code;
+    response
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    reply
+    response
 }
 
-/// A JSON answer.
+/// Creates a JSON response from encoded bytes.
 pub fn json(bytes: Vec<u8>) -> CallerResponse {
-    let mut reply = Response::new(full_body(bytes));
-    reply
+    let mut response = Response::new(full_body(bytes));
+    response
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    reply
+    response
 }
 
-/// "Not run, come back after `retry_after`": only for a request that never will run.
+/// Creates a response that tells the caller that the request was not run and that it should
+/// retry after `retry_after`. Callers rely on this: use it only for a request that has not run
+/// and never will.
 pub fn not_run(code: StatusCode, retry_after: Duration) -> CallerResponse {
-    let mut reply = empty(code);
+    let mut response = empty(code);
     let seconds = format!("{:.3}", retry_after.as_secs_f64());
     if let Ok(value) = HeaderValue::from_str(&seconds) {
-        reply.headers_mut().insert(RETRY_AFTER, value);
+        response.headers_mut().insert(RETRY_AFTER, value);
     }
-    reply
+    response
 }
--- a/crates/foxwheel-node/src/server_probe.rs
+++ b/crates/foxwheel-node/src/server_probe.rs
@@ -1,5 +1,5 @@
-//! Finding out what became of a backend server whose answer broke: whether its process ended
-//! or only the connection did.
+//! Liveness probe of a backend server that cut a response off: tells a server whose process
+//! ended from one that lost only the connection.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,66 +13,68 @@
 use crate::node::Node;
 use crate::request_content::RequestContent;
 
-/// Pause before a server is looked at: the kernel closes the sockets of a process that ended
-/// one after the other, and the one that listens may be the last.
-const LOOK_AFTER: Duration = Duration::from_millis(5);
+/// Delay before the probe. The kernel closes the sockets of an ended process one after the
+/// other, and the listening socket may be the last.
+const PROBE_DELAY: Duration = Duration::from_millis(5);
 
-/// Longest wait for a connection: a server that ended refuses at once.
-const LOOK_FOR: Duration = Duration::from_millis(250);
+/// How long the probe waits for a connection. The host of an ended process refuses connections
+/// immediately.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What became of a server whose answer broke.
+/// The state of a server after it cut a response off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerLiveness {
-    /// Its process ended unasked: nothing listens at its address any more.
+    /// Its process ended unexpectedly: its address refuses connections.
     Ended,
-    /// Its address takes connections: only that one broke, or its server started again, for
-    /// whichever reason, while the path to it was cut.
+    /// Its address accepts connections. Either only the one connection failed, or the server
+    /// restarted, for whatever reason, while the network path to it was interrupted.
     Lives,
-    /// It cannot be told: the path may be cut, or the host is down.
+    /// Connecting gave no result: the network path may be interrupted, or the host is down.
     Unknown,
-    /// It was to leave, or is not listed any more: its end says nothing.
+    /// It drains or is no longer listed. Its end is expected, so that it is not a crash.
     Leaving,
 }
 
-/// A request whose answer broke at a server.
+/// A request whose response a server cut off.
 #[derive(Debug, Clone)]
 pub struct CutOffRequest {
-    /// The server.
+    /// The server instance that ran the request.
     pub server: ServerInstance,
     /// The request's id.
     pub request_id: RequestId,
-    /// What the request asks for.
+    /// The request's content, under which a crash is recorded.
     pub content: Arc<RequestContent>,
-    /// When it was sent there.
+    /// When the request was sent to the server.
     pub sent_at: Instant,
-    /// When its answer broke.
-    pub broke_at: Instant,
+    /// When the response was cut off.
+    pub cut_off_at: Instant,
 }
 
-/// Looks at the server of `run`; a crash is held against the request's content.
-pub async fn look(node: Arc<Node>, run: CutOffRequest) {
-    let listed = node.listed_server(&run.server);
+/// Probes the server of `request`. If its process ended, records a crash under the request's
+/// content.
+pub async fn probe(node: Arc<Node>, request: CutOffRequest) {
+    let listed = node.listed_server(&request.server);
     let ready = listed.filter(|server| server.state == ServerState::Ready);
-    let fate = match &ready {
-        Some(server) => fate_of(server).await,
+    let liveness = match &ready {
+        Some(server) => probe_liveness(server).await,
         None => ServerLiveness::Leaving,
     };
-    let content = run.content.fingerprint();
-    log::info!(request_id = run.request_id, content, server = run.server.id, incarnation = run.server.incarnation, fate:? = fate; "answer broke");
-    if let Some(server) = ready.filter(|_| fate == ServerLiveness::Ended) {
+    let content = request.content.fingerprint();
+    log::info!(request_id = request.request_id, content, server = request.server.id, incarnation = request.server.incarnation, fate:? = liveness; "answer broke");
+    if let Some(server) = ready.filter(|_| liveness == ServerLiveness::Ended) {
         let crash = ObservedCrash {
-            server: zone_loads::fingerprint(&run.server),
+            server: zone_loads::fingerprint(&request.server),
             service: server.service,
-            sent_at: run.sent_at,
-            cut_off_at: run.broke_at,
+            sent_at: request.sent_at,
+            cut_off_at: request.cut_off_at,
         };
         node.record_crash(content, crash);
     }
 }
 
-async fn fate_of(server: &BackendServer) -> ServerLiveness {
-    tokio::time::sleep(LOOK_AFTER).await;
-    match connection::listening(server.addr, LOOK_FOR).await {
+async fn probe_liveness(server: &BackendServer) -> ServerLiveness {
+    tokio::time::sleep(PROBE_DELAY).await;
+    match connection::listening(server.addr, CONNECT_TIMEOUT).await {
         Listening::Refuses => ServerLiveness::Ended,
         Listening::Accepts => ServerLiveness::Lives,
         Listening::NoAnswer => ServerLiveness::Unknown,
--- a/crates/foxwheel-node/src/service_hold_times.rs
+++ b/crates/foxwheel-node/src/service_hold_times.rs
@@ -1,5 +1,5 @@
-//! How long the requests of each service hold their slots, and when callers that found none
-//! come back.
+//! How long the requests of each service hold a slot of a backend server, and when callers that
+//! were refused because all slots were taken should retry.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -8,33 +8,36 @@
 use foxwheel_policy::admission::{RetrySchedule, SlotSupply};
 use foxwheel_policy::moving_average::MovingAverage;
 
-/// Hold time assumed before a request of the service ended: a generation of ordinary length.
-const ASSUMED_HOLD: Duration = Duration::from_millis(500);
+/// Hold time assumed until the first request of a service ends: the duration of a text
+/// generation of ordinary length.
+const DEFAULT_HOLD_TIME: Duration = Duration::from_millis(500);
 
-/// The services that this front has sent requests to.
+/// Hold times and retry times of the services that this front sends requests to; sorted by
+/// service.
 #[derive(Debug, Default)]
-pub struct ServiceHoldTimes(Mutex<Vec<Pace>>);
+pub struct ServiceHoldTimes(Mutex<Vec<ServiceEntry>>);
 
 #[derive(Debug)]
-struct Pace {
+struct ServiceEntry {
     service: ServiceName,
     hold_time: MovingAverage,
-    returns: RetrySchedule,
+    retry_schedule: RetrySchedule,
 }
 
 impl ServiceHoldTimes {
-    /// Takes note of a request of `service` that was served and held its slot for `held`.
+    /// Records that a request of `service` was served and held its slot for `held`.
     pub fn record_hold_time(&self, service: &ServiceName, held: Duration) {
-        self.with(service, |pace| pace.hold_time.push_duration(held));
+        self.with_entry(service, |entry| entry.hold_time.push_duration(held));
     }
 
-    /// How long a request of `service` holds its slot.
+    /// Returns the moving average of how long a request of `service` holds its slot.
     pub fn hold_time(&self, service: &ServiceName) -> Duration {
-        self.with(service, |pace| pace.hold_time())
+        self.with_entry(service, |entry| entry.hold_time())
     }
 
-    /// When a caller of `service` should come back who is refused now because all `slots` of
-    /// its servers are taken; `fronts` share them.
+    /// Returns after how long a caller of `service` should retry that is refused now because all
+    /// `slots` of the service's servers are taken. `fronts` is the number of fronts that share
+    /// these slots.
     pub fn retry_after(
         &self,
         service: &ServiceName,
@@ -42,34 +45,40 @@
         fronts: usize,
         now: Instant,
     ) -> Duration {
-        self.with(service, |pace| {
+        self.with_entry(service, |entry| {
             let supply = SlotSupply {
                 slots,
-                hold_time: pace.hold_time(),
+                hold_time: entry.hold_time(),
                 fronts,
             };
-            pace.returns.next_retry_after(supply, rand::random(), now)
+            entry
+                .retry_schedule
+                .next_retry_after(supply, rand::random(), now)
         })
     }
 
-    fn with<T>(&self, service: &ServiceName, act: impl FnOnce(&mut Pace) -> T) -> T {
-        let mut paces = self.0.lock().expect("service paces lock");
-        let found = paces.binary_search_by(|pace| pace.service.cmp(service));
+    fn with_entry<T>(
+        &self,
+        service: &ServiceName,
+        update: impl FnOnce(&mut ServiceEntry) -> T,
+    ) -> T {
+        let mut entries = self.0.lock().expect("service hold times lock");
+        let found = entries.binary_search_by(|entry| entry.service.cmp(service));
         let at = found.unwrap_or_else(|at| {
-            let pace = Pace {
+            let entry = ServiceEntry {
                 service: service.clone(),
                 hold_time: MovingAverage::default(),
-                returns: RetrySchedule::default(),
+                retry_schedule: RetrySchedule::default(),
             };
-            paces.insert(at, pace);
+            entries.insert(at, entry);
             at
         });
-        act(&mut paces[at])
+        update(&mut entries[at])
     }
 }
 
-impl Pace {
+impl ServiceEntry {
     fn hold_time(&self) -> Duration {
-        self.hold_time.duration().unwrap_or(ASSUMED_HOLD)
+        self.hold_time.duration().unwrap_or(DEFAULT_HOLD_TIME)
     }
 }
--- a/crates/foxwheel-node/src/zone_representative.rs
+++ b/crates/foxwheel-node/src/zone_representative.rs
@@ -128,7 +128,7 @@
         zone: settings.availability_zone.clone(),
         host: settings.host.clone(),
         addr: own,
-        quarantine: node.quarantine_state(),
+        quarantine: node.quarantine_digest(),
         incarnation: node.incarnation,
         sequence,
         speakers: representatives,
