--- a/crates/foxwheel-node/src/online.rs
+++ b/crates/foxwheel-node/src/online.rs
@@ -1,5 +1,5 @@
-//! Serving an online request to its end: a stream is passed on as it comes, any other
-//! answer when it is whole.
+//! Serves an online request: a stream of events is relayed as it arrives, any other response is
+//! sent when it is complete.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -13,36 +13,37 @@
 
 use crate::attempt::{FullResponse, OpenResponse};
 use crate::node::Node;
-use crate::online_request::{OnlineRequest, Refusal, LEAST_TIME_LEFT};
+use crate::online_request::{OnlineRequest, Refusal, MIN_TIME_LEFT};
 use crate::relay;
 use crate::responses::{self, CallerResponse};
 
-/// Serves a request to its end.
+/// Serves a request and returns the response to its caller. The body of a stream is relayed after
+/// this returns.
 pub async fn serve(node: Arc<Node>, mut request: OnlineRequest) -> CallerResponse {
     let opened = request.open(&node).await;
-    let answered = match opened {
-        Ok(answer) if request.route.kind == RouteKind::Stream => {
-            return stream_reply(node, request, answer)
+    let result = match opened {
+        Ok(response) if request.route.kind == RouteKind::Stream => {
+            return stream_response(node, request, response)
         }
-        Ok(answer) => whole_reply(&node, &mut request, answer).await,
+        Ok(response) => full_response(&node, &mut request, response).await,
         Err(refusal) => Err(refusal),
     };
-    match answered {
-        Ok(reply) => {
+    match result {
+        Ok(response) => {
             request.count_served(&node, request.is_on_time());
             node.metrics
                 .time(Timer::FirstResponse, request.received_at.elapsed());
-            reply
+            response
         }
         Err(refusal) => {
             request.log_refusal(&refusal);
-            request.count(&node, refusal_outcome(&refusal));
+            request.count_outcome(&node, refusal_outcome(&refusal));
             if let Refusal::NotRun { reason, .. } = &refusal {
                 node.metrics.incr(Counter::Refused(*reason));
             }
-            refusal_reply(
+            refusal_response(
                 refusal,
-                Instant::now() + LEAST_TIME_LEFT >= request.response_deadline,
+                Instant::now() + MIN_TIME_LEFT >= request.response_deadline,
             )
         }
     }
@@ -55,73 +56,78 @@
     }
 }
 
-fn stream_reply(node: Arc<Node>, request: OnlineRequest, answer: OpenResponse) -> CallerResponse {
-    let status = answer.head.status;
-    let mut headers = online::caller_headers(&answer.head.headers);
-    // The rest may come from another server: its length is not known.
+fn stream_response(
+    node: Arc<Node>,
+    request: OnlineRequest,
+    response: OpenResponse,
+) -> CallerResponse {
+    let status = response.head.status;
+    let mut headers = online::caller_headers(&response.head.headers);
+    // The rest of the stream may come from another server, so that its length is unknown.
     headers.remove(hyper::header::CONTENT_LENGTH);
-    let events = relay::relay(node, request, answer);
-    let mut reply = Response::new(StreamBody::new(events).boxed_unsync());
-    *reply.status_mut() = status;
-    *reply.headers_mut() = headers;
-    reply
+    let events = relay::relay_stream(node, request, response);
+    let mut response = Response::new(StreamBody::new(events).boxed_unsync());
+    *response.status_mut() = status;
+    *response.headers_mut() = headers;
+    response
 }
 
-/// Collects the body; a broken one is asked for again where that is allowed.
-async fn whole_reply(
+/// Reads the complete response. If the body is cut off, the request is sent again as far as its
+/// route allows.
+async fn full_response(
     node: &Arc<Node>,
     request: &mut OnlineRequest,
-    mut answer: OpenResponse,
+    mut response: OpenResponse,
 ) -> Result<CallerResponse, Refusal> {
     loop {
-        let server = answer.server.clone();
-        match answer.read_full_body(request.response_deadline).await {
+        let server = response.server.clone();
+        match response.read_full_body(request.response_deadline).await {
             Ok(body) => {
-                let head = answer.head.clone();
-                answer.finish();
+                let head = response.head.clone();
+                response.finish();
                 let age = request.received_at.elapsed();
                 node.hold_times.record_hold_time(&request.service, age);
                 let age_ms = age.as_millis() as u64;
-                let (in_flight, slots) = request.seen_load();
+                let (in_flight, slots) = request.chosen_server_load();
                 let on_time = request.is_on_time();
                 log::info!(request_id = request.caller.id, server = server.id, in_flight, slots, age_ms, on_time; "request served");
-                return Ok(pass_on(FullResponse { head, body }));
+                return Ok(forward_response(FullResponse { head, body }));
             }
             Err(reason) => {
-                drop(answer);
+                drop(response);
                 let next = request.attempts.record(AttemptOutcome::Unknown);
-                log::info!(request_id = request.caller.id, server = server.id, reason, next:? = next; "answer broken");
+                log::info!(request_id = request.caller.id, server = server.id, reason, next:? = next; "response cut off");
                 request.tried.push(server);
                 if next != NextStep::TryAnother {
                     return Err(Refusal::Failed {
                         reason,
-                        answer: None,
+                        response: None,
                     });
                 }
-                answer = request.open(node).await?;
+                response = request.open(node).await?;
             }
         }
     }
 }
 
-fn pass_on(answer: FullResponse) -> CallerResponse {
-    let mut reply = Response::new(responses::full_body(answer.body));
-    *reply.status_mut() = answer.head.status;
-    *reply.headers_mut() = online::caller_headers(&answer.head.headers);
-    reply.headers_mut().remove(hyper::header::CONTENT_LENGTH);
-    reply
+fn forward_response(received: FullResponse) -> CallerResponse {
+    let mut response = Response::new(responses::full_body(received.body));
+    *response.status_mut() = received.head.status;
+    *response.headers_mut() = online::caller_headers(&received.head.headers);
+    response.headers_mut().remove(hyper::header::CONTENT_LENGTH);
+    response
 }
 
-fn refusal_reply(refusal: Refusal, timed_out: bool) -> CallerResponse {
+fn refusal_response(refusal: Refusal, is_timed_out: bool) -> CallerResponse {
     match refusal {
         Refusal::NotRun { retry_after, .. } => {
             responses::not_run(StatusCode::SERVICE_UNAVAILABLE, retry_after)
         }
         Refusal::Failed {
-            answer: Some(answer),
+            response: Some(response),
             ..
-        } => pass_on(answer),
-        Refusal::Failed { .. } if timed_out => responses::empty(StatusCode::GATEWAY_TIMEOUT),
+        } => forward_response(response),
+        Refusal::Failed { .. } if is_timed_out => responses::empty(StatusCode::GATEWAY_TIMEOUT),
         Refusal::Failed { .. } => responses::empty(StatusCode::BAD_GATEWAY),
     }
 }
--- a/crates/foxwheel-node/src/online_request.rs
+++ b/crates/foxwheel-node/src/online_request.rs
@@ -1,5 +1,5 @@
-//! An online request on its way: attempts at backend servers until one gives a success or
-//! none may.
+//! An online request: sends attempts to backend servers until one of them responds with a
+//! success or no further attempt is allowed.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,70 +19,72 @@
 use crate::node::Node;
 use crate::request_content::RequestContent;
 
-/// How long a repeatable request waits for the head of an answer before it is sent to
-/// another server: many times a usual answer's time, a third of a usual caller's.
-const HEAD_PATIENCE: Duration = Duration::from_millis(1_200);
+/// How long a repeatable request waits for a response head before it is sent to another server:
+/// many times the usual response time, and a third of the time that a caller usually waits.
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Longest wait at the front for a slot when every server is full; a quarter of a usual
-/// target, so that a refused caller can still be served in time elsewhere.
-const SLOT_WAIT: Duration = Duration::from_millis(60);
+/// How long a request waits at the front for a slot when every server is full: a quarter of a
+/// usual target latency, so that a refused caller can still be served in time by another front.
+const SLOT_WAIT_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// When a caller whose time is up should come back, if it still waits.
+/// When a caller whose time limit has passed should retry, if it is still interested.
 const TIME_UP_RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// When a caller refused for lack of any server should come back.
+/// When a caller that was refused because no server is available should retry.
 const NO_SERVER_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Left of a caller's time below which no attempt is started: an answer could not be back.
-pub const LEAST_TIME_LEFT: Duration = Duration::from_millis(10);
+/// No attempt is started with less than this left until the deadline, as its response could not
+/// arrive in time.
+pub const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
-/// One online request on its way.
+/// An online request and the state of its attempts.
 #[derive(Debug)]
 pub struct OnlineRequest {
-    /// What the caller said.
+    /// The caller's id, host, path and limits.
     pub caller: CallerRequest,
-    /// Its route under the configuration in force when it came.
+    /// The request's route under the configuration in force when it arrived.
     pub route: Route,
-    /// The service picked for it.
+    /// The service that the route selected for this request.
     pub service: ServiceName,
-    /// Attempts so far.
+    /// The outcomes of the attempts so far, and how many are allowed.
     pub attempts: Attempts,
-    /// The last event that the caller has or was sent.
+    /// Id of the last event that the caller had received before this request or was sent since.
     pub last_event_id: Option<u64>,
-    /// When the caller stops waiting.
+    /// When the caller stops waiting: the time limit that it sent, else that of the route.
     pub caller_deadline: Instant,
-    /// When the operator wants it answered.
+    /// When the response must be complete, or the first event of a stream sent: the earlier one of
+    /// the caller's and the route's time limit.
     pub response_deadline: Instant,
-    /// When its head was read.
+    /// When the request head was read.
     pub received_at: Instant,
-    /// What was known of the server that was chosen last, when it was chosen.
+    /// The load of the server that was chosen last, as known when it was chosen.
     pub choice: Option<Choice>,
     head: request::Parts,
     body: Bytes,
     content: Arc<RequestContent>,
-    /// Servers that were tried.
+    /// Server instances that attempts were sent to.
     pub tried: Vec<ServerInstance>,
 }
 
-/// What was known of a server when it was chosen.
+/// The known load of a server at the time it was chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct Choice {
-    /// Requests in flight there, those that peers last told included.
+    /// Requests in flight at the server, including those last reported by peers.
     pub in_flight: u32,
-    /// Requests that it runs at once.
+    /// Number of requests that the server runs at the same time.
     pub slots: u32,
-    /// How long a request was expected to wait for a slot there.
+    /// How long a request was expected to wait for a slot at the server.
     pub expected_wait: Duration,
 }
 
-enum Placed {
-    At(InFlight),
-    Full,
+enum Placement {
+    Reserved(InFlight),
+    ServersFull,
     NoServer,
 }
 
 impl OnlineRequest {
-    /// A request that was received whole.
+    /// Creates a request from its head and complete body, and selects its service.
     pub fn new(
         caller: CallerRequest,
         route: Route,
@@ -115,53 +117,55 @@
         }
     }
 
-    /// Whether a stream that broke may go on at another server.
-    pub fn may_resume(&mut self) -> bool {
+    /// Records that the stream was cut off. Returns whether it may be resumed at another server.
+    pub fn record_cut_off_stream(&mut self) -> bool {
         self.attempts.record(AttemptOutcome::Unknown) == NextStep::TryAnother
     }
 
-    /// Opens the rest of a stream behind the last event at a server other than `broken`.
+    /// Opens the rest of a stream, after the last event, at a server other than `failed_server`.
+    /// Returns `None`, and logs the reason, if no server opens it.
     pub async fn open_elsewhere(
         &mut self,
         node: &Arc<Node>,
-        broken: &ServerInstance,
+        failed_server: &ServerInstance,
     ) -> Option<OpenResponse> {
-        self.tried.push(broken.clone());
-        // The operator's time limit ends with the first event; the caller's does not.
+        self.tried.push(failed_server.clone());
+        // The route's time limit applies until the first event, the caller's to the whole stream.
         self.response_deadline = self.caller_deadline;
         let opened = self.open(node).await;
         opened.inspect_err(|refusal| self.log_refusal(refusal)).ok()
     }
 
-    /// Tries servers until one gives a success whose body may be passed on.
+    /// Sends attempts until a server responds with a success whose body may be forwarded. Returns
+    /// a refusal if the request may not be sent again, or there is no time or server for it.
     pub async fn open(&mut self, node: &Arc<Node>) -> Result<OpenResponse, Refusal> {
         loop {
             let now = Instant::now();
-            if let Some(left) = node.quarantine_time_left(&self.content, now) {
-                // Each further run would crash one more server under other callers' requests.
-                return Err(self.refusal(RefusalReason::Quarantined, left));
+            if let Some(time_left) = node.quarantine_time_left(&self.content, now) {
+                // Each further run would crash another server and cut off other callers' requests.
+                return Err(self.refusal(RefusalReason::Quarantined, time_left));
             }
-            if now + LEAST_TIME_LEFT >= self.response_deadline {
+            if now + MIN_TIME_LEFT >= self.response_deadline {
                 return Err(self.refusal(RefusalReason::DeadlineExceeded, TIME_UP_RETRY_AFTER));
             }
-            let slot = match self.place(node).await {
-                Placed::At(slot) => slot,
-                Placed::Full => {
+            let slot = match self.reserve_slot(node).await {
+                Placement::Reserved(slot) => slot,
+                Placement::ServersFull => {
                     let retry_after = node.retry_after_full(&self.service, now);
                     return Err(self.refusal(RefusalReason::ServersFull, retry_after));
                 }
-                Placed::NoServer => {
+                Placement::NoServer => {
                     return Err(self.refusal(RefusalReason::NoServer, NO_SERVER_RETRY_AFTER))
                 }
             };
             let server = slot.server().clone();
-            let failure = match self.attempt(node, slot).await {
-                Ok(answer) => return Ok(answer),
+            let failure = match self.send_attempt(node, slot).await {
+                Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
             let next = self.attempts.record(failure.outcome);
             let age_ms = self.received_at.elapsed().as_millis() as u64;
-            let (in_flight, slots) = self.seen_load();
+            let (in_flight, slots) = self.chosen_server_load();
             log::info!(request_id = self.caller.id, server = server.id, in_flight, slots, outcome:? = failure.outcome, reason = failure.reason, age_ms, next:? = next; "attempt failed");
             node.metrics.incr(Counter::AttemptFailed);
             self.tried.push(server);
@@ -170,7 +174,7 @@
                 NextStep::PassOn | NextStep::FailUnknown => {
                     return Err(Refusal::Failed {
                         reason: failure.reason,
-                        answer: failure.response,
+                        response: failure.response,
                     })
                 }
                 NextStep::RefuseNotRun => {
@@ -181,17 +185,17 @@
         }
     }
 
-    async fn place(&mut self, node: &Node) -> Placed {
-        let wait_until = (Instant::now() + SLOT_WAIT).min(self.response_deadline);
+    async fn reserve_slot(&mut self, node: &Node) -> Placement {
+        let wait_until = (Instant::now() + SLOT_WAIT_TIMEOUT).min(self.response_deadline);
         loop {
             let now = Instant::now();
             let mut candidates = node.online_candidates(&self.service, &self.tried, now);
             if candidates.is_empty() && self.attempts.count() > 0 {
-                // Every server was tried: the least loaded may do better now.
+                // Every server was tried. The least loaded one may succeed now.
                 candidates = node.online_candidates(&self.service, &[], now);
             }
             if candidates.is_empty() {
-                return Placed::NoServer;
+                return Placement::NoServer;
             }
             let zone = &node.settings.availability_zone;
             if let Some(pick) =
@@ -205,77 +209,91 @@
                         node.hold_times.hold_time(&self.service),
                     ),
                 });
-                return Placed::At(
+                return Placement::Reserved(
                     node.loads
                         .begin_request(&pick.instance(), WorkClass::Online),
                 );
             }
-            let freed = async {
+            let capacity_changed = async {
                 tokio::select! {
                     () = node.loads.slot_freed.notified() => {}
                     () = node.peer_update.notified() => {}
                 }
             };
             let until = tokio::time::Instant::from_std(wait_until);
-            if tokio::time::timeout_at(until, freed).await.is_err() {
-                return Placed::Full;
+            if tokio::time::timeout_at(until, capacity_changed)
+                .await
+                .is_err()
+            {
+                return Placement::ServersFull;
             }
         }
     }
 
-    async fn attempt(&self, node: &Arc<Node>, slot: InFlight) -> Result<OpenResponse, Failure> {
+    async fn send_attempt(
+        &self,
+        node: &Arc<Node>,
+        slot: InFlight,
+    ) -> Result<OpenResponse, Failure> {
         let now = Instant::now();
-        let limit = match self.route.kind {
+        let deadline = match self.route.kind {
             RouteKind::Stream => self.caller_deadline,
             _ => self.response_deadline,
         };
         let attempt = Attempt {
             server: &slot.server().id,
-            time_left: Some(limit.saturating_duration_since(now)),
+            time_left: Some(deadline.saturating_duration_since(now)),
             last_event_id: self.last_event_id,
         };
         let request = online::forwarded_request(&self.head, self.body.clone(), attempt);
-        let again =
+        let may_retry =
             self.route.is_repeatable() && self.route.max_attempts > self.attempts.count() + 1;
         let target = Target {
             slot,
             request_id: self.caller.id.clone(),
             content: Arc::clone(&self.content),
-            expected_wait: self.choice.map_or(Duration::ZERO, |one| one.expected_wait),
+            expected_wait: self
+                .choice
+                .map_or(Duration::ZERO, |choice| choice.expected_wait),
             deadline: self.response_deadline,
-            head_deadline: again.then(|| now + HEAD_PATIENCE),
+            head_deadline: may_retry.then(|| now + RESPONSE_HEAD_TIMEOUT),
         };
-        let mut answer = attempt::send(node, target, request).await?;
-        if answer.decoded_head.status.is_success() && !answer.decoded_head.not_run {
-            if answer.decoded_head.is_signed {
-                return Ok(answer);
+        let mut response = attempt::send(node, target, request).await?;
+        if response.decoded_head.status.is_success() && !response.decoded_head.not_run {
+            if response.decoded_head.is_signed {
+                return Ok(response);
             }
             return Err(Failure::new(
                 AttemptOutcome::Unknown,
                 "success without a signature",
             ));
         }
-        if answer.decoded_head.not_run {
-            let reason = format!("rejected with {}", answer.decoded_head.status.as_u16());
-            let outcome = match answer.decoded_head.from_another_instance {
+        if response.decoded_head.not_run {
+            let reason = format!("rejected with {}", response.decoded_head.status.as_u16());
+            let outcome = match response.decoded_head.from_another_instance {
                 true => AttemptOutcome::Gone,
                 false => AttemptOutcome::Rejected,
             };
-            if answer.read_full_body(self.response_deadline).await.is_ok() {
-                answer.finish();
+            if response
+                .read_full_body(self.response_deadline)
+                .await
+                .is_ok()
+            {
+                response.finish();
             }
             return Err(Failure::new(outcome, reason));
         }
-        Err(self.server_failure(answer).await)
+        Err(self.read_server_error(response).await)
     }
 
-    /// A failure that the server itself answered.
-    async fn server_failure(&self, mut answer: OpenResponse) -> Failure {
-        let reason = format!("server answered {}", answer.decoded_head.status.as_u16());
-        match answer.read_full_body(self.response_deadline).await {
-            Ok(body) if answer.decoded_head.is_signed => {
-                let head = answer.head.clone();
-                answer.finish();
+    /// Reads an error response. A signed and complete one is the server's own and is kept for the
+    /// caller; any other leaves the outcome unknown.
+    async fn read_server_error(&self, mut response: OpenResponse) -> Failure {
+        let reason = format!("server answered {}", response.decoded_head.status.as_u16());
+        match response.read_full_body(self.response_deadline).await {
+            Ok(body) if response.decoded_head.is_signed => {
+                let head = response.head.clone();
+                response.finish();
                 Failure {
                     outcome: AttemptOutcome::Failed,
                     reason,
@@ -294,18 +312,19 @@
             },
             _ => Refusal::Failed {
                 reason: reason.text().to_owned(),
-                answer: None,
+                response: None,
             },
         }
     }
 
-    /// Whether an answer now, or a first event, is within the operator's target.
+    /// Returns whether a response, or the first event of a stream, would now meet the route's
+    /// target latency.
     pub fn is_on_time(&self) -> bool {
         self.received_at.elapsed() <= self.route.target_latency
     }
 
-    /// Counts what became of the request.
-    pub fn count(&self, node: &Node, outcome: RequestOutcome) {
+    /// Counts the outcome of the request in the metrics.
+    pub fn count_outcome(&self, node: &Node, outcome: RequestOutcome) {
         let kind = match self.route.kind {
             RouteKind::Idempotent | RouteKind::Batch => RequestKind::Idempotent,
             RouteKind::NonIdempotent => RequestKind::NonIdempotent,
@@ -314,52 +333,56 @@
         node.metrics.incr(Counter::Request(kind, outcome));
     }
 
-    /// Counts a request that was answered whole.
+    /// Counts a request whose response was complete.
     pub fn count_served(&self, node: &Node, on_time: bool) {
         let outcome = match on_time {
             true => RequestOutcome::OnTime,
             false => RequestOutcome::Late,
         };
-        self.count(node, outcome);
+        self.count_outcome(node, outcome);
     }
 
-    /// Load and slots of the server that was chosen last, as they were known then.
-    pub fn seen_load(&self) -> (Option<u32>, Option<u32>) {
+    /// Returns the requests in flight and the slots of the server that was chosen last, as known
+    /// when it was chosen.
+    pub fn chosen_server_load(&self) -> (Option<u32>, Option<u32>) {
         let choice = self.choice;
-        (choice.map(|one| one.in_flight), choice.map(|one| one.slots))
+        (
+            choice.map(|choice| choice.in_flight),
+            choice.map(|choice| choice.slots),
+        )
     }
 
-    /// Logs that the request failed for good.
+    /// Logs that the request was refused or failed, and will not be tried again.
     pub fn log_refusal(&self, refusal: &Refusal) {
         let age_ms = self.received_at.elapsed().as_millis() as u64;
         let attempts = self.attempts.count();
         let may_have_run = self.attempts.may_have_run();
-        let retry_after_ms = refusal.retry_after().map(|after| after.as_millis() as u64);
+        let retry_after_ms = refusal.retry_after().map(|delay| delay.as_millis() as u64);
         log::warn!(request_id = self.caller.id, route = self.route.name, reason = refusal.reason(), age_ms, attempts, may_have_run, retry_after_ms; "request failed");
     }
 }
 
-/// Why a request gets no success.
+/// Why a caller gets no success response.
 #[derive(Debug)]
 pub enum Refusal {
-    /// It has not run and never will.
+    /// The request has not run and never will.
     NotRun {
-        /// Why.
+        /// Why it was not run.
         reason: RefusalReason,
-        /// When the caller should come back.
+        /// After how long the caller should retry.
         retry_after: Duration,
     },
-    /// It may have run. `answer` is the server's own failure, if it gave one.
+    /// The request may have run.
     Failed {
-        /// Why, for the log.
+        /// The cause, for the log.
         reason: String,
-        /// The server's own failure.
-        answer: Option<FullResponse>,
+        /// The error response of the server, if it sent a complete one.
+        response: Option<FullResponse>,
     },
 }
 
 impl Refusal {
-    /// When the caller is told to come back, if the request was not run.
+    /// Returns after how long the caller is told to retry; `None` if the request may have run.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::NotRun { retry_after, .. } => Some(*retry_after),
@@ -367,7 +390,7 @@
         }
     }
 
-    /// Why, for the log.
+    /// Returns the cause, for the log.
     pub fn reason(&self) -> &str {
         match self {
             Self::NotRun { reason, .. } => reason.text(),
--- a/crates/foxwheel-node/src/relay.rs
+++ b/crates/foxwheel-node/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passing a stream of events on to its caller, and resuming it elsewhere after a break.
+//! Relays a stream of events to its caller, and resumes it at another server when it is cut off.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,58 +14,60 @@
 use crate::online_request::OnlineRequest;
 use crate::responses::RelayError;
 
-/// Silence between events after which a resumable stream goes on elsewhere: several times
-/// the longest pause that callers count as on time, far below where they give up.
-const RESUME_SILENCE: Duration = Duration::from_millis(900);
+/// A resumable stream without an event for this long is resumed at another server. The time is
+/// several times the longest pause that callers count as on time, and far below the time after
+/// which they give up.
+const STREAM_SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Passes `answer` on as it comes. The stream ends in an error if it breaks for good.
-pub fn relay(
+/// Returns the caller's stream: the body frames of `response`, and after a resumption those of
+/// the next server. The stream ends with an error if it is cut off and cannot be resumed.
+pub fn relay_stream(
     node: Arc<Node>,
     mut request: OnlineRequest,
-    mut answer: OpenResponse,
+    mut response: OpenResponse,
 ) -> impl Stream<Item = Result<Frame<Bytes>, RelayError>> {
     async_stream::try_stream! {
         let mut splitter = EventSplitter::default();
         let started = Instant::now();
         let mut events = 0_u32;
-        let mut first = None;
+        let mut first_data = None;
         loop {
-            let resumable = request.route.is_repeatable();
-            let deadline = silence_limit(&request);
-            let piece = answer.next_frame(deadline).await;
-            if first.is_none() && matches!(piece, BodyFrame::Data(_)) {
+            let is_resumable = request.route.is_repeatable();
+            let deadline = next_frame_deadline(&request);
+            let frame = response.next_frame(deadline).await;
+            if first_data.is_none() && matches!(frame, BodyFrame::Data(_)) {
                 let age = request.received_at.elapsed();
                 node.metrics.time(Timer::FirstResponse, age);
-                first = Some((age, request.is_on_time()));
+                first_data = Some((age, request.is_on_time()));
             }
-            match piece {
-                BodyFrame::Data(data) if !resumable => yield Frame::data(data),
+            match frame {
+                BodyFrame::Data(data) if !is_resumable => yield Frame::data(data),
                 BodyFrame::Data(data) => {
                     splitter.push(&data);
-                    let whole = whole_events(&mut splitter, &mut request, &mut events);
-                    if whole.is_err() {
-                        request.count(&node, RequestOutcome::Failed);
+                    let complete = complete_events(&mut splitter, &mut request, &mut events);
+                    if complete.is_err() {
+                        request.count_outcome(&node, RequestOutcome::Failed);
                     }
-                    let whole = whole?;
-                    if !whole.is_empty() {
-                        yield Frame::data(whole);
+                    let complete = complete?;
+                    if !complete.is_empty() {
+                        yield Frame::data(complete);
                     }
                 }
                 BodyFrame::End if !splitter.has_partial_event() => {
-                    let (first_age, on_time) = first.unwrap_or_default();
+                    let (first_age, on_time) = first_data.unwrap_or_default();
                     request.count_served(&node, on_time);
                     node.hold_times.record_hold_time(&request.service, started.elapsed());
-                    let (in_flight, slots) = request.seen_load();
-                    log::info!(request_id = request.caller.id, server = answer.server.id, in_flight, slots, events, on_time, first_ms = first_age.as_millis() as u64, took_ms = started.elapsed().as_millis() as u64; "stream complete");
-                    answer.finish();
+                    let (in_flight, slots) = request.chosen_server_load();
+                    log::info!(request_id = request.caller.id, server = response.server.id, in_flight, slots, events, on_time, first_ms = first_age.as_millis() as u64, took_ms = started.elapsed().as_millis() as u64; "stream complete");
+                    response.finish();
                     break;
                 }
                 BodyFrame::End => {
-                    answer = resume(&node, &mut request, answer, "ended within an event").await?;
+                    response = resume(&node, &mut request, response, "ended within an event").await?;
                     splitter.discard_partial_event();
                 }
                 BodyFrame::CutOff(reason) => {
-                    answer = resume(&node, &mut request, answer, &reason).await?;
+                    response = resume(&node, &mut request, response, &reason).await?;
                     splitter.discard_partial_event();
                 }
             }
@@ -73,24 +75,26 @@
     }
 }
 
-/// Until when the next piece is waited for.
-fn silence_limit(request: &OnlineRequest) -> Instant {
-    let elsewhere = request.route.is_repeatable() && request.attempts.may_run_again();
-    if elsewhere {
-        request.caller_deadline.min(Instant::now() + RESUME_SILENCE)
+/// Returns until when to wait for the next body frame.
+fn next_frame_deadline(request: &OnlineRequest) -> Instant {
+    let can_resume = request.route.is_repeatable() && request.attempts.may_run_again();
+    if can_resume {
+        request
+            .caller_deadline
+            .min(Instant::now() + STREAM_SILENCE_TIMEOUT)
     } else {
         request.caller_deadline
     }
 }
 
-/// The bytes of the events that are whole now. Fails on an event that does not follow the
-/// one before.
-fn whole_events(
+/// Removes the complete events from `splitter` and returns their bytes. Returns an error for an
+/// event whose id is not the successor of the id before it.
+fn complete_events(
     splitter: &mut EventSplitter,
     request: &mut OnlineRequest,
     events: &mut u32,
 ) -> Result<Bytes, RelayError> {
-    let mut whole = bytes::BytesMut::new();
+    let mut bytes = bytes::BytesMut::new();
     while let Some(event) = splitter.next_event() {
         if let Some(id) = event.id {
             let last = request.last_event_id;
@@ -103,36 +107,37 @@
             request.last_event_id = Some(id);
         }
         *events += 1;
-        whole.extend_from_slice(&event.bytes);
+        bytes.extend_from_slice(&event.bytes);
     }
-    Ok(whole.freeze())
+    Ok(bytes.freeze())
 }
 
-/// Opens the rest of a broken stream at another server.
+/// Resumes a stream that was cut off at another server, after the last complete event. Returns
+/// an error if the request may not be run again, or if no other server sends the rest.
 async fn resume(
     node: &Arc<Node>,
     request: &mut OnlineRequest,
-    broken: OpenResponse,
+    cut_off: OpenResponse,
     reason: &str,
 ) -> Result<OpenResponse, RelayError> {
-    let server = broken.server.clone();
-    // Closes the connection first, so that two servers never work on one request.
-    drop(broken);
+    let server = cut_off.server.clone();
+    // Closes the connection first, so that two servers never run the request at the same time.
+    drop(cut_off);
     node.loads.record_outcome(&server, true, Instant::now());
-    let opened = match request.may_resume() {
+    let resumed = match request.record_cut_off_stream() {
         true => request.open_elsewhere(node, &server).await,
         false => None,
     };
     let after = request.last_event_id;
-    match opened {
-        Some(answer) => {
-            log::warn!(request_id = request.caller.id, server = server.id, reason, after, resumed_at = answer.server.id; "stream resumed");
+    match resumed {
+        Some(response) => {
+            log::warn!(request_id = request.caller.id, server = server.id, reason, after, resumed_at = response.server.id; "stream resumed");
             node.metrics.incr(Counter::StreamResumed);
-            Ok(answer)
+            Ok(response)
         }
         None => {
             log::warn!(request_id = request.caller.id, server = server.id, reason, after; "stream broken");
-            request.count(node, RequestOutcome::Failed);
+            request.count_outcome(node, RequestOutcome::Failed);
             node.metrics.incr(Counter::StreamBroken);
             Err(RelayError {
                 request_id: request.caller.id.clone(),
