--- a/crates/foxwheel-node/src/quarantine_store.rs
+++ b/crates/foxwheel-node/src/quarantine_store.rs
@@ -1,5 +1,6 @@
-//! Quarantined contents in the platform's store: what outlives a stop of every process. Each
-//! is created once, by a process that saw a crash, and read by processes that start.
+//! Persistence of quarantined request contents in the platform's store, so that they outlive a
+//! stop of all processes. A process that observed a crash creates the object of a content once;
+//! processes read the objects when they start.
 
 use std::time::{Duration, Instant};
 
@@ -16,30 +17,33 @@
 
 const KIND: &str = "foxwheel-quarantine";
 
-/// How long a front that starts waits to hear of a worker, which reads what is saved for all:
-/// a few heartbeats.
-const HEAR_WORKERS_FOR: Duration = Duration::from_millis(500);
+/// How long a starting front waits for a heartbeat of a worker: a few heartbeat intervals. Workers
+/// read the saved crashes, and fronts receive them from the workers.
+const WORKER_WAIT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The crashes under one content.
+/// The stored record of the crashes under one content.
 #[derive(Serialize, Deserialize)]
 struct CrashRecord {
-    /// When the crashes were as old as the reports say, since the Unix epoch.
+    /// When the record was saved, as time since the Unix epoch. The ages in `crashes` are those at
+    /// this time.
     #[serde(rename = "saved_unix_ms")]
     #[serde(with = "serde_with::As::<serde_with::DurationMilliSeconds<u64>>")]
     saved_unix: Duration,
     crashes: Vec<CrashReport>,
 }
 
-/// Reads what was saved, then saves what this process sees.
+/// Loads the saved crashes and meanwhile saves the quarantined contents that this process
+/// observes. Never returns.
 pub async fn run(node: &Node) {
-    tokio::join!(load(node), save(node));
+    tokio::join!(load_saved(node), save_quarantined(node));
 }
 
-/// Takes what was saved before this process started. Workers read it for all: a front only
-/// does that hears no worker, so that calls do not grow with the fronts.
-async fn load(node: &Node) {
+/// Loads the crashes saved before this process started. Workers load them for all processes. A
+/// front loads them only if it receives no worker's heartbeat, so that the number of store calls
+/// does not grow with the number of fronts.
+async fn load_saved(node: &Node) {
     if node.settings.role == Role::Front {
-        tokio::time::sleep(HEAR_WORKERS_FOR).await;
+        tokio::time::sleep(WORKER_WAIT_TIMEOUT).await;
         if !node
             .peers
             .live_processes(Role::Worker, Instant::now())
@@ -59,12 +63,14 @@
     for object in &objects {
         match decode(object, now_unix) {
             Ok(crashes) => node.apply_crash_reports(&crashes, "store"),
-            Err(e) => log::warn!(content = object.name, error:% = e; "saved crashes passed over"),
+            Err(e) => {
+                log::warn!(content = object.name, error:% = e; "saved crash record skipped: it cannot be decoded")
+            }
         }
     }
 }
 
-/// The crashes of an object, as old as they are now.
+/// Decodes the crashes of an object, with their ages adjusted to `now_unix`.
 fn decode(object: &Object, now_unix: Duration) -> Result<Vec<CrashReport>, serde_json::Error> {
     let record: CrashRecord = serde_json::from_value(object.spec.clone())?;
     let since_saved = now_unix.saturating_sub(record.saved_unix);
@@ -75,9 +81,9 @@
     Ok(crashes.collect())
 }
 
-/// Saves each quarantined content of which this process saw a crash.
-async fn save(node: &Node) {
-    // Sorted.
+/// Saves each quarantined content under which this process observed a crash. Never returns.
+async fn save_quarantined(node: &Node) {
+    // Contents saved by this process; sorted.
     let mut saved: Vec<ContentFingerprint> = Vec::new();
     let mut backoff = Backoff::default();
     loop {
@@ -89,7 +95,7 @@
             quarantined
         };
         for content in unsaved {
-            match save_one(node, &content).await {
+            match save_content(node, &content).await {
                 Ok(()) => {
                     log::info!(content; "quarantine saved");
                     let at = saved.partition_point(|known| *known < content);
@@ -97,7 +103,7 @@
                     backoff = Backoff::default();
                 }
                 Err(e) => {
-                    log::warn!(content, error:% = e; "quarantine not saved yet");
+                    log::warn!(content, error:% = e; "quarantine not saved; will retry");
                     node.store.wait_before_retry(backoff.next_delay()).await;
                     node.crashes_changed.notify_one();
                 }
@@ -106,7 +112,7 @@
     }
 }
 
-async fn save_one(node: &Node, content: &ContentFingerprint) -> Result<(), StoreError> {
+async fn save_content(node: &Node, content: &ContentFingerprint) -> Result<(), StoreError> {
     let record = CrashRecord {
         saved_unix: Duration::from_millis(time::unix_ms()),
         crashes: {
@@ -120,21 +126,22 @@
         name: content.clone(),
         spec,
     };
-    // One that stands was created by another process that saw a crash, or by this one.
+    // If the object exists, this process or another one that observed a crash has created it.
     store_relay::write(node, &create).await.map(|_| ())
 }
 
-/// Removes what is too old to be remembered; answers how much.
+/// Deletes the objects whose crashes are all older than the retention time, or that cannot be
+/// decoded. Returns the number of deleted objects, or an error if a store call fails.
 pub async fn delete_expired(node: &Node) -> Result<usize, StoreError> {
     let listing = node.store.list(KIND).await?;
     let now_unix = Duration::from_millis(time::unix_ms());
-    let is_old = |object: &&Object| {
+    let is_expired = |object: &&Object| {
         let crashes = decode(object, now_unix).unwrap_or_default();
         let mut ages = crashes.iter().map(|crash| crash.age);
         ages.all(|age| age >= quarantine::CRASH_RETENTION)
     };
-    let old: Vec<&Object> = listing.objects.iter().filter(is_old).collect();
-    for object in &old {
+    let expired: Vec<&Object> = listing.objects.iter().filter(is_expired).collect();
+    for object in &expired {
         let delete = Write::Delete {
             kind: KIND.to_owned(),
             name: object.name.clone(),
@@ -142,5 +149,5 @@
         };
         node.store.write(&delete).await?;
     }
-    Ok(old.len())
+    Ok(expired.len())
 }
--- a/crates/foxwheel-node/src/request_quarantine.rs
+++ b/crates/foxwheel-node/src/request_quarantine.rs
@@ -1,9 +1,9 @@
-//! Requests that crash backend servers, as this process and the others know of them.
+//! Quarantine of requests that crash backend servers, shared between processes.
 //!
-//! Whoever sees a crash tells its state of knowledge with the next heartbeat, and a speaker
-//! with the next summary; whoever hears of another state than its own asks for it. So a
-//! process that starts, wakes or was cut off learns all that it missed, and while nothing
-//! crashes this costs one byte a message.
+//! Each heartbeat, and each load summary of a zone representative, carries a digest of the
+//! crashes that its sender knows of. A process that receives a digest other than its own fetches
+//! the sender's crash reports. A process that starts, resumes or was partitioned thus receives
+//! every crash that it missed. As long as nothing crashes, the digest costs one byte per message.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -16,15 +16,16 @@
 use crate::node::Node;
 use crate::request_content::RequestContent;
 
-/// How often a process looks whether others know of other crashes, in case the wake-up by
-/// their messages was missed or their answer was lost.
-const LOOK_EVERY: Duration = Duration::from_millis(300);
+/// How often a process compares its digest with those of its peers even without a message from
+/// them, in case a wake-up was missed or a response was lost.
+const DIGEST_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Least time between two looks: several messages tell of one crash.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+/// Minimum time between two comparisons of digests, as several messages report the same crash.
+const MIN_DIGEST_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Node {
-    /// For how long a request must not be run, if its content is quarantined.
+    /// Returns how long a request with this content must not be run; `None` if the content is not
+    /// quarantined.
     pub fn quarantine_time_left(&self, content: &RequestContent, now: Instant) -> Option<Duration> {
         if self.has_no_crashes() {
             return None;
@@ -32,12 +33,12 @@
         let content = content.fingerprint();
         let quarantine = self.quarantine.lock().expect("quarantine lock");
         match quarantine.status(content, now) {
-            ContentStatus::Quarantined(left) => Some(left),
+            ContentStatus::Quarantined(time_left) => Some(time_left),
             ContentStatus::Clear | ContentStatus::Suspect => None,
         }
     }
 
-    /// Whether a batch item with that content may run.
+    /// Returns whether a batch item with this content may run now.
     pub fn can_run_item(&self, content: &RequestContent, now: Instant) -> bool {
         if self.has_no_crashes() {
             return true;
@@ -47,7 +48,8 @@
         quarantine.may_run_item(content, now)
     }
 
-    /// Takes note that a server crashed while a request with that content was there.
+    /// Records that a server crashed while it ran a request with this content. The next heartbeat
+    /// is sent immediately, so that the other processes fetch the crash.
     pub fn record_crash(&self, content: &ContentFingerprint, crash: ObservedCrash) {
         let mut quarantine = self.quarantine.lock().expect("quarantine lock");
         let is_quarantined = quarantine.record_crash(content, crash, Instant::now());
@@ -60,19 +62,20 @@
         self.urgent_heartbeat.notify_one();
     }
 
-    /// Takes crashes that `source` knows of.
+    /// Adds crash reports received from `source`, which is a peer's address or `store`.
     pub fn apply_crash_reports(&self, reports: &[CrashReport], source: &str) {
         let mut quarantine = self.quarantine.lock().expect("quarantine lock");
-        let is_news = quarantine.merge(reports, Instant::now());
+        let is_changed = quarantine.merge(reports, Instant::now());
         drop(quarantine);
-        if is_news {
-            log::info!(source, crashes = reports.len(); "crashes taken");
+        if is_changed {
+            log::info!(source, crashes = reports.len(); "crash reports received");
             self.crashes_changed.notify_one();
             self.urgent_heartbeat.notify_one();
         }
     }
 
-    /// Takes note that `server` answered a request with that content whole.
+    /// Records that `server` sent a complete response to a request with this content. This clears the
+    /// content of the crashes of servers of the same service.
     pub fn record_success(&self, content: &RequestContent, server: &ServerInstance) {
         if self.has_no_crashes() {
             return;
@@ -82,56 +85,59 @@
         };
         let content = content.fingerprint();
         let mut quarantine = self.quarantine.lock().expect("quarantine lock");
-        let was_held = quarantine.record_success(content, &server.service);
+        let had_crashes = quarantine.record_success(content, &server.service);
         drop(quarantine);
-        if was_held {
+        if had_crashes {
             log::info!(content; "request cleared of crashes");
             self.urgent_heartbeat.notify_one();
         }
     }
 
-    /// Whether no crash is known: then no request needs a fingerprint.
+    /// Returns whether no crash is recorded. In this case no request needs a fingerprint.
     fn has_no_crashes(&self) -> bool {
         self.quarantine.lock().expect("quarantine lock").is_empty()
     }
 
-    /// Stands for the crashes that are known here.
+    /// Returns a digest of the crashes recorded in this process; 0 if there are none.
     pub fn quarantine_digest(&self) -> QuarantineDigest {
         self.quarantine.lock().expect("quarantine lock").digest()
     }
 }
 
-/// Asks each process that tells of another state, once for each state.
+/// Fetches the crash reports of each peer whose digest differs from this process's, once per
+/// digest. Never returns.
 pub async fn sync_crash_reports(node: &Node) {
-    // What each process was last asked for; sorted by address.
-    let mut asked: Vec<(SocketAddr, QuarantineDigest)> = Vec::new();
+    // The digest of each peer when its reports were last fetched; sorted by address.
+    let mut fetched: Vec<(SocketAddr, QuarantineDigest)> = Vec::new();
     loop {
-        // Both mean that there may be news.
-        let _ = tokio::time::timeout(LOOK_EVERY, node.quarantine_update.notified()).await;
-        for (addr, told) in node.peers.quarantine_states(Instant::now()) {
-            let at = asked.partition_point(|(known, _)| *known < addr);
-            let was_asked = asked.get(at) == Some(&(addr, told));
-            if told == 0 || told == node.quarantine_digest() || was_asked {
+        // A timeout is as good as a notification: both may come with changed digests.
+        let _ =
+            tokio::time::timeout(DIGEST_CHECK_INTERVAL, node.quarantine_update.notified()).await;
+        for (addr, digest) in node.peers.quarantine_states(Instant::now()) {
+            let at = fetched.partition_point(|(known, _)| *known < addr);
+            let is_fetched = fetched.get(at) == Some(&(addr, digest));
+            if digest == 0 || digest == node.quarantine_digest() || is_fetched {
                 continue;
             }
-            if !ask(node, addr).await {
+            if !fetch_crash_reports(node, addr).await {
                 continue;
             }
-            match asked.get_mut(at).filter(|(known, _)| *known == addr) {
-                Some(known) => known.1 = told,
-                None => asked.insert(at, (addr, told)),
+            match fetched.get_mut(at).filter(|(known, _)| *known == addr) {
+                Some(known) => known.1 = digest,
+                None => fetched.insert(at, (addr, digest)),
             }
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(MIN_DIGEST_CHECK_INTERVAL).await;
     }
 }
 
-/// Takes what the peer at `addr` knows; answers whether it answered.
-async fn ask(node: &Node, addr: SocketAddr) -> bool {
+/// Fetches and applies the crash reports of the peer at `addr`. Returns whether the peer
+/// responded.
+async fn fetch_crash_reports(node: &Node, addr: SocketAddr) -> bool {
     let reports = match node.peer_calls.fetch_crashes(addr).await {
         Ok(reports) => reports,
         Err(e) => {
-            log::info!(peer:% = addr, error:% = e; "peer did not tell of crashes");
+            log::info!(peer:% = addr, error:% = e; "crash reports not received from peer");
             return false;
         }
     };
