--- a/crates/foxwheel-node/src/bin/foxwheel-front.rs
+++ b/crates/foxwheel-node/src/bin/foxwheel-front.rs
@@ -1,4 +1,4 @@
-//! The front process: answers callers on the users' platform.
+//! The front process: serves online requests and calls on batch jobs on the users' platform.
 
 use foxwheel_core::{cli, shutdown, structured_log};
 use foxwheel_node::{process, settings};
@@ -6,7 +6,7 @@
 fn main() -> std::io::Result<()> {
     let settings: settings::NodeSettings = cli::load_settings_or_exit(
         "foxwheel-front",
-        "Answers callers: online requests and the calls on batch jobs.",
+        "Serves callers: online requests and calls on batch jobs.",
     );
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/foxwheel-node/src/bin/foxwheel-worker.rs
+++ b/crates/foxwheel-node/src/bin/foxwheel-worker.rs
@@ -1,4 +1,4 @@
-//! The worker process: runs batch jobs on the users' platform.
+//! The worker process: runs the items of batch jobs on the users' platform.
 
 use foxwheel_core::{cli, shutdown, structured_log};
 use foxwheel_node::{process, settings};
--- a/crates/foxwheel-node/src/front.rs
+++ b/crates/foxwheel-node/src/front.rs
@@ -1,4 +1,5 @@
-//! A front: answers callers and the platform's readiness checks.
+//! The HTTP servers of a front: for callers, and for the platform's readiness checks. Also serves
+//! the metrics of every process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,23 +30,24 @@
 use crate::online_request::OnlineRequest;
 use crate::responses::{self, CallerResponse};
 
-/// Kept open beyond the operator's idle limit, so that a request sent just before it never
-/// meets a closed connection.
-const IDLE_SLACK: Duration = Duration::from_secs(5);
+/// How long connections stay open beyond the idle timeout of the configuration, so that a request
+/// sent just before that timeout never finds the connection closed.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
 
-/// Idle limit before the first configuration.
-const DEFAULT_IDLE: Duration = Duration::from_secs(30);
+/// Idle timeout of connections that were opened before the first configuration.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// When a caller refused for lack of a configuration should come back.
-const UNINFORMED_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// When a caller that was refused because there is no configuration yet should retry.
+const NO_CONFIG_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// When a caller refused by a stopping front should come back: at once, to another front.
+/// When a caller that was refused by a stopping front should retry: almost immediately, at another
+/// front.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// How long the first request of a connection may take to come while the front stops.
-const FIRST_REQUEST_WITHIN: Duration = Duration::from_millis(300);
+/// While the front stops, how long a new connection is kept open for its first request.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The front's part that connections share.
+/// The state that all connections of a front share.
 #[derive(Debug)]
 struct Front {
     node: Arc<Node>,
@@ -53,18 +55,18 @@
     stop: StopSignals,
 }
 
-/// How a stopping front is told of the steps of its stop.
+/// Signals for the steps of a graceful stop.
 #[derive(Debug, Clone, Default)]
 pub struct StopSignals {
-    /// Cancelled when idle connections are to be closed.
+    /// Cancelled when idle connections must be closed.
     pub close_idle: CancellationToken,
-    /// Cancelled when new requests are to be refused.
+    /// Cancelled when new requests must be refused.
     pub refuse: CancellationToken,
-    /// Cancelled when no new connections are to be taken.
-    pub close: CancellationToken,
+    /// Cancelled when the listener must stop accepting connections.
+    pub stop_accepting: CancellationToken,
 }
 
-/// A front that takes connections.
+/// A running HTTP server for callers.
 #[derive(Debug)]
 pub struct Serving {
     connections: TaskTracker,
@@ -73,25 +75,25 @@
 }
 
 impl Serving {
-    /// Open connections.
-    pub fn open(&self) -> usize {
+    /// Returns the number of open connections.
+    pub fn open_connections(&self) -> usize {
         self.connections.len()
     }
 
-    /// Waits until no connection is open, takes those that were opened meanwhile as the last,
-    /// and waits for them too.
+    /// Waits until no connection is open, stops accepting, and waits for the connections that were
+    /// accepted last.
     pub async fn end(&mut self) {
         self.connections.close();
         self.connections.wait().await;
-        self.stop.close.cancel();
+        self.stop.stop_accepting.cancel();
         if let Err(e) = (&mut self.accepting).await {
-            log::warn!(error:% = e; "connections of the last moment not taken");
+            log::warn!(error:% = e; "accept task failed; pending connections are not accepted");
         }
         self.connections.wait().await;
     }
 }
 
-/// Answers callers on `listener` until told to close.
+/// Starts serving callers on `listener` until `stop.stop_accepting` is cancelled.
 pub fn serve(node: Arc<Node>, listener: TcpListener, stop: StopSignals) -> Serving {
     let connections = TaskTracker::new();
     let front = Arc::new(Front {
@@ -99,27 +101,28 @@
         node,
         stop: stop.clone(),
     });
-    let (tracker, close) = (connections.clone(), stop.close.clone());
+    let (tracker, stop_accepting) = (connections.clone(), stop.stop_accepting.clone());
     let accepting = tokio::spawn(async move {
-        let take = |stream| {
+        let serve_stream = |stream| {
             tracker.spawn(serve_connection(Arc::clone(&front), stream));
         };
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                () = close.cancelled() => break,
+                () = stop_accepting.cancelled() => break,
             };
             match accepted {
-                Ok((stream, _)) => take(stream),
+                Ok((stream, _)) => serve_stream(stream),
                 Err(e) => {
-                    log::warn!(error:% = e; "caller's connection not accepted");
+                    log::warn!(error:% = e; "caller connection not accepted");
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             }
         }
-        // Closing the listener would break connections that the kernel has already opened.
+        // Accepts the connections that the kernel has already established: closing the listener
+        // would reset them.
         while let Some(Ok((stream, _))) = listener.accept().now_or_never() {
-            take(stream);
+            serve_stream(stream);
         }
     });
     Serving {
@@ -130,101 +133,101 @@
 }
 
 async fn serve_connection(front: Arc<Front>, stream: TcpStream) {
-    // Without it small events wait for acknowledgements.
+    // With Nagle's algorithm, small events would wait for acknowledgements.
     if let Err(e) = stream.set_nodelay(true) {
         log::debug!(error:% = e; "connection closed before its first request");
         return;
     }
     let opened_at = tokio::time::Instant::now();
-    let idle = front.node.config().map_or(DEFAULT_IDLE, |config| {
-        config.limits.idle_timeout + IDLE_SLACK
+    let idle_timeout = front.node.config().map_or(DEFAULT_IDLE_TIMEOUT, |config| {
+        config.limits.idle_timeout + IDLE_TIMEOUT_MARGIN
     });
     let close_idle = front.stop.close_idle.clone();
-    let asked = CancellationToken::new();
-    let first_asked = asked.clone();
-    let may_close = async move {
+    let first_request = CancellationToken::new();
+    let first_received = first_request.clone();
+    let may_close_idle = async move {
         close_idle.cancelled().await;
-        // Whoever has just connected is about to ask, and could not tell a close from an
-        // answer that was lost.
-        let first_by = opened_at + FIRST_REQUEST_WITHIN;
-        tokio::time::timeout_at(first_by, first_asked.cancelled()).await
+        // A caller that has just connected is about to send a request. If the connection were
+        // closed now, it could not tell this from a lost response.
+        let first_request_deadline = opened_at + FIRST_REQUEST_TIMEOUT;
+        tokio::time::timeout_at(first_request_deadline, first_received.cancelled()).await
     };
     let service = service_fn(move |request| {
-        asked.cancel();
+        first_request.cancel();
         let front = Arc::clone(&front);
-        async move { Ok::<_, std::convert::Infallible>(front.answer(request).await) }
+        async move { Ok::<_, std::convert::Infallible>(front.respond(request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(idle)
+        .header_read_timeout(idle_timeout)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let ended = tokio::select! {
         biased;
         ended = connection.as_mut() => ended,
-        _ = may_close => {
+        _ = may_close_idle => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
     if let Err(e) = ended {
-        log::debug!(error:% = e; "caller's connection broke");
+        log::debug!(error:% = e; "caller connection failed");
     }
 }
 
 impl Front {
-    async fn answer(&self, request: Request<Incoming>) -> CallerResponse {
+    async fn respond(&self, request: Request<Incoming>) -> CallerResponse {
         let received_at = Instant::now();
-        let mut reply = self.route(request, received_at).await;
+        let mut response = self.route_request(request, received_at).await;
         if self.node.is_leaving() {
-            reply
+            response
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        reply
+        response
     }
 
-    /// Refuses a request before its route is known.
+    /// Responds that a request was not run, before its route is determined.
     fn refuse(
         &self,
         caller: &wire::CallerRequest,
         reason: RefusalReason,
-        after: Duration,
+        retry_after: Duration,
     ) -> CallerResponse {
         log::warn!(request_id = caller.id, reason = reason.text(); "request refused");
         self.node.metrics.incr(Counter::Refused(reason));
-        responses::not_run(StatusCode::SERVICE_UNAVAILABLE, after)
+        responses::not_run(StatusCode::SERVICE_UNAVAILABLE, retry_after)
     }
 
-    async fn route(&self, request: Request<Incoming>, received_at: Instant) -> CallerResponse {
+    async fn route_request(
+        &self,
+        request: Request<Incoming>,
+        received_at: Instant,
+    ) -> CallerResponse {
         let (head, body) = request.into_parts();
         let caller = wire::decode_request(&head);
         if self.stop.refuse.is_cancelled() {
             return self.refuse(&caller, RefusalReason::Stopping, STOPPING_RETRY_AFTER);
         }
         let Some(config) = self.node.config() else {
-            return self.refuse(
-                &caller,
-                RefusalReason::NoConfiguration,
-                UNINFORMED_RETRY_AFTER,
-            );
+            return self.refuse(&caller, RefusalReason::NoConfiguration, NO_CONFIG_RETRY_AFTER);
         };
         if head_bytes(&head) > config.limits.header_bytes {
-            log::warn!(request_id = caller.id, bytes = head_bytes(&head); "request refused: head too large");
+            log::warn!(request_id = caller.id, bytes = head_bytes(&head); "request refused: headers too large");
             return responses::empty(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
         }
         if let Some(call) = job_call(&config, &head, &caller) {
             return self.batch.serve_call(call).await;
         }
         let Some(route) = config.match_route(&caller.host, &caller.path).cloned() else {
-            log::warn!(request_id = caller.id, host = caller.host, path = caller.path, version = config.version; "no route");
+            log::warn!(request_id = caller.id, host = caller.host, path = caller.path, version = config.version; "no route matches the request");
             return responses::empty(StatusCode::NOT_FOUND);
         };
         let time_limit = caller.time_limit.unwrap_or(route.timeout);
         let body = match read_body(body, &config.limits, time_limit).await {
             Ok(body) => body,
             Err(status) => {
-                log::warn!(request_id = caller.id, status = status.as_u16(); "request refused: body not read");
+                log::warn!(request_id = caller.id, status = status.as_u16(); "request refused: body could not be read");
                 return responses::empty(status);
             }
         };
@@ -239,29 +242,30 @@
     }
 }
 
-/// A call on a job, if the request is one and its host takes jobs.
+/// Decodes a call on a batch job. Returns `None` if the request is no such call, if a route matches
+/// it, or if the configuration has no route for its host.
 fn job_call(
     config: &Config,
     head: &request::Parts,
     caller: &wire::CallerRequest,
 ) -> Option<batch_api::JobCall> {
     let call = batch_api::decode_call(head)?;
-    let routed = config.match_route(&caller.host, &caller.path).is_some();
-    (!routed && config.has_host(&caller.host)).then_some(call)
+    let is_routed = config.match_route(&caller.host, &caller.path).is_some();
+    (!is_routed && config.has_host(&caller.host)).then_some(call)
 }
 
 fn head_bytes(head: &request::Parts) -> usize {
-    /// Separators of a header line.
-    const LINE_BYTES: usize = 4;
+    /// Bytes of the separators of a header line: colon, space and line break.
+    const SEPARATOR_BYTES: usize = 4;
     let headers = head.headers.iter();
-    let lines: usize = headers
-        .map(|(name, value)| name.as_str().len() + value.len() + LINE_BYTES)
+    let header_bytes: usize = headers
+        .map(|(name, value)| name.as_str().len() + value.len() + SEPARATOR_BYTES)
         .sum();
-    let path = head
+    let path_bytes = head
         .uri
         .path_and_query()
         .map_or(0, |path| path.as_str().len());
-    lines + path
+    header_bytes + path_bytes
 }
 
 async fn read_body(
@@ -269,8 +273,8 @@
     limits: &CallerLimits,
     time_limit: Duration,
 ) -> Result<Bytes, StatusCode> {
-    let reading = Limited::new(body, limits.body_bytes).collect();
-    match tokio::time::timeout(time_limit, reading).await {
+    let collect = Limited::new(body, limits.body_bytes).collect();
+    match tokio::time::timeout(time_limit, collect).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err(StatusCode::PAYLOAD_TOO_LARGE),
         Ok(Err(_)) => Err(StatusCode::BAD_REQUEST),
@@ -278,22 +282,22 @@
     }
 }
 
-/// Answers readiness checks on `addr`: ready while the process knows enough to serve and
-/// was not told to leave.
+/// Serves readiness checks on `addr`. The process is ready while it is synced with the store and
+/// was not asked to stop. Returns an error if `addr` cannot be bound.
 pub async fn serve_readiness(node: Arc<Node>, addr: SocketAddr) -> std::io::Result<()> {
     let was_ready = std::sync::atomic::AtomicBool::new(false);
     let was_ready = Arc::new(was_ready);
-    serve_small(addr, move |path| {
+    serve_simple(addr, move |path| {
         if path != foxwheel_platform::READINESS_PATH {
             return responses::empty(StatusCode::NOT_FOUND);
         }
-        let ready = node.is_synced() && !node.is_leaving();
-        let before = was_ready.swap(ready, std::sync::atomic::Ordering::Relaxed);
-        if ready != before {
+        let is_ready = node.is_synced() && !node.is_leaving();
+        let before = was_ready.swap(is_ready, std::sync::atomic::Ordering::Relaxed);
+        if is_ready != before {
             let version = node.config().map(|config| config.version);
-            log::info!(ready, version, leaving = node.is_leaving(); "readiness changed");
+            log::info!(ready = is_ready, version, leaving = node.is_leaving(); "readiness changed");
         }
-        responses::empty(match ready {
+        responses::empty(match is_ready {
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
         })
@@ -301,19 +305,20 @@
     .await
 }
 
-/// Serves the process's counters and histograms at `/metrics` on `addr`.
+/// Serves the process's counters and histograms at `/metrics` on `addr`. Returns an error if `addr`
+/// cannot be bound.
 pub async fn serve_metrics(node: Arc<Node>, addr: SocketAddr) -> std::io::Result<()> {
-    serve_small(addr, move |path| match path {
+    serve_simple(addr, move |path| match path {
         "/metrics" => responses::text(StatusCode::OK, &node.metrics.render()),
         _ => responses::empty(StatusCode::NOT_FOUND),
     })
     .await
 }
 
-/// Serves plain GETs whose answers are at hand.
-async fn serve_small(
+/// Serves requests whose responses depend only on the path and need no waiting.
+async fn serve_simple(
     addr: SocketAddr,
-    answer: impl Fn(&str) -> CallerResponse + Clone + Send + Sync + 'static,
+    respond: impl Fn(&str) -> CallerResponse + Clone + Send + Sync + 'static,
 ) -> std::io::Result<()> {
     let listener = TcpListener::bind(addr).await?;
     tokio::spawn(async move {
@@ -322,13 +327,13 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             };
-            let answer = answer.clone();
+            let respond = respond.clone();
             tokio::spawn(async move {
                 let service = service_fn(move |request: Request<Incoming>| {
-                    let reply = answer(request.uri().path());
-                    async move { Ok::<_, std::convert::Infallible>(reply) }
+                    let response = respond(request.uri().path());
+                    async move { Ok::<_, std::convert::Infallible>(response) }
                 });
-                // A checker that hangs up needs no answer.
+                // An error means that the client disconnected, so that it needs no response.
                 let _ = http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
--- a/crates/foxwheel-node/src/lib.rs
+++ b/crates/foxwheel-node/src/lib.rs
@@ -1,8 +1,8 @@
-//! The processes foxwheel runs on the users' platform.
+//! The processes that foxwheel runs on the users' platform.
 //!
-//! A *front* answers callers; a *worker* runs batch jobs. Both follow the operator's
-//! configuration and the list of backend servers in the platform's store, tell each other
-//! of their load, and ask `foxwheel-policy` for every decision.
+//! A *front* serves callers; a *worker* runs batch jobs. Both watch the operator's configuration
+//! and the list of backend servers in the platform's store, report their load to each other in
+//! heartbeats, and leave every decision to `foxwheel-policy`.
 
 pub mod attempt;
 pub mod batch_front;
@@ -48,7 +48,7 @@
 pub mod worker_jobs;
 pub mod zone_representative;
 
-/// The crate's modules, for `use foxwheel_node::prelude::*`.
+/// The modules needed to run a process, for `use foxwheel_node::prelude::*`.
 pub mod prelude {
     pub use crate::{front, node, settings, worker};
 }
--- a/crates/foxwheel-node/src/metrics.rs
+++ b/crates/foxwheel-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, served as text on the metrics address.
+//! Counters and latency histograms, kept in memory and rendered as text.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use foxwheel_core::metric_names::{self, Counter, Timer};
 use hdrhistogram::Histogram;
 
-/// Totals and histograms by name, fed with statsd lines by cadence.
+/// Counters and histograms by name. The cadence client writes statsd lines into it.
 #[derive(Debug, Clone, Default)]
 struct Registry(Arc<Mutex<Tables>>);
 
@@ -54,16 +54,16 @@
             self.timers_ms.insert(at, (name.to_owned(), empty));
             at
         });
-        // The histogram grows with its values; only a value beyond its largest size would
-        // be left out, and no wait takes that long.
+        // The histogram resizes itself. Recording fails only for a value beyond its maximum range,
+        // which no duration reaches.
         let _ = self.timers_ms[at].1.record(value_ms);
     }
 }
 
-/// Precision of the histograms: values are exact to one in a hundred.
+/// Significant decimal digits of the histograms: values are exact to 1 %.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Reads `prefix.name:12|c` or `prefix.name:12|ms`.
+/// Parses `prefix.name:12|c` (counter) or `prefix.name:12|ms` (timer) into name, value and kind.
 fn parse_statsd(line: &str) -> Option<(&str, i64, &str)> {
     let (name, rest) = line.split_once(':')?;
     let (value, kind) = rest.split_once('|')?;
@@ -91,24 +91,25 @@
 }
 
 impl Metrics {
-    /// Counts one event.
+    /// Increments a counter by one.
     pub fn incr(&self, counter: Counter) {
-        // The sink is in memory and cannot fail.
+        // The in-memory sink never returns an error.
         let _ = self.client.incr(&counter.name());
     }
 
-    /// Counts `count` events at once.
+    /// Increments a counter by `count`.
     pub fn add(&self, counter: Counter, count: usize) {
-        // The sink is in memory and cannot fail.
+        // The in-memory sink never returns an error.
         let _ = self.client.count(&counter.name(), count as i64);
     }
 
-    /// Records how long something took.
-    pub fn time(&self, timer: Timer, took: Duration) {
-        let _ = self.client.time(timer.name(), took);
+    /// Records a duration in the histogram of `timer`, in whole milliseconds.
+    pub fn time(&self, timer: Timer, duration: Duration) {
+        let _ = self.client.time(timer.name(), duration);
     }
 
-    /// Every counter and histogram, one a line.
+    /// Renders one `name value` line per counter, and per histogram its count and its percentiles
+    /// in milliseconds.
     pub fn render(&self) -> String {
         use std::fmt::Write;
         let tables = self.registry.0.lock().expect("metrics lock");
--- a/crates/foxwheel-node/src/process.rs
+++ b/crates/foxwheel-node/src/process.rs
@@ -1,4 +1,4 @@
-//! A process from start to stop.
+//! Runs a front or worker from its start until it has stopped.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,18 +13,19 @@
 use crate::worker_jobs::WorkerJobs;
 use crate::{front, heartbeat, peer_server, store_watch, worker};
 
-/// Left of a worker's time to stop when it ends, whatever it still runs: it must be gone
-/// before it is killed.
+/// A worker stops this long before its stop grace period ends, even if runs are still in
+/// progress, so that it has exited before the platform kills it.
 const STOP_MARGIN: Duration = Duration::from_millis(500);
 
-/// Runs a front until it is told to stop (`leaving`) and its exchanges have ended.
+/// Runs a front until `leaving` is cancelled, and then until its open connections have ended or
+/// its stop grace period has passed. Returns an error if an address cannot be bound.
 pub async fn run_front(settings: NodeSettings, leaving: CancellationToken) -> std::io::Result<()> {
     let node = Node::new(settings, leaving);
     let background = start_background(&node, None).await?;
     let settings = &node.settings;
-    let caller_address = settings
-        .caller_address
-        .ok_or_else(|| std::io::Error::other("a front needs a caller address"))?;
+    let caller_address = settings.caller_address.ok_or_else(|| {
+        std::io::Error::other("setting `caller_address` is missing; a front needs it")
+    })?;
     let listener = TcpListener::bind(caller_address).await?;
     let stop = front::StopSignals::default();
     let mut serving = front::serve(Arc::clone(&node), listener, stop.clone());
@@ -35,29 +36,30 @@
     let plan = StopPlan::new(Instant::now(), settings.stop_grace);
     tokio::time::sleep_until(plan.close_idle_at.into()).await;
     stop.close_idle.cancel();
-    let refusing = async {
+    let stop_steps = async {
         tokio::time::sleep_until(plan.refuse_from.into()).await;
         stop.refuse.cancel();
         tokio::time::sleep_until(plan.end_at.into()).await;
     };
     let in_time = tokio::select! {
         () = serving.end() => true,
-        () = refusing => false,
+        () = stop_steps => false,
     };
-    log::info!(cut = serving.open(), in_time; "front stopped");
+    log::info!(cut = serving.open_connections(), in_time; "front stopped");
     background.cancel();
     structured_log::flush();
     Ok(())
 }
 
-/// Runs a worker until it is told to stop (`leaving`) and has given its jobs back.
+/// Runs a worker until `leaving` is cancelled, and then until it has released its jobs or its stop
+/// grace period has almost passed. Returns an error if an address cannot be bound.
 pub async fn run_worker(settings: NodeSettings, leaving: CancellationToken) -> std::io::Result<()> {
     let node = Node::new(settings, leaving);
     let jobs = WorkerJobs::new(Arc::clone(&node));
     let background = start_background(&node, Some(Arc::clone(&jobs))).await?;
     let stopped = CancellationToken::new();
-    let stop_by = stop_deadline(Arc::clone(&node), stopped.clone());
-    let deadline = tokio::spawn(stop_by);
+    let stop_timer = cancel_at_stop_deadline(Arc::clone(&node), stopped.clone());
+    let deadline = tokio::spawn(stop_timer);
     worker::run(Arc::clone(&node), jobs, stopped).await;
     deadline.abort();
     log::info!(holds_jobs = node.has_owned_jobs(); "worker stopped");
@@ -66,14 +68,16 @@
     Ok(())
 }
 
-async fn stop_deadline(node: Arc<Node>, stopped: CancellationToken) {
+async fn cancel_at_stop_deadline(node: Arc<Node>, stopped: CancellationToken) {
     node.leaving.cancelled().await;
     let grace = node.settings.stop_grace.saturating_sub(STOP_MARGIN);
     tokio::time::sleep(grace).await;
     stopped.cancel();
 }
 
-/// Starts what every process does beside its work. Cancelling the answered token stops it.
+/// Starts the tasks that fronts and workers have in common: peer server, metrics, heartbeats, and
+/// watching the store. Cancelling the returned token stops them. Returns an error if an address
+/// cannot be bound.
 async fn start_background(
     node: &Arc<Node>,
     jobs: Option<Arc<WorkerJobs>>,
@@ -81,9 +85,9 @@
     let settings = &node.settings;
     log::info!(role:? = settings.role, zone = settings.availability_zone, incarnation = node.incarnation, version = env!("CARGO_PKG_VERSION"); "process started");
     let cancel = CancellationToken::new();
-    let addr = settings.bind_address(settings.peer_ports.0);
-    let socket = UdpSocket::bind(addr).await?;
-    peer_server::serve(Arc::clone(node), jobs, addr, cancel.clone()).await?;
+    let peer_addr = settings.bind_address(settings.peer_ports.0);
+    let socket = UdpSocket::bind(peer_addr).await?;
+    peer_server::serve(Arc::clone(node), jobs, peer_addr, cancel.clone()).await?;
     if let Some(port) = settings.metrics_port {
         front::serve_metrics(Arc::clone(node), settings.bind_address(port)).await?;
     }
@@ -93,13 +97,15 @@
     Ok(cancel)
 }
 
-/// Notes each SIGHUP. Settings name addresses that cannot change while the process lives,
-/// and seeds that only matter at its start, so nothing else follows.
+/// Logs each SIGHUP. A reload changes nothing: the settings consist of addresses that cannot change
+/// while the process runs, and of seeds that only matter when it starts.
 async fn log_reloads() {
     use tokio::signal::unix::{signal, SignalKind};
     let mut hangups = match signal(SignalKind::hangup()) {
         Ok(hangups) => hangups,
-        Err(e) => return log::warn!(error:% = e; "SIGHUP not handled"),
+        Err(e) => {
+            return log::warn!(error:% = e; "no handler for SIGHUP; reload requests are not logged")
+        }
     };
     while hangups.recv().await.is_some() {
         log::info!(outcome = "kept"; "reload asked for");
