--- a/crates/foxwheel-node/src/settings.rs
+++ b/crates/foxwheel-node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a front or worker.
+//! Settings of a front or worker, read from one JSON object.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,79 +9,84 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{serde_as, DurationSecondsWithFrac};
 
-/// What a process does.
+/// The role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Answers callers.
+    /// Serves callers: online requests and calls on batch jobs.
     Front,
-    /// Runs batch jobs.
+    /// Runs the items of batch jobs.
     Worker,
 }
 
-/// Settings of a front or worker; a JSON object.
+/// Settings of a front or worker. Unknown fields are refused.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// Name of the host; unique in the fleet.
+    /// Name of the host, unique in the fleet.
     pub host: NodeId,
-    /// What the process does.
+    /// Role of the process: `front` or `worker`.
     pub role: Role,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub availability_zone: Zone,
-    /// Address that peers reach, and that it binds unless `bind_ip` says otherwise.
+    /// IP address at which peers reach the process. The process listens on it unless `bind_ip` is
+    /// set.
     pub ip: std::net::IpAddr,
-    /// Address it binds where peers reach it through address translation; none binds `ip`.
+    /// IP address to listen on if peers reach the process through address translation; `ip` if not
+    /// set.
     #[serde(default)]
     pub bind_ip: Option<std::net::IpAddr>,
-    /// First and last port for talk between processes; the first one is used, on TCP for
-    /// calls and on UDP for heartbeats.
+    /// First and last port for communication between processes. Only the first port is used: on TCP
+    /// for calls and on UDP for heartbeats.
     pub peer_ports: (u16, u16),
-    /// Addresses of some processes to hear of the others; may be stale. Only their IP
-    /// counts: the port is that of `peer_ports`.
+    /// Addresses of some processes from which this one learns of all others; may be stale. Only the
+    /// IP address is used: the port is the first of `peer_ports`.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Where callers connect; a front's only.
+    /// Address that a front listens on for callers. Required for a front, unused by a worker.
     #[serde(default)]
     pub caller_address: Option<SocketAddr>,
-    /// Where the platform asks whether the process is ready; a front's only.
+    /// Address that a front listens on for the platform's readiness checks; no checks are served if
+    /// not set. Unused by a worker.
     #[serde(default)]
     pub readiness_address: Option<SocketAddr>,
-    /// Port of `GET /metrics` on the address it binds; none serves no metrics.
+    /// Port for `GET /metrics` on the address that the process listens on; no metrics are served if
+    /// not set.
     #[serde(default)]
     pub metrics_port: Option<u16>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store_address: SocketAddr,
-    /// Most bytes of one value in the store.
+    /// Maximum size of one value in the store, in bytes.
     pub store_value_bytes: usize,
-    /// Time from the signal to stop until the process is killed.
+    /// Time between the stop signal and the kill of the process, in seconds.
     #[serde(rename = "stop_grace_s", default = "default_stop_grace")]
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     pub stop_grace: Duration,
-    /// How long after its submission a job's results stay readable.
+    /// How long the results of a job stay readable after its submission, in seconds.
     #[serde(rename = "results_readable_s", default = "default_results_readable")]
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     pub results_readable: Duration,
 }
 
-/// The users' present bound; a platform that states none has no reason to be hastier.
+/// Returns the stop grace period of the users' current platform. A platform that states none is
+/// not expected to kill processes earlier.
 fn default_stop_grace() -> Duration {
     Duration::from_secs(8)
 }
 
-/// The users' present bound.
+/// Returns the time that the users' current platform requires.
 fn default_results_readable() -> Duration {
     Duration::from_secs(120)
 }
 
 impl NodeSettings {
-    /// Where peers reach it, for calls and heartbeats.
+    /// Returns the address at which peers reach the process, for calls and heartbeats.
     pub fn peer_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.peer_ports.0)
     }
 
-    /// Where it listens on `port`.
+    /// Returns the address on which the process listens for `port`.
     pub fn bind_address(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.bind_ip.unwrap_or(self.ip), port)
     }
@@ -95,8 +100,8 @@
             problems.add("peer_ports", "must be an ascending range");
         }
         if self.store_value_bytes < MIN_STORE_VALUE_BYTES {
-            let least = format!("must be at least {MIN_STORE_VALUE_BYTES}");
-            problems.add("store_value_bytes", least);
+            let message = format!("must be at least {MIN_STORE_VALUE_BYTES}");
+            problems.add("store_value_bytes", message);
         }
         if self.role == Role::Front && self.caller_address.is_none() {
             problems.add("caller_address", "must be set for a front");
@@ -107,5 +112,5 @@
     }
 }
 
-/// Room for one job's head and one result of ordinary size.
+/// Space for the head of one job and one result of ordinary size.
 const MIN_STORE_VALUE_BYTES: usize = 16 * 1024;
