--- a/crates/foxwheel-node/src/front.rs
+++ b/crates/foxwheel-node/src/front.rs
@@ -210,7 +210,11 @@
             return self.refuse(&caller, RefusalReason::Stopping, STOPPING_RETRY_AFTER);
         }
         let Some(config) = self.node.config() else {
-            return self.refuse(&caller, RefusalReason::NoConfiguration, NO_CONFIG_RETRY_AFTER);
+            return self.refuse(
+                &caller,
+                RefusalReason::NoConfiguration,
+                NO_CONFIG_RETRY_AFTER,
+            );
         };
         if head_bytes(&head) > config.limits.header_bytes {
             log::warn!(request_id = caller.id, bytes = head_bytes(&head); "request refused: headers too large");
--- a/crates/foxwheel-node/src/online_request.rs
+++ b/crates/foxwheel-node/src/online_request.rs
@@ -28,7 +28,7 @@
 const SLOT_WAIT_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// When a caller whose time limit has passed should retry, if it is still interested.
-const TIME_UP_RETRY_AFTER: Duration = Duration::from_millis(150);
+const DEADLINE_EXCEEDED_RETRY_AFTER: Duration = Duration::from_millis(150);
 
 /// When a caller that was refused because no server is available should retry.
 const NO_SERVER_RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -146,7 +146,10 @@
                 return Err(self.refusal(RefusalReason::Quarantined, time_left));
             }
             if now + MIN_TIME_LEFT >= self.response_deadline {
-                return Err(self.refusal(RefusalReason::DeadlineExceeded, TIME_UP_RETRY_AFTER));
+                return Err(self.refusal(
+                    RefusalReason::DeadlineExceeded,
+                    DEADLINE_EXCEEDED_RETRY_AFTER,
+                ));
             }
             let slot = match self.reserve_slot(node).await {
                 Placement::Reserved(slot) => slot,
--- a/crates/foxwheel-node/src/request_quarantine.rs
+++ b/crates/foxwheel-node/src/request_quarantine.rs
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Records that `server` sent a complete response to a request with this content. This clears the
-    /// content of the crashes of servers of the same service.
+    /// Records that `server` sent a complete response to a request with this content. This clears
+    /// the content of the crashes of servers of the same service.
     pub fn record_success(&self, content: &RequestContent, server: &ServerInstance) {
         if self.has_no_crashes() {
             return;
