--- a/crates/foxwheel-policy/tests/common/mod.rs
+++ b/crates/foxwheel-policy/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Randomised tests that give the same verdict in every run, and jobs to play with.
+//! Reproducible randomised tests and sample batch jobs.
 
-// Each test file uses a part of this module.
+// Each test file uses only some of these functions.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -9,20 +9,20 @@
 use foxwheel_policy::batch::item::ItemSpec;
 use foxwheel_policy::batch::job::JobSpec;
 
-/// Runs `property` on `cases` fixed seeds of `bytes` random bytes each.
+/// Runs `property` with `cases` fixed seeds of `bytes` random bytes each.
 pub fn seeded(
     cases: u32,
     bytes: u32,
     mut property: impl FnMut(&mut Unstructured<'_>) -> Result<()>,
 ) {
     for case in 1..=u64::from(cases) {
-        // arbtest reads the amount of random bytes from a seed's lower half.
+        // arbtest takes the number of random bytes from the lower half of a seed.
         let seed = case << 32 | u64::from(bytes);
         arbtest::arbtest(&mut property).seed(seed);
     }
 }
 
-/// A job of `items` items of 100 tokens each.
+/// Returns a job of `items` items of 100 tokens each.
 pub fn job_of(items: usize) -> JobSpec {
     let item = |at: usize| ItemSpec {
         id: format!("item-{at}"),
--- a/crates/foxwheel-policy/tests/drain_timing.rs
+++ b/crates/foxwheel-policy/tests/drain_timing.rs
@@ -1,24 +1,25 @@
-//! The steps between a server's word that it leaves and the last request that reaches it.
+//! The delays between the start of a server's drain and the last request that reaches it.
 
 use std::time::Duration;
 
 use foxwheel_policy::{drain_timing, watcher_selection};
 
-/// Each step kept to a bound of its own, chosen as a part of the same two seconds; together
-/// they took more than twice as long.
+/// Guards against bounds that hold for each delay alone but not for their sum: delays that were
+/// each chosen as a part of the same 2 s added up to more than twice as long.
 #[test]
-fn the_steps_until_a_leaving_server_gets_nothing_stay_within_its_bound_together() {
-    // Scheduling on a host with a tenth of a core.
-    let slack = Duration::from_millis(100);
-    assert!(drain_timing::max_arrival_delay() + slack <= drain_timing::MIN_DRAIN_BOUND);
+fn all_delays_until_the_last_request_reaches_a_draining_server_fit_its_bound() {
+    // Scheduling delay on a host with a tenth of a core.
+    let scheduling_delay = Duration::from_millis(100);
+    assert!(drain_timing::max_arrival_delay() + scheduling_delay <= drain_timing::MIN_DRAIN_BOUND);
 }
 
-/// A follower's word must not grow too old between two of its probes while the store is slow.
+/// While the store is slow, the state confirmed by a watcher must not become too old between two
+/// of its probes; otherwise every process of the zone would call the store itself.
 #[test]
-fn a_slow_store_makes_no_process_ask_for_itself() {
-    let slow_answer = Duration::from_millis(300);
+fn a_slow_store_does_not_make_other_processes_watch_it() {
+    let slow_response = Duration::from_millis(300);
     let heartbeat = Duration::from_millis(100);
-    let oldest = watcher_selection::PROBE_INTERVAL + slow_answer + heartbeat;
-    assert!(oldest < watcher_selection::MAX_SYNC_AGE);
-    assert!(slow_answer < watcher_selection::PROBE_TIMEOUT);
+    let max_age = watcher_selection::PROBE_INTERVAL + slow_response + heartbeat;
+    assert!(max_age < watcher_selection::MAX_SYNC_AGE);
+    assert!(slow_response < watcher_selection::PROBE_TIMEOUT);
 }
