--- a/crates/foxwheel-policy/tests/membership.rs
+++ b/crates/foxwheel-policy/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Which backend servers may be sent work, as their list lags, lapses and comes back.
+//! Servers that may get work while their list is outdated, loses entries or is unreachable.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,25 +11,25 @@
         incarnation: 0,
         service: "model".to_owned(),
         addr: "10.0.0.1:80".parse().expect("an address"),
-        zone: "hall".to_owned(),
+        zone: "zone-a".to_owned(),
         slots: 8,
         state,
     }
 }
 
-fn usable(directory: &ServerDirectory) -> Vec<&str> {
-    usable_at(directory, Instant::now())
+fn usable_ids(directory: &ServerDirectory) -> Vec<&str> {
+    usable_ids_at(directory, Instant::now())
 }
 
-fn usable_at(directory: &ServerDirectory, now: Instant) -> Vec<&str> {
+fn usable_ids_at(directory: &ServerDirectory, now: Instant) -> Vec<&str> {
     directory
         .usable_entries("model", now)
-        .map(|member| member.server.id.as_str())
+        .map(|entry| entry.server.id.as_str())
         .collect()
 }
 
 #[test]
-fn a_draining_server_gets_nothing_and_other_services_are_not_mixed_in() {
+fn only_ready_servers_of_the_service_are_usable() {
     let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Ready));
     directory.upsert(server("b", ServerState::Ready));
@@ -37,55 +37,55 @@
     other.service = "cards".to_owned();
     directory.upsert(other);
     directory.upsert(server("b", ServerState::Draining));
-    assert_eq!(usable(&directory), ["a"]);
+    assert_eq!(usable_ids(&directory), ["a"]);
 }
 
 #[test]
-fn a_removed_entry_is_a_last_resort_for_a_moment_only() {
+fn a_server_without_entry_is_usable_only_during_its_grace() {
     let now = Instant::now();
     let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Ready));
     directory.remove_entry("a", now);
     assert!(directory
         .usable_entries("model", Instant::now())
-        .all(|member| member.grace_until.is_some()));
-    // Work must not reach it 2 s after its entry went.
-    let gone = directory.remove_expired(now + Duration::from_millis(1_900));
-    assert_eq!(gone, ["a"]);
-    assert!(usable(&directory).is_empty());
+        .all(|entry| entry.grace_until.is_some()));
+    // No work may reach the server 2 s after the removal of its entry.
+    let removed = directory.remove_expired(now + Duration::from_millis(1_900));
+    assert_eq!(removed, ["a"]);
+    assert!(usable_ids(&directory).is_empty());
 }
 
 #[test]
-fn a_draining_server_whose_entry_goes_is_gone_at_once() {
+fn a_draining_server_is_dropped_with_its_entry() {
     let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Draining));
     directory.remove_entry("a", Instant::now());
     assert!(directory.entries().is_empty());
 }
 
-/// All entries expire while the list's source is away: the servers stay usable until they
-/// had time to register again, and those that do not are gone.
+/// All entries expire while the source of the list is out of reach. The servers stay usable until
+/// they have had time to register again; those that do not register are dropped.
 #[test]
-fn entries_that_lapsed_in_an_outage_are_awaited() {
+fn servers_whose_entries_expire_in_an_outage_may_register_again() {
     let now = Instant::now();
     let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Ready));
     directory.upsert(server("b", ServerState::Ready));
     directory.record_source_lost();
-    let back = now + Duration::from_secs(5);
-    directory.record_source_regained(back);
-    assert!(directory.apply_list(Vec::new(), 7, back));
-    let soon = back + Duration::from_millis(2_000);
+    let regained_at = now + Duration::from_secs(5);
+    directory.record_source_regained(regained_at);
+    assert!(directory.apply_list(Vec::new(), 7, regained_at));
+    let soon = regained_at + Duration::from_millis(2_000);
     assert!(directory.remove_expired(soon).is_empty());
-    assert_eq!(usable(&directory), ["a", "b"]);
+    assert_eq!(usable_ids(&directory), ["a", "b"]);
     directory.upsert(server("a", ServerState::Ready));
-    let later = back + Duration::from_millis(2_500);
+    let later = regained_at + Duration::from_millis(2_500);
     assert_eq!(directory.remove_expired(later), ["b"]);
-    assert_eq!(usable(&directory), ["a"]);
+    assert_eq!(usable_ids(&directory), ["a"]);
 }
 
 #[test]
-fn an_entry_that_comes_back_is_no_last_resort_any_more() {
+fn an_entry_that_returns_ends_the_grace() {
     let now = Instant::now();
     let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Ready));
@@ -96,13 +96,13 @@
         .is_empty());
     assert!(directory
         .usable_entries("model", Instant::now())
-        .all(|member| member.grace_until.is_none()));
+        .all(|entry| entry.grace_until.is_none()));
 }
 
-/// A watch that waited through an outage tells of the entries that lapsed before anything
-/// else shows that the store is back.
+/// A watch that was pending during an outage reports the expired entries before anything else
+/// shows that the store is reachable again.
 #[test]
-fn an_entry_that_vanishes_before_its_source_is_found_again_is_awaited() {
+fn an_entry_removed_before_its_source_is_known_to_be_back_gets_the_long_grace() {
     let now = Instant::now();
     let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Ready));
@@ -112,16 +112,16 @@
     assert!(directory
         .remove_expired(now + Duration::from_millis(2_300))
         .is_empty());
-    assert_eq!(usable(&directory), ["a"]);
+    assert_eq!(usable_ids(&directory), ["a"]);
     assert_eq!(
         directory.remove_expired(now + Duration::from_millis(2_500)),
         ["a"]
     );
 }
 
-/// Lists come from the store and from peers. What a peer knew before the last change, or
-/// before it had any list, must not take servers away: only a change of its own would bring
-/// an entry back.
+/// Lists come from the store and from peers. A peer's list from before the last change, or from
+/// before it had any list, must not remove servers: a removed entry would return only with the
+/// next change of that entry.
 #[test]
 fn an_older_list_never_replaces_a_newer_one() {
     let now = Instant::now();
@@ -130,21 +130,24 @@
     assert_eq!(directory.revision(), None);
     let both = ["a", "b"].map(|id| server(id, ServerState::Ready));
     assert!(directory.apply_list(both.to_vec(), 20, now));
-    assert!(!directory.apply_list(Vec::new(), 19, now), "a late answer");
+    assert!(
+        !directory.apply_list(Vec::new(), 19, now),
+        "an outdated list"
+    );
     directory.remove_expired(later);
-    assert_eq!(usable(&directory), ["a", "b"]);
-    // A watch went on to 30: a list of 25 lacks what came since.
+    assert_eq!(usable_ids(&directory), ["a", "b"]);
+    // A watch has advanced to revision 30; a list of revision 25 lacks the later changes.
     directory.upsert(server("c", ServerState::Ready));
     directory.advance_revision(30);
     assert!(!directory.apply_list(both.to_vec(), 25, now));
     directory.remove_expired(later);
-    assert_eq!(usable(&directory), ["a", "b", "c"]);
+    assert_eq!(usable_ids(&directory), ["a", "b", "c"]);
     assert!(directory.apply_list(both[..1].to_vec(), 31, now));
     directory.remove_expired(later);
-    assert_eq!(usable(&directory), ["a"]);
+    assert_eq!(usable_ids(&directory), ["a"]);
 }
 
-fn start(id: &str, incarnation: u64, port: u16) -> BackendServer {
+fn server_of_incarnation(id: &str, incarnation: u64, port: u16) -> BackendServer {
     BackendServer {
         incarnation,
         addr: SocketAddr::from(([10, 0, 0, 1], port)),
@@ -152,84 +155,86 @@
     }
 }
 
-/// A write of the earlier start may be done late, and a stale read may show it.
+/// A late write of an earlier instance or a stale read must not replace the later instance.
 #[test]
-fn an_earlier_start_never_replaces_a_later_one() {
+fn an_earlier_instance_never_replaces_a_later_one() {
     let mut directory = ServerDirectory::default();
-    directory.upsert(start("a", 2_000, 80));
-    directory.upsert(start("a", 1_000, 81));
+    directory.upsert(server_of_incarnation("a", 2_000, 80));
+    directory.upsert(server_of_incarnation("a", 1_000, 81));
     let known = &directory.entries()[0].server;
     assert_eq!((known.incarnation, known.addr.port()), (2_000, 80));
-    let mut leaving = start("a", 1_000, 81);
-    leaving.state = ServerState::Draining;
-    directory.upsert(leaving);
-    assert_eq!(usable(&directory), ["a"]);
-    directory.upsert(start("a", 3_000, 82));
+    let mut draining = server_of_incarnation("a", 1_000, 81);
+    draining.state = ServerState::Draining;
+    directory.upsert(draining);
+    assert_eq!(usable_ids(&directory), ["a"]);
+    directory.upsert(server_of_incarnation("a", 3_000, 82));
     assert_eq!(directory.entries()[0].server.addr.port(), 82);
 }
 
-/// Its entry goes and another start comes, at any time of day that its host believes in.
+/// After the entry was removed, an instance with a lower incarnation is accepted, because the clock
+/// of its host may have been set back.
 #[test]
-fn a_start_after_a_removal_counts_whatever_its_time() {
+fn any_incarnation_is_accepted_after_a_removal() {
     let now = Instant::now();
     let mut directory = ServerDirectory::default();
-    directory.upsert(start("a", 2_000, 80));
+    directory.upsert(server_of_incarnation("a", 2_000, 80));
     directory.remove_entry("a", now);
-    directory.upsert(start("a", 1_000, 81));
+    directory.upsert(server_of_incarnation("a", 1_000, 81));
     assert_eq!(directory.entries()[0].server.addr.port(), 81);
 }
 
-/// An entry that another writer spoiled names no server; its id is no last resort either.
+/// An entry that another writer corrupted describes no server, and the server is not used as a
+/// last resort either.
 #[test]
-fn a_spoiled_entry_takes_its_server_out_and_no_other() {
+fn a_corrupted_entry_removes_only_its_own_server() {
     let now = Instant::now();
     let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Ready));
     directory.upsert(server("b", ServerState::Ready));
     directory.refuse_entry("a");
-    assert_eq!(usable(&directory), ["b"]);
-    // In a whole list too.
+    assert_eq!(usable_ids(&directory), ["b"]);
+    // The same within a complete list.
     let listed = vec![server("c", ServerState::Ready)];
     directory.record_source_lost();
     assert!(directory.apply_list(listed, 9, now));
-    assert_eq!(usable(&directory), ["b", "c"], "b is awaited");
+    assert_eq!(usable_ids(&directory), ["b", "c"], "b may register again");
     directory.refuse_entry("b");
-    assert_eq!(usable(&directory), ["c"]);
+    assert_eq!(usable_ids(&directory), ["c"]);
 }
 
-/// Servers crash and start anew while the list cannot show it: their address answers that
-/// another start has it. The listed start is gone for certain, whoever heard it, until the
-/// list shows a later one.
+/// Servers crash and restart while the list cannot be updated, and another instance responds at
+/// their address. The listed instance is dead and gets no work until the list has a later one.
 #[test]
-fn a_start_that_is_gone_for_certain_takes_no_work() {
+fn a_dead_instance_gets_no_work() {
     let now = Instant::now();
     let soon = now + Duration::from_secs(1);
     let mut directory = ServerDirectory::default();
-    directory.upsert(start("a", 1_000, 80));
-    directory.upsert(start("b", 1_000, 81));
-    let gone = start("a", 1_000, 80).instance();
-    assert!(directory.record_dead_instance(gone.clone(), now));
+    directory.upsert(server_of_incarnation("a", 1_000, 80));
+    directory.upsert(server_of_incarnation("b", 1_000, 81));
+    let dead = server_of_incarnation("a", 1_000, 80).instance();
+    assert!(directory.record_dead_instance(dead.clone(), now));
     assert!(
-        !directory.record_dead_instance(gone.clone(), now),
+        !directory.record_dead_instance(dead.clone(), now),
         "known already"
     );
-    assert_eq!(usable_at(&directory, soon), ["b"]);
-    assert_eq!(directory.dead_instances(soon), [gone]);
-    // The list is read again and still shows it.
-    directory.upsert(start("a", 1_000, 80));
-    assert_eq!(usable_at(&directory, soon), ["b"]);
-    directory.upsert(start("a", 5_000, 80));
-    assert_eq!(usable_at(&directory, soon), ["a", "b"]);
+    assert_eq!(usable_ids_at(&directory, soon), ["b"]);
+    assert_eq!(directory.dead_instances(soon), [dead]);
+    // The list is read again and still has the dead instance.
+    directory.upsert(server_of_incarnation("a", 1_000, 80));
+    assert_eq!(usable_ids_at(&directory, soon), ["b"]);
+    directory.upsert(server_of_incarnation("a", 5_000, 80));
+    assert_eq!(usable_ids_at(&directory, soon), ["a", "b"]);
 }
 
-/// Nothing is believed for ever: an answer may have been spoiled on its way.
+/// A dead instance is excluded only for a limited time, because the response that showed it dead
+/// may have been corrupted in transit.
 #[test]
-fn a_start_that_was_called_gone_is_tried_again_later() {
+fn a_dead_instance_is_tried_again_later() {
     let now = Instant::now();
     let mut directory = ServerDirectory::default();
-    directory.upsert(start("a", 1_000, 80));
-    directory.record_dead_instance(start("a", 1_000, 80).instance(), now);
+    directory.upsert(server_of_incarnation("a", 1_000, 80));
+    directory.record_dead_instance(server_of_incarnation("a", 1_000, 80).instance(), now);
     let later = now + Duration::from_secs(60);
-    assert_eq!(usable_at(&directory, later), ["a"]);
+    assert_eq!(usable_ids_at(&directory, later), ["a"]);
     assert!(directory.dead_instances(later).is_empty());
 }
--- a/crates/foxwheel-policy/tests/placement.rs
+++ b/crates/foxwheel-policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests go under load.
+//! Selection of servers under load.
 
 use foxwheel_policy::placement::{self, Candidate};
 
@@ -19,31 +19,31 @@
 }
 
 fn picked(candidates: &[Candidate]) -> Option<&str> {
-    placement::pick_online(candidates, "here", 0).map(|pick| pick.id.as_str())
+    placement::pick_online(candidates, "local", 0).map(|pick| pick.id.as_str())
 }
 
 #[test]
-fn the_least_loaded_server_of_the_own_zone_is_taken_while_it_has_slots() {
+fn the_least_loaded_server_of_the_own_zone_is_selected_while_it_has_slots() {
     let servers = [
-        candidate("a", "here", 3),
-        candidate("b", "here", 2),
-        candidate("c", "there", 1),
+        candidate("a", "local", 3),
+        candidate("b", "local", 2),
+        candidate("c", "remote", 1),
     ];
     assert_eq!(picked(&servers), Some("b"));
 }
 
 #[test]
-fn a_full_zone_sends_its_work_to_another() {
-    let servers = [candidate("a", "here", 8), candidate("c", "there", 4)];
+fn a_full_zone_uses_servers_of_another_zone() {
+    let servers = [candidate("a", "local", 8), candidate("c", "remote", 4)];
     assert_eq!(picked(&servers), Some("c"));
 }
 
 #[test]
-fn suspect_and_lapsed_servers_are_last_resorts() {
+fn suspect_servers_and_expired_entries_are_last_resorts() {
     let mut servers = [
-        candidate("a", "here", 0),
-        candidate("b", "here", 0),
-        candidate("c", "there", 7),
+        candidate("a", "local", 0),
+        candidate("b", "local", 0),
+        candidate("c", "remote", 7),
     ];
     servers[0].suspect = true;
     servers[1].entry_expired = true;
@@ -52,40 +52,41 @@
     assert_eq!(picked(&servers[..1]), Some("a"));
 }
 
-/// The end of a trough: batch items fill the other zone and some of the own one's servers.
-/// They give way within milliseconds, online requests do not: a request goes where batch
-/// items are, and out of a zone that online requests fill.
+/// At the end of a period of low traffic, batch items fill the other zone and some servers of the
+/// own one. Batch items are preempted within milliseconds and online requests are not, so a
+/// request is sent to servers with batch items, and to another zone if online requests fill its
+/// own.
 #[test]
-fn batch_items_hold_up_less_than_online_requests() {
+fn batch_items_count_less_than_online_requests() {
     let with_batch = |id, zone, in_flight, batch_in_flight| Candidate {
         batch_in_flight,
         ..candidate(id, zone, in_flight)
     };
-    let own = [candidate("a", "here", 7), with_batch("b", "here", 8, 6)];
+    let own = [candidate("a", "local", 7), with_batch("b", "local", 8, 6)];
     assert_eq!(picked(&own), Some("b"));
-    let other_zone = [candidate("a", "here", 8), with_batch("c", "there", 8, 6)];
+    let other_zone = [candidate("a", "local", 8), with_batch("c", "remote", 8, 6)];
     assert_eq!(picked(&other_zone), Some("c"));
-    // Full of batch items alone, a server still takes a request.
-    assert_eq!(picked(&[with_batch("b", "here", 10, 8)]), Some("b"));
+    // A server that is full of batch items only still gets an online request.
+    assert_eq!(picked(&[with_batch("b", "local", 10, 8)]), Some("b"));
 }
 
 #[test]
-fn nothing_is_sent_where_it_could_only_wait() {
+fn no_server_is_selected_when_all_queues_are_full() {
     assert_eq!(
-        picked(&[candidate("a", "here", 12), candidate("b", "there", 13)]),
+        picked(&[candidate("a", "local", 12), candidate("b", "remote", 13)]),
         None
     );
     assert_eq!(picked(&[]), None);
 }
 
 #[test]
-fn batch_items_leave_the_reserve_free_and_more_where_another_worker_keeps_the_slots() {
+fn batch_items_leave_a_larger_reserve_at_servers_managed_by_another_worker() {
     let pick = |is_slot_manager, in_flight| {
         let server = Candidate {
             is_slot_manager,
-            ..candidate("a", "here", in_flight)
+            ..candidate("a", "local", in_flight)
         };
-        placement::pick_batch(&[server], "here", 0).is_some()
+        placement::pick_batch(&[server], "local", 0).is_some()
     };
     assert!(pick(true, 6));
     assert!(!pick(true, 7));
@@ -93,76 +94,82 @@
     assert!(!pick(false, 4));
 }
 
-/// The least loaded server is another worker's to give out and full for this one; its own has
-/// room.
+/// The least loaded server is managed by another worker and has no free slot beyond the reserve;
+/// the server that this worker manages has one.
 #[test]
-fn a_batch_item_takes_the_server_with_room_for_it() {
-    let guest = candidate("a", "there", 4);
+fn a_batch_item_goes_to_the_server_with_a_free_slot() {
+    let managed_by_other = candidate("a", "remote", 4);
     let own = Candidate {
         is_slot_manager: true,
-        ..candidate("b", "here", 6)
+        ..candidate("b", "local", 6)
     };
     for draw in 0..2 {
-        let servers = [guest.clone(), own.clone()];
-        let pick = placement::pick_batch(&servers, "here", draw);
-        assert_eq!(pick.map(|one| one.id.as_str()), Some("b"));
+        let servers = [managed_by_other.clone(), own.clone()];
+        let pick = placement::pick_batch(&servers, "local", draw);
+        assert_eq!(pick.map(|picked| picked.id.as_str()), Some("b"));
     }
 }
 
-/// Servers of every size take batch items while they are idle, and keep a slot free for
-/// online requests if they have one to spare.
+/// Idle servers of every size run batch items, and those with more than one slot keep one free for
+/// online requests.
 #[test]
-fn idle_servers_of_every_size_take_batch_items() {
+fn idle_servers_of_every_size_run_batch_items() {
     for slots in 1..=64 {
         for is_slot_manager in [true, false] {
             let mut server = Candidate {
                 slots,
                 is_slot_manager,
-                ..candidate("a", "here", 0)
+                ..candidate("a", "local", 0)
             };
-            while placement::pick_batch(std::slice::from_ref(&server), "here", 0).is_some() {
+            while placement::pick_batch(std::slice::from_ref(&server), "local", 0).is_some() {
                 server.in_flight += 1;
             }
-            let taken = server.in_flight;
-            assert!(taken > 0, "{slots} slots, keeper {is_slot_manager}");
-            assert!(taken < slots || slots == 1, "{slots} slots, {taken} taken");
+            let placed = server.in_flight;
+            assert!(placed > 0, "{slots} slots, manager {is_slot_manager}");
+            assert!(
+                placed < slots || slots == 1,
+                "{slots} slots, {placed} placed"
+            );
         }
     }
 }
 
-/// A step of online requests meets servers that batch items fill: each process takes its
-/// share of the excess off, and all together no more than the batch items there.
+/// A step of online requests arrives at servers that are full of batch items. Each process preempts
+/// its share of the excess, and all processes together no more than the batch items there.
 #[test]
-fn batch_gives_way_to_a_step_of_online_requests() {
-    let excess = |in_flight, batch_in_flight, own_batch_in_flight| {
+fn batch_items_are_preempted_for_a_step_of_online_requests() {
+    let to_preempt = |in_flight, batch_in_flight, own_batch_in_flight| {
         placement::batch_items_to_preempt(&Candidate {
             batch_in_flight,
             own_batch_in_flight,
-            ..candidate("a", "here", in_flight)
+            ..candidate("a", "local", in_flight)
         })
     };
-    assert_eq!(excess(8, 5, 5), 0);
-    assert_eq!(excess(11, 5, 5), 3);
-    assert_eq!(excess(14, 5, 5), 5);
-    assert_eq!(excess(14, 0, 0), 0);
-    assert_eq!([4, 1].map(|own| excess(10, 5, own)), [2, 1]);
-    assert_eq!(excess(20, 5, 1), 1);
+    assert_eq!(to_preempt(8, 5, 5), 0);
+    assert_eq!(to_preempt(11, 5, 5), 3);
+    assert_eq!(to_preempt(14, 5, 5), 5);
+    assert_eq!(to_preempt(14, 0, 0), 0);
+    assert_eq!([4, 1].map(|own| to_preempt(10, 5, own)), [2, 1]);
+    assert_eq!(to_preempt(20, 5, 1), 1);
 }
 
-/// Three workers see one server of a far zone through heartbeats that are 0.4 s old, and
-/// each starts what it sees room for at once. Together they stay within its slots and do
-/// not have to stop runs again.
+/// Three workers know the load of one server in another zone from heartbeats that are 0.4 s old,
+/// and each starts as many batch items at once as it sees free slots for. Together they must stay
+/// within the server's slots, so that no run has to be preempted.
 #[test]
-fn workers_that_hear_late_do_not_overfill_a_far_server() {
-    let seen = candidate("a", "far", 3);
+fn workers_with_outdated_loads_do_not_overfill_a_remote_server() {
+    let reported = candidate("a", "remote", 3);
     let mut started = 0;
     for zone in ["one", "two", "three"] {
-        let mut own = seen.clone();
+        let mut own = reported.clone();
         while placement::pick_batch(std::slice::from_ref(&own), zone, 0).is_some() {
             own.in_flight += 1;
             started += 1;
         }
     }
     assert!(started > 0);
-    assert!(seen.in_flight + started <= seen.slots, "{started} started");
+    assert!(
+        reported.in_flight + started <= reported.slots,
+        "{started} started"
+    );
 }
--- a/crates/foxwheel-policy/tests/quarantine.rs
+++ b/crates/foxwheel-policy/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Load pattern: servers crash under requests, and each crash accuses all that ran there.
+//! Load pattern: requests crash servers, and each crash makes all requests at the server suspected.
 
 use std::time::{Duration, Instant};
 
@@ -6,20 +6,20 @@
     ContentStatus, ObservedCrash, Quarantine, CRASHES_TO_QUARANTINE, CRASH_RETENTION,
 };
 
-const CULPRIT: &str = "culprit";
+const CRASHING: &str = "crashing";
 
-fn quarantined(quarantine: &Quarantine, content: &str, now: Instant) -> bool {
+fn is_quarantined(quarantine: &Quarantine, content: &str, now: Instant) -> bool {
     matches!(
         quarantine.status(content, now),
         ContentStatus::Quarantined(_)
     )
 }
 
-fn after(now: Instant, secs: u64) -> Instant {
+fn seconds_after(now: Instant, secs: u64) -> Instant {
     now + Duration::from_secs(secs)
 }
 
-/// A crash of `server` at `at`, 20 ms after the request was sent there.
+/// Returns a crash of `server` at `at`, 20 ms after the request was sent there.
 fn crash(server: u64, at: Instant) -> ObservedCrash {
     ObservedCrash {
         server,
@@ -29,91 +29,94 @@
     }
 }
 
-/// The crash of `server` as the `server`th of several one after the other from `now` on.
-fn in_turn(server: u64, now: Instant) -> ObservedCrash {
+/// Returns the crash of `server` as number `server` of several successive ones from `now` on.
+fn successive_crash(server: u64, now: Instant) -> ObservedCrash {
     crash(server, now + Duration::from_millis(100 * (server % 10)))
 }
 
-/// A process that saw as many crashes of the culprit as are enough.
-fn knowing(now: Instant) -> Quarantine {
+/// Returns the quarantine of a process that observed enough crashes to quarantine `CRASHING`.
+fn with_quarantined_content(now: Instant) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for server in 0..CRASHES_TO_QUARANTINE as u64 {
-        quarantine.record_crash(CULPRIT, in_turn(server, now), now);
+        quarantine.record_crash(CRASHING, successive_crash(server, now), now);
     }
     quarantine
 }
 
 #[test]
-fn crashes_seen_by_several_processes_add_up_in_any_order() {
+fn crashes_observed_by_several_processes_add_up_in_any_merge_order() {
     let now = Instant::now();
-    let seen: Vec<Quarantine> = (0..CRASHES_TO_QUARANTINE as u64)
+    let observers: Vec<Quarantine> = (0..CRASHES_TO_QUARANTINE as u64)
         .map(|server| {
-            let mut one = Quarantine::default();
-            assert!(!one.record_crash(CULPRIT, in_turn(server, now), now));
-            one
+            let mut observer = Quarantine::default();
+            assert!(!observer.record_crash(CRASHING, successive_crash(server, now), now));
+            observer
         })
         .collect();
-    let later = after(now, 1);
-    let mut forth = Quarantine::default();
-    let mut back = Quarantine::default();
-    for at in 0..seen.len() {
-        assert!(!quarantined(&forth, CULPRIT, later), "{at} crashes");
-        assert!(forth.merge(&seen[at].reports(later), later));
-        assert!(!forth.merge(&seen[at].reports(later), later), "told twice");
-        back.merge(&seen[seen.len() - 1 - at].reports(later), later);
+    let later = seconds_after(now, 1);
+    let mut in_order = Quarantine::default();
+    let mut reversed = Quarantine::default();
+    for at in 0..observers.len() {
+        assert!(!is_quarantined(&in_order, CRASHING, later), "{at} crashes");
+        assert!(in_order.merge(&observers[at].reports(later), later));
+        assert!(
+            !in_order.merge(&observers[at].reports(later), later),
+            "merged twice"
+        );
+        reversed.merge(&observers[observers.len() - 1 - at].reports(later), later);
     }
-    assert!(quarantined(&forth, CULPRIT, later));
-    assert_eq!(forth.digest(), back.digest());
-    assert_eq!(forth.status("another", later), ContentStatus::Clear);
+    assert!(is_quarantined(&in_order, CRASHING, later));
+    assert_eq!(in_order.digest(), reversed.digest());
+    assert_eq!(in_order.status("another", later), ContentStatus::Clear);
 }
 
 #[test]
-fn a_start_of_a_server_crashes_once_however_many_tell_of_it() {
+fn repeated_reports_of_one_crash_count_once() {
     let now = Instant::now();
     let mut quarantine = Quarantine::default();
     for _ in 0..10 {
-        quarantine.record_crash(CULPRIT, crash(7, now), now);
+        quarantine.record_crash(CRASHING, crash(7, now), now);
     }
-    assert_eq!(quarantine.status(CULPRIT, now), ContentStatus::Suspect);
+    assert_eq!(quarantine.status(CRASHING, now), ContentStatus::Suspect);
 }
 
 #[test]
-fn a_whole_answer_clears_a_content_wherever_it_was_accused() {
+fn a_complete_response_clears_a_content_in_all_processes() {
     let now = Instant::now();
-    let mut here = knowing(now);
-    let mut there = knowing(now);
-    assert!(here.record_success(CULPRIT, "model"));
+    let mut first = with_quarantined_content(now);
+    let mut second = with_quarantined_content(now);
+    assert!(first.record_success(CRASHING, "model"));
     assert!(
-        !here.record_success(CULPRIT, "model"),
-        "nothing is left to clear"
+        !first.record_success(CRASHING, "model"),
+        "no crash is left to clear"
     );
-    // What the other one still holds against it does not come back.
-    here.merge(&there.reports(now), now);
-    assert_eq!(here.status(CULPRIT, now), ContentStatus::Clear);
-    assert!(there.merge(&here.reports(now), now));
-    assert_eq!(there.status(CULPRIT, now), ContentStatus::Clear);
-    assert_eq!(here.digest(), there.digest());
+    // The crashes that the second process still counts do not return.
+    first.merge(&second.reports(now), now);
+    assert_eq!(first.status(CRASHING, now), ContentStatus::Clear);
+    assert!(second.merge(&first.reports(now), now));
+    assert_eq!(second.status(CRASHING, now), ContentStatus::Clear);
+    assert_eq!(first.digest(), second.digest());
     // New crashes count again.
     for server in 100..100 + CRASHES_TO_QUARANTINE as u64 {
-        here.record_crash(CULPRIT, in_turn(server, now), now);
+        first.record_crash(CRASHING, successive_crash(server, now), now);
     }
-    assert!(quarantined(&here, CULPRIT, now));
+    assert!(is_quarantined(&first, CRASHING, now));
 }
 
 #[test]
-fn after_its_time_a_content_has_one_trial_and_is_forgotten_in_the_end() {
+fn one_crash_quarantines_a_content_again_and_all_crashes_expire() {
     let now = Instant::now();
-    let mut quarantine = knowing(now);
-    let ContentStatus::Quarantined(left) = quarantine.status(CULPRIT, now) else {
+    let mut quarantine = with_quarantined_content(now);
+    let ContentStatus::Quarantined(left) = quarantine.status(CRASHING, now) else {
         panic!("not quarantined");
     };
     let trial = now + left;
-    assert_eq!(quarantine.status(CULPRIT, trial), ContentStatus::Suspect);
+    assert_eq!(quarantine.status(CRASHING, trial), ContentStatus::Suspect);
     assert!(
-        quarantine.record_crash(CULPRIT, crash(50, trial), trial),
-        "one crash is enough"
+        quarantine.record_crash(CRASHING, crash(50, trial), trial),
+        "a single crash quarantines the content again"
     );
-    assert!(quarantined(&quarantine, CULPRIT, trial));
+    assert!(is_quarantined(&quarantine, CRASHING, trial));
     let much_later = trial + CRASH_RETENTION;
     quarantine.merge(&[], much_later);
     assert!(quarantine.is_empty());
@@ -121,29 +124,35 @@
 }
 
 #[test]
-fn servers_lost_together_count_once_however_many_saw_it() {
+fn servers_lost_together_count_as_one_crash() {
     let now = Instant::now();
-    let mut told = Quarantine::default();
+    let mut merged = Quarantine::default();
     for round in 0..CRASHES_TO_QUARANTINE as u64 {
-        assert!(!quarantined(&told, CULPRIT, after(now, round)), "{round}");
-        // 20 processes, each with a request of its own at another server.
+        assert!(
+            !is_quarantined(&merged, CRASHING, seconds_after(now, round)),
+            "{round}"
+        );
+        // 20 processes, each with a request of its own at a different server.
         for process in 0..20 {
-            let mut one = Quarantine::default();
-            let seen = crash(100 * round + process, after(now, round));
-            one.record_crash(CULPRIT, seen, after(now, round));
-            told.merge(&one.reports(after(now, round)), after(now, round));
+            let mut observer = Quarantine::default();
+            let observed = crash(100 * round + process, seconds_after(now, round));
+            observer.record_crash(CRASHING, observed, seconds_after(now, round));
+            merged.merge(
+                &observer.reports(seconds_after(now, round)),
+                seconds_after(now, round),
+            );
         }
     }
-    let end = after(now, CRASHES_TO_QUARANTINE as u64);
+    let end = seconds_after(now, CRASHES_TO_QUARANTINE as u64);
     assert!(
-        quarantined(&told, CULPRIT, end),
-        "three losses, one after the other"
+        is_quarantined(&merged, CRASHING, end),
+        "three successive losses"
     );
 }
 
-/// At full servers the request waits for seconds before it runs, so that its repeats overlap.
+/// At full servers a request waits for seconds before it runs, so that its repetitions overlap.
 #[test]
-fn crashes_apart_count_though_the_requests_waited_beside_each_other() {
+fn separate_crashes_count_even_if_the_requests_overlapped() {
     let now = Instant::now();
     let mut quarantine = Quarantine::default();
     for server in 0..CRASHES_TO_QUARANTINE as u64 {
@@ -152,37 +161,37 @@
             sent_at: at - Duration::from_secs(2),
             ..crash(server, at)
         };
-        quarantine.record_crash(CULPRIT, waited, at);
+        quarantine.record_crash(CRASHING, waited, at);
     }
-    assert!(quarantined(&quarantine, CULPRIT, after(now, 1)));
+    assert!(is_quarantined(&quarantine, CRASHING, seconds_after(now, 1)));
 }
 
 #[test]
-fn what_another_service_answers_clears_nothing() {
+fn a_response_of_another_service_clears_nothing() {
     let now = Instant::now();
-    let mut quarantine = knowing(now);
-    assert!(!quarantine.record_success(CULPRIT, "another"));
-    assert!(quarantined(&quarantine, CULPRIT, now));
+    let mut quarantine = with_quarantined_content(now);
+    assert!(!quarantine.record_success(CRASHING, "another"));
+    assert!(is_quarantined(&quarantine, CRASHING, now));
 }
 
 #[test]
-fn a_crowd_of_crashes_neither_accuses_nor_pushes_out_nor_grows() {
+fn many_simultaneous_crashes_quarantine_nothing_evict_no_quarantined_content_and_stay_bounded() {
     let now = Instant::now();
-    let mut quarantine = knowing(now);
-    // 300 servers are lost at once with 16 requests each: each request saw one crash.
+    let mut quarantine = with_quarantined_content(now);
+    // 300 servers are lost at once with 16 requests each, so that each request has one crash.
     for server in 1_000..1_300 {
         for request in 0..16 {
-            let content = format!("innocent-{server}-{request}");
-            assert!(!quarantine.record_crash(&content, crash(server, now), after(now, 1)));
+            let content = format!("not-at-fault-{server}-{request}");
+            assert!(!quarantine.record_crash(&content, crash(server, now), seconds_after(now, 1)));
         }
     }
-    assert!(quarantined(&quarantine, CULPRIT, after(now, 1)));
-    let contents = quarantine.reports(after(now, 1)).len();
-    assert!(contents <= 1_024, "{contents} crashes remembered");
+    assert!(is_quarantined(&quarantine, CRASHING, seconds_after(now, 1)));
+    let contents = quarantine.reports(seconds_after(now, 1)).len();
+    assert!(contents <= 1_024, "{contents} crashes kept");
 }
 
 #[test]
-fn a_fleet_that_tells_each_other_at_random_agrees() {
+fn processes_that_merge_reports_in_random_order_agree() {
     arbtest::arbtest(|u| {
         let now = Instant::now();
         let mut processes: Vec<Quarantine> = (0..4).map(|_| Quarantine::default()).collect();
@@ -192,7 +201,7 @@
             match u.int_in_range(0..=3)? {
                 0 | 1 => {
                     let server = u.int_in_range(0..=7)?;
-                    processes[at].record_crash(&content, in_turn(server, now), now);
+                    processes[at].record_crash(&content, successive_crash(server, now), now);
                 }
                 2 => {
                     processes[at].record_success(&content, "model");
@@ -204,7 +213,7 @@
                 }
             }
         }
-        // Each hears of all, in two rounds.
+        // In two rounds, each process merges the reports of all.
         for _ in 0..2 {
             for at in 0..processes.len() {
                 let reports = processes[at].reports(now);
@@ -213,36 +222,40 @@
                 }
             }
         }
-        let states: Vec<_> = processes.iter().map(Quarantine::digest).collect();
-        assert!(states.iter().all(|state| *state == states[0]), "{states:?}");
+        let digests: Vec<_> = processes.iter().map(Quarantine::digest).collect();
+        assert!(
+            digests.iter().all(|digest| *digest == digests[0]),
+            "{digests:?}"
+        );
         Ok(())
     });
 }
 
-/// Servers that were cut off and started again broke an item three times in turn; it was held
-/// for as long as a culprit, and lay still though servers were free.
+/// Guards against batch items that wait although servers are free: an item was cut off three times
+/// in succession by servers that lost their network and restarted, and was quarantined for as long
+/// as a content that causes crashes.
 #[test]
-fn an_item_is_tried_again_after_a_pause_and_a_culprit_only_twice() {
+fn a_quarantined_item_is_tried_again_after_a_delay_but_only_twice() {
     let now = Instant::now();
-    let mut quarantine = knowing(now);
-    let mut at = after(now, 1);
+    let mut quarantine = with_quarantined_content(now);
+    let mut at = seconds_after(now, 1);
     for trial in 0..2 {
         assert!(
-            !quarantine.may_run_item(CULPRIT, at),
-            "trial {trial} comes too soon"
+            !quarantine.may_run_item(CRASHING, at),
+            "trial {trial} is too early"
         );
-        at = after(at, 5);
-        assert!(quarantine.may_run_item(CULPRIT, at), "trial {trial}");
+        at = seconds_after(at, 5);
+        assert!(quarantine.may_run_item(CRASHING, at), "trial {trial}");
         assert!(
-            quarantined(&quarantine, CULPRIT, at),
-            "no caller's request is tried"
+            is_quarantined(&quarantine, CRASHING, at),
+            "online requests are not tried"
         );
-        quarantine.record_crash(CULPRIT, crash(50 + trial, at), at);
+        quarantine.record_crash(CRASHING, crash(50 + trial, at), at);
     }
     assert!(
-        !quarantine.may_run_item(CULPRIT, after(at, 60)),
-        "it crashed five servers"
+        !quarantine.may_run_item(CRASHING, seconds_after(at, 60)),
+        "five servers crashed"
     );
-    quarantine.record_success(CULPRIT, "model");
-    assert!(quarantine.may_run_item(CULPRIT, at));
+    quarantine.record_success(CRASHING, "model");
+    assert!(quarantine.may_run_item(CRASHING, at));
 }
--- a/crates/foxwheel-policy/tests/representatives.rs
+++ b/crates/foxwheel-policy/tests/representatives.rs
@@ -1,5 +1,5 @@
-//! Who speaks for a zone and who follows the store for it, as processes start, die, freeze,
-//! are cut off and leave.
+//! Selection of the representatives and store watchers of a zone while processes start, die,
+//! freeze, are cut off and stop.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 };
 use foxwheel_policy::watcher_selection::{self, WatchState};
 
-fn member(host: &str) -> ZoneProcess {
+fn process(host: &str) -> ZoneProcess {
     ZoneProcess {
         host: host.to_owned(),
         is_worker: host.starts_with("worker"),
@@ -18,129 +18,126 @@
     }
 }
 
-fn zone() -> Vec<ZoneProcess> {
+fn processes_of_zone() -> Vec<ZoneProcess> {
     ["front-1", "front-2", "front-3", "worker-1"]
-        .map(member)
+        .map(process)
         .to_vec()
 }
 
 #[test]
-fn workers_speak_first_and_all_who_hear_the_same_name_the_same() {
-    let mut members = zone();
-    assert_eq!(representatives::select(&members), ["worker-1", "front-1"]);
-    members.reverse();
-    assert_eq!(representatives::select(&members), ["worker-1", "front-1"]);
+fn workers_are_preferred_and_the_selection_ignores_the_input_order() {
+    let mut processes = processes_of_zone();
+    assert_eq!(representatives::select(&processes), ["worker-1", "front-1"]);
+    processes.reverse();
+    assert_eq!(representatives::select(&processes), ["worker-1", "front-1"]);
 }
 
 #[test]
-fn a_silent_leaving_or_cut_off_process_is_replaced() {
-    let mut members = zone();
-    members[3].silent_for = SILENCE_TIMEOUT;
-    assert_eq!(representatives::select(&members), ["front-1", "front-2"]);
-    members[0].store_reached = false;
-    assert_eq!(representatives::select(&members), ["front-2", "front-3"]);
-    members[1].leaving = true;
-    assert_eq!(representatives::select(&members), ["front-3", "front-1"]);
+fn a_silent_stopping_or_cut_off_representative_is_replaced() {
+    let mut processes = processes_of_zone();
+    processes[3].silent_for = SILENCE_TIMEOUT;
+    assert_eq!(representatives::select(&processes), ["front-1", "front-2"]);
+    processes[0].store_reached = false;
+    assert_eq!(representatives::select(&processes), ["front-2", "front-3"]);
+    processes[1].leaving = true;
+    assert_eq!(representatives::select(&processes), ["front-3", "front-1"]);
 }
 
-/// While the store answers nobody the zone still has speakers, and one process alone names
-/// itself.
+/// While the store is out of reach for all processes, the zone still has representatives, and a
+/// single process selects itself.
 #[test]
-fn there_is_a_speaker_as_long_as_there_is_a_process() {
-    let mut members = zone();
-    for one in &mut members {
-        one.store_reached = false;
+fn a_zone_with_a_process_has_a_representative() {
+    let mut processes = processes_of_zone();
+    for process in &mut processes {
+        process.store_reached = false;
     }
-    assert_eq!(representatives::select(&members), ["worker-1", "front-1"]);
-    assert_eq!(representatives::select(&members[1..2]), ["front-2"]);
+    assert_eq!(representatives::select(&processes), ["worker-1", "front-1"]);
+    assert_eq!(representatives::select(&processes[1..2]), ["front-2"]);
 }
 
-/// However the processes of a zone hear each other, each finds somebody who follows: the two
-/// that it names, who hear of it, or itself.
+/// Whichever heartbeats the processes of a zone receive, each process selects somebody who watches
+/// the store: one or two others, which learn of their selection, or itself.
 #[test]
-fn nobody_is_left_without_a_follower() {
+fn every_process_selects_a_store_watcher() {
     arbtest::arbtest(|u| {
         let hosts = ["front-1", "front-2", "front-3", "worker-1"];
-        let mut named: Vec<Vec<String>> = Vec::new();
+        let mut selections: Vec<Vec<String>> = Vec::new();
         for own in hosts {
-            let mut members = Vec::new();
+            let mut processes = Vec::new();
             for host in hosts {
-                let mut one = member(host);
+                let mut seen = process(host);
                 if host != own {
                     let silent_ms = u.int_in_range(0..=1_000)?;
-                    one.silent_for = Duration::from_millis(silent_ms);
-                    one.store_reached = u.ratio(3, 4)?;
+                    seen.silent_for = Duration::from_millis(silent_ms);
+                    seen.store_reached = u.ratio(3, 4)?;
                 }
-                members.push(one);
+                processes.push(seen);
             }
-            let picked = representatives::select(&members);
-            assert!(!picked.is_empty() && picked.len() <= MAX_REPRESENTATIVES);
-            let all_silent = members
+            let selected = representatives::select(&processes);
+            assert!(!selected.is_empty() && selected.len() <= MAX_REPRESENTATIVES);
+            let all_silent = processes
                 .iter()
-                .all(|one| one.host == own || one.silent_for >= SILENCE_TIMEOUT);
+                .all(|process| process.host == own || process.silent_for >= SILENCE_TIMEOUT);
             if all_silent {
-                assert_eq!(picked, [own], "it is alone");
+                assert_eq!(selected, [own], "no other process is alive");
             }
-            named.push(picked);
+            selections.push(selected);
         }
         Ok(())
     });
 }
 
 #[test]
-fn who_is_named_or_told_nothing_follows() {
-    let told = WatchState {
+fn a_selected_or_unsynced_process_watches_the_store() {
+    let synced = WatchState {
         selects_itself: false,
         selected_by_peer_ago: None,
         synced_ago: Some(Duration::from_millis(100)),
     };
-    assert!(!watcher_selection::should_watch_store(told));
-    let follows = [
+    assert!(!watcher_selection::should_watch_store(synced));
+    let watching = [
         WatchState {
             selects_itself: true,
-            ..told
+            ..synced
         },
         WatchState {
             selected_by_peer_ago: Some(Duration::ZERO),
-            ..told
+            ..synced
         },
-        // The follower died, froze, or lost the store: it tells nothing any more.
+        // The watcher died, froze or lost the store, and no longer confirms its state.
         WatchState {
             synced_ago: Some(watcher_selection::MAX_SYNC_AGE),
-            ..told
+            ..synced
         },
-        // It just started and heard nobody.
+        // The process has just started and received no heartbeat.
         WatchState {
             synced_ago: None,
-            ..told
+            ..synced
         },
     ];
-    for standing in follows {
-        assert!(
-            watcher_selection::should_watch_store(standing),
-            "{standing:?}"
-        );
+    for state in watching {
+        assert!(watcher_selection::should_watch_store(state), "{state:?}");
     }
-    let no_longer = WatchState {
+    let no_longer_selected = WatchState {
         selected_by_peer_ago: Some(watcher_selection::STOP_WATCHING_DELAY),
-        ..told
+        ..synced
     };
-    assert!(!watcher_selection::should_watch_store(no_longer));
+    assert!(!watcher_selection::should_watch_store(no_longer_selected));
 }
 
-/// Processes that hear each other differently name different speakers: each of those acts.
+/// Processes that receive different heartbeats select different representatives, and each of those
+/// acts as one.
 #[test]
-fn whoever_is_named_acts() {
-    let named = |speakers: &[&str]| -> Vec<String> {
-        speakers.iter().map(|host| (*host).to_owned()).collect()
-    };
-    let all = [
-        named(&["worker-1", "front-1"]),
-        named(&["front-1", "front-2"]),
+fn every_selected_process_has_a_rank() {
+    let selection =
+        |hosts: &[&str]| -> Vec<String> { hosts.iter().map(|host| (*host).to_owned()).collect() };
+    let selections = [
+        selection(&["worker-1", "front-1"]),
+        selection(&["front-1", "front-2"]),
     ];
-    let rank = |host| representatives::highest_rank(host, all.iter().map(Vec::as_slice));
+    let rank = |host| representatives::highest_rank(host, selections.iter().map(Vec::as_slice));
     assert_eq!(rank("worker-1"), Rank::Primary);
-    assert_eq!(rank("front-1"), Rank::Primary, "by one of them");
+    assert_eq!(rank("front-1"), Rank::Primary, "primary of one of them");
     assert_eq!(rank("front-2"), Rank::Secondary);
     assert_eq!(rank("front-3"), Rank::None);
 }
--- a/crates/foxwheel-policy/tests/retry.rs
+++ b/crates/foxwheel-policy/tests/retry.rs
@@ -1,10 +1,10 @@
-//! What follows a failed attempt, by kind of request and by what is known to have run.
+//! Next steps after a failed attempt, by kind of request and by whether it may have run.
 
 mod common;
 
 use foxwheel_policy::retry::{AttemptOutcome, Attempts, NextStep};
 
-const ALL: [AttemptOutcome; 5] = [
+const ALL_OUTCOMES: [AttemptOutcome; 5] = [
     AttemptOutcome::Gone,
     AttemptOutcome::NotSent,
     AttemptOutcome::Rejected,
@@ -13,7 +13,7 @@
 ];
 
 #[test]
-fn a_request_that_may_not_repeat_is_never_sent_after_a_possible_run() {
+fn a_request_that_may_not_repeat_is_not_sent_again_after_a_possible_run() {
     for max_runs in [1, 2, 5] {
         let cases = [
             (AttemptOutcome::NotSent, NextStep::TryAnother),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_repeatable_request_runs_on_as_many_servers_as_its_route_allows() {
+fn a_repeatable_request_runs_at_most_as_often_as_its_route_allows() {
     let mut attempts = Attempts::new(true, 3);
     assert_eq!(
         attempts.record(AttemptOutcome::Unknown),
@@ -49,17 +49,17 @@
     );
 }
 
-/// In any order of outcomes: runs stay within the route's count, "not run" is said only
-/// when nothing can have run, and a request that may not repeat has at most one run.
+/// In any order of outcomes, the runs stay within the route's limit, "not run" is reported only if
+/// the request cannot have run, and a request that may not repeat runs at most once.
 #[test]
-fn promises_hold_in_any_order_of_outcomes() {
+fn run_limits_hold_in_any_order_of_outcomes() {
     common::seeded(500, 128, |u| {
         let repeatable: bool = u.arbitrary()?;
         let max_runs: u32 = u.int_in_range(0..=4)?;
         let mut attempts = Attempts::new(repeatable, max_runs);
         let mut runs = 0;
         loop {
-            let outcome = *u.choose(&ALL)?;
+            let outcome = *u.choose(&ALL_OUTCOMES)?;
             let ran = matches!(outcome, AttemptOutcome::Failed | AttemptOutcome::Unknown);
             runs += u32::from(ran);
             let next = attempts.record(outcome);
@@ -78,10 +78,10 @@
     });
 }
 
-/// Half of a fleet started again while its list cannot show it: each listed start is met
-/// once and is gone for certain. A request goes on to the servers that are left.
+/// Half of a fleet restarts while the server list cannot be updated, and each listed instance turns
+/// out to be dead at the first attempt. A request is still sent to the remaining servers.
 #[test]
-fn servers_that_are_gone_do_not_use_up_a_request() {
+fn dead_instances_do_not_use_up_the_attempts_of_a_request() {
     for repeatable in [true, false] {
         let mut attempts = Attempts::new(repeatable, 1);
         for _ in 0..40 {
@@ -92,9 +92,9 @@
     }
 }
 
-/// It ends all the same, and truly as not run.
+/// If every server instance is dead, the attempts still end, and the request counts as not run.
 #[test]
-fn attempts_end_also_where_every_server_is_gone() {
+fn attempts_end_when_every_instance_is_dead() {
     let mut attempts = Attempts::new(true, 2);
     let steps = (0..1_000).map(|_| attempts.record(AttemptOutcome::Gone));
     assert!(steps.take(100).any(|step| step == NextStep::RefuseNotRun));
--- a/crates/foxwheel-policy/tests/routing.rs
+++ b/crates/foxwheel-policy/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Choice of route and service, and the configuration in force.
+//! Selection of the route and the service, and the configuration in force.
 
 mod common;
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn the_route_with_the_longest_matching_prefix_is_selected() {
     let config = config(
         1,
         vec![
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_split_route_follows_its_weights_and_the_draw_alone() {
+fn a_split_route_selects_services_by_weight_and_draw_only() {
     let mut split = route("split", "a.example", "/x/");
     split.targets = [("old", 90), ("new", 10), ("never", 0)]
         .map(|(service, weight)| WeightedService {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn what_may_run_again_follows_from_the_kind() {
+fn the_route_kind_decides_whether_requests_may_run_again() {
     let mut route = route("r", "a.example", "/x/");
     let cases = [
         (RouteKind::Idempotent, false, true),
@@ -101,39 +101,41 @@
     }
 }
 
-/// Configurations arrive from the store and from peers in any order.
+/// Configurations arrive from the store and from peers in any order; an older version must not
+/// replace a newer one.
 #[test]
-fn the_version_in_force_never_falls() {
+fn the_version_in_force_never_decreases() {
     common::seeded(200, 512, |u| {
         let mut in_force = ConfigInForce::default();
         for _ in 0..20 {
             let version: u64 = u.int_in_range(1..=30)?;
             let before = in_force.version();
-            let taken = in_force.replace_if_newer(config(version, Vec::new()));
-            assert_eq!(taken, before.is_none_or(|before| version > before));
+            let replaced = in_force.replace_if_newer(config(version, Vec::new()));
+            assert_eq!(replaced, before.is_none_or(|before| version > before));
             assert!(in_force.version() >= before);
         }
         Ok(())
     });
 }
 
-/// A request on its way: what it was given when it came, and what became of its attempts.
-struct Waiting {
+/// A request in progress: the version and service assigned when it arrived, and its attempts.
+struct PendingRequest {
     version: u64,
     service: String,
     attempts: Attempts,
-    /// Attempts that ran.
+    /// Number of attempts that ran.
     runs: u32,
 }
 
-/// The service of the route in a version of the configuration; none where it is dropped.
+/// Returns the service of the route in a version of the configuration, or `None` if that version
+/// has no route.
 fn service_in(version: u64) -> Option<String> {
     (version % 5 != 0).then(|| format!("service-{}", version % 3))
 }
 
 fn config_of(version: u64, kind: RouteKind) -> Config {
     let routes = service_in(version).map(|service| {
-        let mut route = route("moving", "a.example", "/x/");
+        let mut route = route("changing", "a.example", "/x/");
         route.kind = kind;
         route.max_attempts = 3;
         route.targets[0].service = service;
@@ -142,12 +144,12 @@
     config(version, routes.into_iter().collect())
 }
 
-/// Configurations come from the store and from peers in any order while requests come, wait,
-/// run, fail and are tried again: each request goes where the newest version known when it
-/// came sends it, none comes in under an older one than one before it, and one that may not
-/// repeat runs once at most, and never after it was refused as not run.
+/// Configurations arrive from the store and from peers in any order while requests arrive, wait,
+/// run, fail and are retried. Each request must go to the service of the newest version known on
+/// its arrival, no request may use an older version than an earlier one, and a request that may
+/// not repeat runs at most once and never after it was refused as not run.
 #[test]
-fn a_route_that_moves_under_waiting_requests_keeps_their_promises() {
+fn pending_requests_keep_their_service_and_run_limit_when_the_route_changes() {
     const OUTCOMES: [AttemptOutcome; 4] = [
         AttemptOutcome::NotSent,
         AttemptOutcome::Rejected,
@@ -157,7 +159,7 @@
     for kind in [RouteKind::Idempotent, RouteKind::NonIdempotent] {
         common::seeded(8, 40_000, |u| {
             let mut in_force = ConfigInForce::default();
-            let mut waiting: Vec<Waiting> = Vec::new();
+            let mut pending: Vec<PendingRequest> = Vec::new();
             let (mut newest, mut last_version) = (0, 0);
             for _ in 0..10_000 {
                 match u.int_in_range(0..=9)? {
@@ -170,36 +172,39 @@
                         let Some(config) = in_force.get() else {
                             continue;
                         };
-                        assert!(config.version >= last_version, "an older version again");
+                        assert!(
+                            config.version >= last_version,
+                            "the version in force decreased"
+                        );
                         last_version = config.version;
                         let Some(route) = config.match_route("a.example", "/x/1") else {
                             assert_eq!(service_in(config.version), None);
                             continue;
                         };
-                        waiting.push(Waiting {
+                        pending.push(PendingRequest {
                             version: config.version,
                             service: route.pick_service(u.arbitrary()?).clone(),
                             attempts: Attempts::new(route.is_repeatable(), route.max_attempts),
                             runs: 0,
                         });
                     }
-                    _ if waiting.is_empty() => {}
+                    _ if pending.is_empty() => {}
                     _ => {
-                        let at = u.choose_index(waiting.len())?;
+                        let at = u.choose_index(pending.len())?;
                         let outcome = OUTCOMES[u.choose_index(OUTCOMES.len())?];
-                        let request = &mut waiting[at];
+                        let request = &mut pending[at];
                         assert_eq!(Some(&request.service), service_in(request.version).as_ref());
                         let ran =
                             matches!(outcome, AttemptOutcome::Failed | AttemptOutcome::Unknown);
                         request.runs += u32::from(ran);
                         let next = request.attempts.record(outcome);
-                        let most = if kind == RouteKind::Idempotent { 3 } else { 1 };
-                        assert!(request.runs <= most, "ran {} times", request.runs);
+                        let max_runs = if kind == RouteKind::Idempotent { 3 } else { 1 };
+                        assert!(request.runs <= max_runs, "ran {} times", request.runs);
                         if next == NextStep::RefuseNotRun {
                             assert_eq!(request.runs, 0, "refused as not run");
                         }
                         if next != NextStep::TryAnother {
-                            waiting.swap_remove(at);
+                            pending.swap_remove(at);
                         }
                     }
                 }
--- a/crates/foxwheel-policy/tests/server_index.rs
+++ b/crates/foxwheel-policy/tests/server_index.rs
@@ -1,4 +1,4 @@
-//! Choices among samples of many servers.
+//! Selection from samples of many servers.
 
 use foxwheel_policy::membership::{BackendServer, ServerDirectory, ServerState};
 use foxwheel_policy::placement::{self, Candidate};
@@ -8,7 +8,7 @@
 
 const SLOTS: u32 = 7;
 
-fn index(count: usize) -> ServerIndex {
+fn index_of_servers(count: usize) -> ServerIndex {
     let mut directory = ServerDirectory::default();
     for at in 0..count {
         directory.upsert(BackendServer {
@@ -16,7 +16,7 @@
             incarnation: 1,
             service: "model".to_owned(),
             addr: ([10, 0, 0, 1], 80).into(),
-            zone: "hall".to_owned(),
+            zone: "zone-a".to_owned(),
             slots: SLOTS,
             state: match at % 10 {
                 9 => ServerState::Draining,
@@ -28,56 +28,59 @@
 }
 
 #[test]
-fn a_sample_is_bounded_whole_if_small_and_leaves_no_server_out() {
+fn samples_are_bounded_complete_for_small_groups_and_cover_every_server() {
     for count in [0, 1, 9, 40, 700] {
-        let index = index(count);
+        let index = index_of_servers(count);
         let Some(group) = index.groups_of_service("model").next() else {
             assert_eq!(count, 0);
             continue;
         };
         let ready = count - count / 10;
         assert_eq!((group.len(), group.slots), (ready, ready as u32 * SLOTS));
-        let mut seen = Vec::new();
+        let mut sampled = Vec::new();
         for draw in 0..group.len() {
             let sample: Vec<_> = group.sample(MAX_LOCAL_SAMPLE, draw).collect();
             assert_eq!(sample.len(), ready.min(MAX_LOCAL_SAMPLE));
-            seen.extend(sample.into_iter().cloned());
+            sampled.extend(sample.into_iter().cloned());
         }
-        seen.sort_unstable();
-        seen.dedup();
-        assert_eq!(seen.len(), ready);
-        for server in &seen {
+        sampled.sort_unstable();
+        sampled.dedup();
+        assert_eq!(sampled.len(), ready);
+        for server in &sampled {
             let found = group.find_by_fingerprint(zone_loads::fingerprint(server));
             assert_eq!(found, Some(server));
         }
     }
 }
 
-/// A zone of 600 servers in a step that takes nine in ten of its slots: each request goes to
-/// the least loaded of a sample, and none waits behind a full server.
+/// A traffic step takes nine in ten slots of a zone of 600 servers. Each request goes to the least
+/// loaded server of a sample, and none may be queued at a full server.
 #[test]
-fn a_step_on_many_servers_finds_free_slots_by_samples() {
+fn requests_find_free_slots_in_samples_of_many_servers() {
     for seed in 0..5 {
         let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
-        let index = index(667);
+        let index = index_of_servers(667);
         let group = index.groups_of_service("model").next().expect("a group");
         let mut in_flight: Vec<u32> = vec![0; 667];
-        let number = |id: &str| -> usize { id["server-".len()..].parse().expect("a number") };
+        let position = |id: &str| -> usize { id["server-".len()..].parse().expect("a number") };
         for _ in 0..group.slots * 9 / 10 {
             let sample = group.sample(MAX_LOCAL_SAMPLE, rng.random_range(0..10_000));
             let candidates: Vec<Candidate> = sample
-                .map(|key| Candidate {
-                    id: key.id.clone(),
-                    zone: "hall".to_owned(),
+                .map(|instance| Candidate {
+                    id: instance.id.clone(),
+                    zone: "zone-a".to_owned(),
                     slots: SLOTS,
-                    in_flight: in_flight[number(&key.id)],
+                    in_flight: in_flight[position(&instance.id)],
                     ..Candidate::default()
                 })
                 .collect();
-            let pick = placement::pick_online(&candidates, "hall", rng.random_range(0..100));
-            in_flight[number(&pick.expect("a server").id)] += 1;
+            let pick = placement::pick_online(&candidates, "zone-a", rng.random_range(0..100));
+            in_flight[position(&pick.expect("a server").id)] += 1;
         }
-        let most = in_flight.iter().max();
-        assert!(most <= Some(&SLOTS), "seed {seed}: {most:?} at one server");
+        let max_load = in_flight.iter().max();
+        assert!(
+            max_load <= Some(&SLOTS),
+            "seed {seed}: {max_load:?} at one server"
+        );
     }
 }
