--- a/crates/foxwheel-policy/src/batch/checkpoint.rs
+++ b/crates/foxwheel-policy/src/batch/checkpoint.rs
@@ -1,9 +1,9 @@
-//! Saved progress of the items that a worker runs, so that whoever takes its jobs over goes on
-//! where it stopped.
+//! Checkpoints: saved progress of the items that a worker runs, from which another worker
+//! resumes them after it takes over the jobs.
 //!
-//! Load pattern: a worker, or every process at once, is killed or loses power while its jobs
-//! fill the slots. Without saved progress all their items run again from the start, beside
-//! the callers that return, and end after their due time.
+//! Load pattern: a worker, or every process at once, is killed or loses power while the items
+//! of its jobs fill the slots. Without checkpoints all these items run again from the start, at
+//! the same time as the requests of returning callers, and finish after their due time.
 
 use std::time::{Duration, Instant};
 
@@ -13,38 +13,41 @@
 use crate::batch::item::{ItemOutcome, ItemState, PartialOutput};
 use crate::batch::job::{ItemProgress, JobProgress};
 
-/// Least time between two checkpoints of a worker. A crash costs half of it for each item
-/// that runs; each checkpoint costs a call to the platform's store.
-const EVERY: Duration = Duration::from_millis(2_000);
+/// Shortest time between two checkpoints of a worker. A crash loses half of it on average for
+/// each running item; each checkpoint costs a call to the platform's store.
+const MIN_CHECKPOINT_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// Most bytes a second that a worker's checkpoints take on its way to the store, so that
-/// larger ones come more rarely: a hundredth of the slowest link met so far (600 Mbit/s).
-const BYTES_PER_S: f64 = 750_000.0;
+/// Limit on the average rate at which a worker sends checkpoints to the store, so that larger
+/// checkpoints are saved less often. It is a hundredth of the slowest link that the system runs
+/// on (600 Mbit/s).
+const MAX_CHECKPOINT_BYTES_PER_S: f64 = 750_000.0;
 
-/// How far an item got.
+/// Saved progress of an item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemCheckpoint {
-    /// The item.
+    /// Id of the item.
     pub id: ItemId,
-    /// Runs that a server answered as failed.
+    /// Number of runs that a server reported as failed.
     pub failures: u32,
-    /// Output received so far; the whole output if the item is completed.
+    /// Output received so far; the text is the complete output if the item is completed.
     pub output: PartialOutput,
-    /// How it ended, if it did.
+    /// How the item ended; `None` if it is unfinished.
     pub ending: Option<ItemOutcome>,
 }
 
-/// How far the items of a job got whose results are not stored; the others are left out.
+/// Saved progress of the items of a job. Items whose results are stored and items without any
+/// progress are left out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobCheckpoint {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// Its items, in the client's order.
+    /// The items with progress, in the client's order.
     pub items: Vec<ItemCheckpoint>,
 }
 
 impl JobCheckpoint {
-    /// What `progress` knows beyond the stored results; none if that is nothing.
+    /// Creates a checkpoint of what `progress` contains beyond the stored results. Returns
+    /// `None` if there is nothing to save.
     pub fn from_progress(progress: &JobProgress) -> Option<Self> {
         let specs = progress.spec.items.iter();
         let items = specs.zip(&progress.items);
@@ -57,15 +60,15 @@
         })
     }
 
-    /// Takes over what is saved here and further than what `progress` has. Results that are
-    /// stored already stay as they are.
+    /// Applies the saved progress to `progress` where it is ahead of it. Only waiting items
+    /// change; results that are finished or stored already stay as they are.
     pub fn restore(&self, progress: &mut JobProgress, now: Instant) {
         for saved in &self.items {
             let mut specs = progress.spec.items.iter();
-            let Some(at) = specs.position(|spec| spec.id == saved.id) else {
+            let Some(index) = specs.position(|spec| spec.id == saved.id) else {
                 continue;
             };
-            let item = &mut progress.items[at];
+            let item = &mut progress.items[index];
             if !matches!(item.state, ItemState::Waiting { .. }) {
                 continue;
             }
@@ -75,7 +78,7 @@
             }
             if let Some(outcome) = saved.ending {
                 item.partial_output = saved.output.clone();
-                progress.finish_item(at, outcome, now);
+                progress.finish_item(index, outcome, now);
             }
         }
     }
@@ -93,8 +96,8 @@
         ),
         ItemState::Waiting { .. } | ItemState::Running => (item.partial_output.clone(), None),
     };
-    let is_news = outcome.is_some() || item.failures > 0 || output.last_event_id.is_some();
-    is_news.then(|| ItemCheckpoint {
+    let has_progress = outcome.is_some() || item.failures > 0 || output.last_event_id.is_some();
+    has_progress.then(|| ItemCheckpoint {
         id: id.clone(),
         failures: item.failures,
         output,
@@ -102,22 +105,24 @@
     })
 }
 
-/// When a worker saves the progress of its jobs.
+/// Decides when a worker saves the next checkpoint of its jobs.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CheckpointTimer {
-    /// Earliest time of the next checkpoint; none before the first.
-    next_at: Option<Instant>,
+    /// Earliest time of the next checkpoint; `None` before the first one.
+    next_checkpoint_at: Option<Instant>,
 }
 
 impl CheckpointTimer {
-    /// Whether a checkpoint is due.
+    /// Returns whether a checkpoint may be saved now.
     pub fn is_due(&self, now: Instant) -> bool {
-        self.next_at.is_none_or(|at| at <= now)
+        self.next_checkpoint_at.is_none_or(|at| at <= now)
     }
 
-    /// Takes note of a checkpoint of `bytes`.
+    /// Records that a checkpoint of `bytes` was saved, which sets the earliest time of the next
+    /// one.
     pub fn record_checkpoint(&mut self, bytes: usize, now: Instant) {
-        let transfer = Duration::from_secs_f64(bytes as f64 / BYTES_PER_S);
-        self.next_at = Some(now + EVERY.max(transfer));
+        let min_transfer_interval =
+            Duration::from_secs_f64(bytes as f64 / MAX_CHECKPOINT_BYTES_PER_S);
+        self.next_checkpoint_at = Some(now + MIN_CHECKPOINT_INTERVAL.max(min_transfer_interval));
     }
 }
--- a/crates/foxwheel-policy/src/batch/item.rs
+++ b/crates/foxwheel-policy/src/batch/item.rs
@@ -1,4 +1,4 @@
-//! One batch item and its partial output.
+//! One item of a batch job: its request, its state, and the output received so far.
 
 use std::time::Instant;
 
@@ -8,56 +8,57 @@
 /// An item as its client submitted it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemSpec {
-    /// The client's id of the item; unique within its job.
+    /// Id that the client chose; unique within its job.
     pub id: ItemId,
     /// Path of the request.
     pub path: String,
     /// Header names and values of the request.
     pub headers: Vec<(String, String)>,
-    /// The request's body.
+    /// Body of the request.
     #[serde(with = "serde_with::As::<serde_with::base64::Base64>")]
     pub body: Vec<u8>,
-    /// Tokens of the prompt and the longest output together.
+    /// Sum of the tokens of the prompt and of the longest possible output.
     pub tokens: u64,
 }
 
-/// How an item ended.
+/// How a finished item ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ItemOutcome {
-    /// Its whole output stands in the result.
+    /// The result contains the complete output.
     Completed,
-    /// It was given up.
+    /// The item was given up and has no output.
     GivenUp,
 }
 
-/// A finished item as its job lists it.
+/// The result of a finished item, as it is stored and returned to readers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemResult {
-    /// The item's id.
+    /// Id of the item.
     pub id: ItemId,
-    /// How it ended.
+    /// How the item ended.
     pub ending: ItemOutcome,
-    /// Data of all events in order, joined by line feeds; empty when given up.
+    /// Data of all events in order, joined by line feeds; empty if the item was given up.
     pub output: String,
 }
 
-/// The events of an item's run received so far; kept over a break so that the run can go
-/// on behind the last one.
+/// The events received so far from the runs of an item. They are kept when a run ends early,
+/// so that the next run can resume after the last event.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartialOutput {
-    /// Id of the last whole event, or none before the first.
+    /// Id of the last complete event; `None` before the first one.
     pub last_event_id: Option<u64>,
-    /// Data of the events up to it, joined by line feeds.
+    /// Data of the events up to `last_event_id`, joined by line feeds.
     pub text: String,
 }
 
 impl PartialOutput {
-    /// How many events it has; their ids count from 1.
+    /// Returns the number of events received. Event ids count from 1, so this is the last id.
     pub fn event_count(&self) -> u64 {
         self.last_event_id.unwrap_or(0)
     }
 
-    /// Appends an event; answers false (and takes nothing) if it does not follow the last.
+    /// Appends an event. Returns false and changes nothing if the event's id does not follow
+    /// the last one; the first event may have any id.
     pub fn push_event(&mut self, event_id: u64, data: &str) -> bool {
         if self.last_event_id.is_some_and(|last| event_id != last + 1) {
             return false;
@@ -71,37 +72,38 @@
     }
 }
 
-/// Why a run of an item stopped.
+/// Why a run of an item ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The stream ended whole.
+    /// The response stream was complete.
     Whole,
-    /// The server says that the item can never be done.
+    /// The server reported that the item can never succeed.
     Impossible,
-    /// The server ran the item and failed.
+    /// The server ran the item and reported a failure.
     Failed,
-    /// The server did not run it, or nothing was sent.
+    /// The server did not run the item, or no request was sent.
     NotRun,
-    /// The stream broke; what came before stays.
+    /// The response stream was cut off; the events received before are kept.
     Broken,
-    /// This process stopped the run to free the slot.
+    /// This worker stopped the run to free the slot.
     Preempted,
-    /// It was not begun: servers crashed under its content.
+    /// The run was not started because its request content is quarantined: servers crashed
+    /// while they ran the same content.
     Quarantined,
 }
 
-/// The state of an item on the worker that runs its job.
+/// State of an item on the worker that owns its job.
 #[derive(Debug, Clone)]
 pub enum ItemState {
-    /// Waits until `not_before` for its next run.
+    /// Waits for its next run.
     Waiting {
-        /// Earliest start of the next run.
+        /// Earliest start of the next run; `None` allows it at once.
         not_before: Option<Instant>,
     },
     /// Runs at a backend server.
     Running,
-    /// Finished, and its result is not stored yet.
+    /// Finished, but the result is not stored yet.
     Finished(ItemResult),
-    /// Its result is stored.
+    /// Finished, and the result is stored.
     Stored,
 }
--- a/crates/foxwheel-policy/src/batch/job.rs
+++ b/crates/foxwheel-policy/src/batch/job.rs
@@ -1,9 +1,9 @@
-//! A job on the worker that runs it: which item runs next, what a run's end means and
-//! which results are stored next.
+//! Progress of a job on the worker that owns it: which item runs next, what the end of a run
+//! means for its item, and which results are stored next.
 //!
-//! Results are stored as numbered parts that can each be created once. A worker creates
-//! part n only after it knows parts 0 to n-1, so an item stands in one part only,
-//! whichever workers took turns at the job.
+//! Results are stored as numbered parts, each of which can be created only once. A worker
+//! creates part n only after it has applied parts 0 to n-1, so each item is stored in exactly
+//! one part even if several workers run the job one after another or at the same time.
 
 use std::time::{Duration, Instant};
 
@@ -14,96 +14,100 @@
 use crate::placement;
 use crate::routes::Route;
 
-/// Wait before an item runs again after a run that did not count as a failure.
-const RERUN_PAUSE: Duration = Duration::from_millis(150);
+/// Delay before an item runs again after a run that does not count as a failure.
+const RERUN_DELAY: Duration = Duration::from_millis(150);
 
-/// Wait before an item runs again after its server failed it; the fault may be short.
-const FAILURE_PAUSE: Duration = Duration::from_millis(400);
+/// Delay before an item runs again after a server reported a failure. The cause may be
+/// short-lived.
+const FAILED_RERUN_DELAY: Duration = Duration::from_millis(400);
 
-/// Wait before an item whose content is quarantined is looked at again: the same content may
-/// have been served elsewhere.
-const QUARANTINE_PAUSE: Duration = Duration::from_secs(2);
+/// Delay before an item is checked again whose request content is quarantined. Meanwhile
+/// another server may have served the same content, which clears it.
+const QUARANTINE_RECHECK_DELAY: Duration = Duration::from_secs(2);
 
-/// How long finished results of a job with more to run wait for others, so that one write
-/// stores several: a crash in this time costs their runs again.
-const STORE_AFTER: Duration = Duration::from_millis(2_500);
+/// How long finished results wait for further results of an unfinished job, so that one write
+/// stores several. If the worker crashes within this time, their items run again.
+const STORE_DELAY: Duration = Duration::from_millis(2_500);
 
-/// How long before a job is due its finished results wait no longer for others: a slow store
-/// takes a quarter of a second, and a reader looks about twice a second.
-const STORE_BEFORE_DUE: Duration = Duration::from_millis(600);
+/// How long before a job is due its finished results are stored without waiting for others.
+/// A slow store takes 250 ms for a write, and a reader polls about twice a second.
+const STORE_BEFORE_DUE_MARGIN: Duration = Duration::from_millis(600);
 
-/// The same when an item was given up: until that is stored, a worker that takes over
-/// would let the item fail as often again.
-const STORE_GIVE_UP_AFTER: Duration = Duration::from_millis(200);
+/// Replaces [`STORE_DELAY`] when an item was given up. Until that is stored, a worker that
+/// takes over the job would run the item and let it fail as many times again.
+const STORE_GIVEN_UP_DELAY: Duration = Duration::from_millis(200);
 
-/// How long a route must be missing before its jobs are given up.
-const ROUTE_MISSING_FOR: Duration = Duration::from_secs(5);
+/// Age that a job without a route must have, and time for which the configuration must have
+/// been known, before the job is given up.
+const MISSING_ROUTE_GRACE: Duration = Duration::from_secs(5);
 
-/// Whether what is left of a job may be given up: its route's retention time is over, or
-/// its route is gone. `known_for` is how long the configuration has been known here.
-pub fn should_give_up(route: Option<&Route>, age: Duration, known_for: Duration) -> bool {
+/// Returns whether the unfinished items of a job should be given up: the job is older than its
+/// route's retention time (zero is no limit), or it has no route any more. `age` counts from
+/// the submission; `config_known_for` is how long this process has had a configuration.
+pub fn should_give_up(route: Option<&Route>, age: Duration, config_known_for: Duration) -> bool {
     match route {
         Some(route) => !route.retention.is_zero() && age > route.retention,
-        None => age > ROUTE_MISSING_FOR && known_for > ROUTE_MISSING_FOR,
+        None => age > MISSING_ROUTE_GRACE && config_known_for > MISSING_ROUTE_GRACE,
     }
 }
 
-/// A job as it was accepted.
+/// A job as its client submitted it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The client's id of the job.
+    /// Id that the client chose.
     pub id: JobId,
-    /// Host header of the submission; selects the route of its items.
+    /// Host header of the submission; selects the route of the items.
     pub host: String,
-    /// Path of the submission; selects the route of its items.
+    /// Path of the submission; selects the route of the items.
     pub path: String,
-    /// Name of the route at the submission.
+    /// Name of the route that matched when the job was submitted.
     pub route: String,
-    /// When it was submitted, since the Unix epoch.
+    /// Time of the submission, since the Unix epoch.
     #[serde(rename = "submitted_unix_ms")]
     #[serde(with = "serde_with::As::<serde_with::DurationMilliSeconds<u64>>")]
     pub submitted_unix: Duration,
-    /// The items in the client's order.
+    /// The items in the order in which the client sent them.
     pub items: Vec<ItemSpec>,
 }
 
 impl JobSpec {
-    /// Tokens of all items.
+    /// Returns the sum of the tokens of all items.
     pub fn total_tokens(&self) -> u64 {
         self.items.iter().map(|item| item.tokens).sum()
     }
 }
 
-/// One item's progress.
+/// Progress of one item.
 #[derive(Debug, Clone)]
 pub struct ItemProgress {
-    /// Where it stands.
+    /// State of the item.
     pub state: ItemState,
-    /// Runs that a server answered as failed.
+    /// Number of runs that a server reported as failed.
     pub failures: u32,
-    /// Output received so far.
+    /// Output received so far; empty once the result is finished.
     pub partial_output: PartialOutput,
 }
 
-/// A job's progress.
+/// Progress of a job.
 #[derive(Debug, Clone)]
 pub struct JobProgress {
-    /// The job.
+    /// The job as it was submitted.
     pub spec: JobSpec,
-    /// One entry for each of the job's items, in the same order.
+    /// One entry for each item of `spec`, in the same order.
     pub items: Vec<ItemProgress>,
-    /// Stored results in the order of their positions.
+    /// Stored results, in the order of the stored parts.
     pub stored_results: Vec<ItemResult>,
-    /// Parts stored so far; the next part has this number.
+    /// Number of stored parts, which is also the number of the next part.
     pub stored_parts: u32,
-    /// When the oldest finished, unstored result was finished.
+    /// When the first of the finished results that are not stored yet was finished; `None`
+    /// if there are none.
     pub unstored_since: Option<Instant>,
-    /// No item may run any more.
+    /// Whether the job was ended, so that no item starts any more.
     pub ended: bool,
 }
 
 impl JobProgress {
-    /// A job none of whose results are stored.
+    /// Creates the progress of a job of which no results are stored.
     pub fn new(spec: JobSpec) -> Self {
         let waiting = ItemProgress {
             state: ItemState::Waiting { not_before: None },
@@ -120,17 +124,18 @@
         }
     }
 
-    /// Takes the results of part `number` as stored, whoever stored it. Parts must come in
-    /// order; answers false for one that is known already or comes too early.
+    /// Records that part `number` is stored with `results`, whichever worker stored it. Parts
+    /// must be applied in order: returns false and changes nothing if the part was applied
+    /// already or an earlier one is missing.
     pub fn apply_part(&mut self, number: u32, results: Vec<ItemResult>) -> bool {
         if number != self.stored_parts {
             return false;
         }
         self.stored_parts += 1;
         for result in results {
-            if let Some(at) = self.position(&result.id) {
-                self.items[at].state = ItemState::Stored;
-                self.items[at].partial_output = PartialOutput::default();
+            if let Some(index) = self.item_position(&result.id) {
+                self.items[index].state = ItemState::Stored;
+                self.items[index].partial_output = PartialOutput::default();
             }
             self.stored_results.push(result);
         }
@@ -140,78 +145,80 @@
         true
     }
 
-    /// Items that could run now, in the client's order.
+    /// Returns the positions of the items that may run now, in the client's order.
     pub fn waiting_items(&self, now: Instant) -> impl Iterator<Item = usize> + '_ {
         let items = self.items.iter().enumerate().filter(move |(_, item)| {
-            let waits_no_longer = match item.state {
+            let may_run = match item.state {
                 ItemState::Waiting { not_before } => not_before.is_none_or(|at| at <= now),
                 _ => false,
             };
-            waits_no_longer && !self.ended
+            may_run && !self.ended
         });
-        items.map(|(at, _)| at)
+        items.map(|(index, _)| index)
     }
 
-    /// The first item that could run now.
+    /// Returns the position of the first item that may run now.
     pub fn next_item(&self, now: Instant) -> Option<usize> {
         self.waiting_items(now).next()
     }
 
-    /// Marks an item as running.
-    pub fn start_item(&mut self, at: usize) {
-        self.items[at].state = ItemState::Running;
+    /// Marks the item at `index` as running.
+    pub fn start_item(&mut self, index: usize) {
+        self.items[index].state = ItemState::Running;
     }
 
-    /// Takes note of how far a running item's output came.
-    pub fn record_output(&mut self, at: usize, output: &PartialOutput) {
-        if matches!(self.items[at].state, ItemState::Running) {
-            self.items[at].partial_output.clone_from(output);
+    /// Records the output received so far for the item at `index`, if it is running.
+    pub fn record_output(&mut self, index: usize, output: &PartialOutput) {
+        if matches!(self.items[index].state, ItemState::Running) {
+            self.items[index].partial_output.clone_from(output);
         }
     }
 
-    /// Takes the end of an item's run. Ignores items that were finished meanwhile.
+    /// Records the end of a run of the item at `index`: the item is finished or waits for its next
+    /// run. It is given up after `max_failures` failed runs, at least one. Does nothing if the
+    /// item is not running, because it was finished meanwhile.
     pub fn record_run_end(
         &mut self,
-        at: usize,
+        index: usize,
         end: RunEnd,
         partial_output: PartialOutput,
         max_failures: u32,
         now: Instant,
     ) {
-        if !matches!(self.items[at].state, ItemState::Running) {
+        if !matches!(self.items[index].state, ItemState::Running) {
             return;
         }
-        self.items[at].partial_output = partial_output;
+        self.items[index].partial_output = partial_output;
         match end {
-            RunEnd::Whole => self.finish_item(at, ItemOutcome::Completed, now),
-            RunEnd::Impossible => self.finish_item(at, ItemOutcome::GivenUp, now),
+            RunEnd::Whole => self.finish_item(index, ItemOutcome::Completed, now),
+            RunEnd::Impossible => self.finish_item(index, ItemOutcome::GivenUp, now),
             RunEnd::Failed => {
-                self.items[at].failures += 1;
-                if self.items[at].failures >= max_failures.max(1) {
-                    self.finish_item(at, ItemOutcome::GivenUp, now);
+                self.items[index].failures += 1;
+                if self.items[index].failures >= max_failures.max(1) {
+                    self.finish_item(index, ItemOutcome::GivenUp, now);
                 } else {
-                    self.wait(at, now + FAILURE_PAUSE);
+                    self.set_waiting(index, now + FAILED_RERUN_DELAY);
                 }
             }
-            RunEnd::NotRun | RunEnd::Broken => self.wait(at, now + RERUN_PAUSE),
-            RunEnd::Preempted => self.wait(at, now + placement::PREEMPTED_RETRY_DELAY),
-            RunEnd::Quarantined => self.wait(at, now + QUARANTINE_PAUSE),
+            RunEnd::NotRun | RunEnd::Broken => self.set_waiting(index, now + RERUN_DELAY),
+            RunEnd::Preempted => self.set_waiting(index, now + placement::PREEMPTED_RETRY_DELAY),
+            RunEnd::Quarantined => self.set_waiting(index, now + QUARANTINE_RECHECK_DELAY),
         }
     }
 
-    /// Gives up every item that is not finished, e.g. after the retention time.
+    /// Gives up every unfinished item, for instance after the retention time.
     pub fn give_up_unfinished(&mut self, now: Instant) {
-        for at in 0..self.items.len() {
+        for index in 0..self.items.len() {
             if matches!(
-                self.items[at].state,
+                self.items[index].state,
                 ItemState::Waiting { .. } | ItemState::Running
             ) {
-                self.finish_item(at, ItemOutcome::GivenUp, now);
+                self.finish_item(index, ItemOutcome::GivenUp, now);
             }
         }
     }
 
-    /// Results that are finished and not stored, in the client's order.
+    /// Returns the finished results that are not stored yet, in the client's order.
     pub fn unstored_results(&self) -> impl Iterator<Item = &ItemResult> {
         self.items.iter().filter_map(|item| match &item.state {
             ItemState::Finished(result) => Some(result),
@@ -219,53 +226,55 @@
         })
     }
 
-    /// Whether it is time to store results, or to close a job that is whole.
+    /// Returns whether to store results now, or to close the job because all results are
+    /// stored. `leaving` means that this worker is shutting down; it then stores at once.
     pub fn should_store(&self, now: Instant, leaving: bool) -> bool {
         let Some(since) = self.unstored_since else {
             return self.is_fully_stored();
         };
-        let patience = match self.has_unstored_give_up() {
-            true => STORE_GIVE_UP_AFTER,
-            false => STORE_AFTER,
+        let delay = match self.has_unstored_give_up() {
+            true => STORE_GIVEN_UP_DELAY,
+            false => STORE_DELAY,
         };
-        leaving || self.is_finished() || now.duration_since(since) >= patience
+        leaving || self.is_finished() || now.duration_since(since) >= delay
     }
 
-    /// Whether results must be stored now so that they are listed when the job is due, which
-    /// it is in `due_in`. False when it is due already.
+    /// Returns whether finished results must be stored now so that readers find them when the
+    /// job is due, in `due_in`. Returns false if the job is due already (`due_in` is zero).
     pub fn should_store_before_due(&self, due_in: Duration) -> bool {
-        let nearly = !due_in.is_zero() && due_in <= STORE_BEFORE_DUE;
-        nearly && self.unstored_since.is_some()
+        let is_nearly_due = !due_in.is_zero() && due_in <= STORE_BEFORE_DUE_MARGIN;
+        is_nearly_due && self.unstored_since.is_some()
     }
 
-    /// Whether an item was given up and that is not stored yet.
+    /// Returns whether a result that is not stored yet is that of a given-up item.
     pub fn has_unstored_give_up(&self) -> bool {
         self.unstored_results()
             .any(|result| result.ending == ItemOutcome::GivenUp)
     }
 
-    /// The results of the next part: as many unstored ones as fit into `max_bytes`, at
-    /// least one.
+    /// Returns the results for the next part: as many unstored results as fit into about
+    /// `max_bytes`, but at least one if there is any.
     pub fn next_part(&self, max_bytes: usize) -> Vec<ItemResult> {
         let mut bytes = 0;
         self.unstored_results()
             .take_while(|result| {
-                let first = bytes == 0;
+                let is_first = bytes == 0;
                 bytes += result.output.len() + result.id.len() + RESULT_OVERHEAD_BYTES;
-                first || bytes <= max_bytes
+                is_first || bytes <= max_bytes
             })
             .cloned()
             .collect()
     }
 
-    /// Whether every item is finished, stored or not.
+    /// Returns whether every item is finished, whether or not its result is stored.
     pub fn is_finished(&self) -> bool {
         self.items
             .iter()
             .all(|item| matches!(item.state, ItemState::Finished(_) | ItemState::Stored))
     }
 
-    /// Bytes of its items' bodies and listed results.
+    /// Returns the size in bytes of the request bodies and the stored outputs, which make up
+    /// most of the job's memory.
     pub fn size_bytes(&self) -> usize {
         let bodies: usize = self.spec.items.iter().map(|item| item.body.len()).sum();
         let results: usize = self
@@ -276,12 +285,12 @@
         bodies + results
     }
 
-    /// Whether every result is stored.
+    /// Returns whether the results of all items are stored.
     pub fn is_fully_stored(&self) -> bool {
         self.stored_results.len() >= self.spec.items.len()
     }
 
-    /// Tokens of the items that are not finished.
+    /// Returns the sum of the tokens of the unfinished items.
     pub fn unfinished_tokens(&self) -> u64 {
         self.spec
             .items
@@ -294,32 +303,32 @@
             .sum()
     }
 
-    /// Takes the item at `at` as ended, with its partial output as its result if it is
-    /// completed.
-    pub(crate) fn finish_item(&mut self, at: usize, outcome: ItemOutcome, now: Instant) {
-        let partial_output = std::mem::take(&mut self.items[at].partial_output);
+    /// Marks the item at `index` as finished. The partial output becomes the result's output if
+    /// the item is completed and is discarded otherwise.
+    pub(crate) fn finish_item(&mut self, index: usize, outcome: ItemOutcome, now: Instant) {
+        let partial_output = std::mem::take(&mut self.items[index].partial_output);
         let output = match outcome {
             ItemOutcome::Completed => partial_output.text,
             ItemOutcome::GivenUp => String::new(),
         };
-        self.items[at].state = ItemState::Finished(ItemResult {
-            id: self.spec.items[at].id.clone(),
+        self.items[index].state = ItemState::Finished(ItemResult {
+            id: self.spec.items[index].id.clone(),
             ending: outcome,
             output,
         });
         self.unstored_since.get_or_insert(now);
     }
 
-    fn wait(&mut self, at: usize, until: Instant) {
-        self.items[at].state = ItemState::Waiting {
+    fn set_waiting(&mut self, index: usize, until: Instant) {
+        self.items[index].state = ItemState::Waiting {
             not_before: Some(until),
         };
     }
 
-    fn position(&self, id: &str) -> Option<usize> {
+    fn item_position(&self, id: &str) -> Option<usize> {
         self.spec.items.iter().position(|item| item.id == id)
     }
 }
 
-/// Bytes that a result's field names and escapes may add to its stored form, roughly.
+/// Approximate number of bytes that field names and escaped characters add to a stored result.
 const RESULT_OVERHEAD_BYTES: usize = 128;
--- a/crates/foxwheel-policy/src/batch/ledger.rs
+++ b/crates/foxwheel-policy/src/batch/ledger.rs
@@ -1,8 +1,9 @@
-//! The list of accepted jobs, kept as one object of the platform's store.
+//! The job ledger: the list of accepted jobs, one object in the platform's store.
 //!
-//! Every acceptance, ending and completion is one conditional update of it, so that two
-//! processes cannot both accept the job that fills the quota, and an ended job cannot be
-//! accepted again. Its size follows the jobs of the last few minutes, not the day's.
+//! Each acceptance, cancellation and completion of a job is one conditional update of this
+//! object. So two processes cannot both accept a job when the quota has room for only one of
+//! them, and a closed job cannot be accepted again. Closed jobs are removed after some time, so
+//! the ledger's size depends on the jobs of the last few minutes, not on those of a whole day.
 
 use std::time::Duration;
 
@@ -10,118 +11,123 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{serde_as, DurationMilliSeconds};
 
-/// How long a process waits for the worker that changes the ledger for all before it makes the
-/// change itself, which is idempotent. A keeper that lost power answers nothing: waited for as
-/// long as for the store, submissions were accepted after 1.2 to 1.8 s (target 400 ms), and
-/// their results were late. Above what the keeper takes while the store is slow (250 ms).
+/// How long a process waits for the ledger writer, the worker that writes the ledger for all
+/// processes, before it makes the change itself. This is safe because changes are idempotent.
+///
+/// A ledger writer that lost power does not respond. With a timeout as long as that of a store
+/// call, submissions were accepted after 1.2 to 1.8 s (target 400 ms) and their results were
+/// late. The timeout must exceed the time that the ledger writer takes while the store is slow
+/// (250 ms).
 pub const LEDGER_WRITER_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// A job that still has items to run.
+/// An accepted job that is not closed.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenJob {
-    /// The client's id of the job.
+    /// Id that the client chose.
     pub id: JobId,
-    /// Name of its route.
+    /// Name of the job's route.
     pub route: String,
-    /// Tokens of its items that are not finished.
+    /// Sum of the tokens of the job's unfinished items.
     pub waiting_tokens: u64,
-    /// When it was accepted, since the Unix epoch.
+    /// Time of the acceptance, since the Unix epoch.
     #[serde(rename = "accepted_unix_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub accepted_unix: Duration,
 }
 
-/// A job that is finished or was ended, kept so that a repeat is recognised.
+/// A job that finished or was ended by its client. It stays in the ledger for some time so that
+/// a repeated submission is recognised.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClosedJob {
-    /// The client's id of the job.
+    /// Id that the client chose.
     pub id: JobId,
-    /// When it was closed, since the Unix epoch.
+    /// Time at which the job was closed, since the Unix epoch.
     #[serde(rename = "closed_unix_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub closed_unix: Duration,
 }
 
-/// The accepted jobs of all routes.
+/// The job ledger, with the accepted jobs of all routes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Sorted by id; disjoint from `closed`.
+    /// Open jobs, sorted by id. No job is both open and closed.
     pub open: Vec<OpenJob>,
-    /// Sorted by id; disjoint from `open`.
+    /// Closed jobs, sorted by id.
     pub closed: Vec<ClosedJob>,
 }
 
-/// What the ledger says to a submission.
+/// The decision on a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Admission {
-    /// It fits and now stands in the ledger; the caller must store the ledger.
+    /// The job fits into the quota and was added to the ledger, which the caller must store.
     Accepted,
-    /// It was accepted before.
+    /// The job was accepted before; the ledger is unchanged.
     Repeat,
-    /// It does not fit into the quota.
+    /// The job does not fit into the quota; the ledger is unchanged.
     OverQuota,
 }
 
-/// Where a job stands.
+/// The status of a job in the ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStatus {
-    /// Accepted, with items to run.
+    /// Accepted and not closed.
     Open,
-    /// Finished or ended.
+    /// Finished, or ended by its client.
     Closed,
-    /// Not in the ledger.
+    /// Not in the ledger: never accepted, withdrawn, or closed long ago.
     Unknown,
 }
 
-/// A change of the ledger. Each is idempotent: repeated after a lost answer it alters
-/// nothing.
+/// A change of the ledger. Each change is idempotent: if it is repeated after a lost response,
+/// it alters nothing.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerChange {
-    /// Accept a job, if it fits.
+    /// Accepts a job if it fits into the quota.
     Admit {
-        /// The job.
+        /// Id of the job.
         id: JobId,
-        /// Name of its route.
+        /// Name of the job's route.
         route: String,
-        /// Tokens of its items.
+        /// Sum of the tokens of the job's items.
         tokens: u64,
-        /// Most tokens that may wait on the route; 0 is no limit.
+        /// Limit on the sum of the unfinished tokens of the route's open jobs; 0 is no limit.
         quota_tokens: u64,
-        /// When it was submitted, since the Unix epoch.
+        /// Time of the submission, since the Unix epoch.
         #[serde(rename = "now_unix_ms")]
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         now_unix: Duration,
     },
-    /// Close a job that is finished or ended.
+    /// Closes a job that finished or was ended by its client.
     Close {
-        /// The job.
+        /// Id of the job.
         id: JobId,
-        /// When, since the Unix epoch.
+        /// Time at which the job is closed, since the Unix epoch.
         #[serde(rename = "now_unix_ms")]
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         now_unix: Duration,
     },
-    /// Forget an open job that was never stored.
+    /// Removes an open job that was never stored.
     Withdraw {
-        /// The job.
+        /// Id of the job.
         id: JobId,
     },
 }
 
-/// What the ledger says to a change.
+/// The result of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerResponse {
-    /// To [`LedgerChange::Admit`].
+    /// Result of [`LedgerChange::Admit`].
     Admission(Admission),
-    /// To any other change: where the job stands now.
+    /// Result of any other change: the status of the job after it.
     Standing(JobStatus),
 }
 
 impl Ledger {
-    /// Makes `change`; the caller must store the ledger if it is another one then.
+    /// Applies `change` and returns its result. The caller must store the ledger if this altered
+    /// it.
     pub fn apply(&mut self, change: &LedgerChange) -> LedgerResponse {
         match change {
             LedgerChange::Admit {
@@ -144,7 +150,8 @@
         }
     }
 
-    /// Decides on a submission of `tokens` to `route`; `quota_tokens` 0 is no limit.
+    /// Accepts the job `id` with `tokens` tokens on `route`, unless it is in the ledger already or
+    /// the unfinished tokens of the route would exceed `quota_tokens` (0 is no limit).
     pub fn admit(
         &mut self,
         id: &str,
@@ -165,47 +172,48 @@
             waiting_tokens: tokens,
             accepted_unix: now_unix,
         };
-        let at = self.open.partition_point(|open| open.id.as_str() < id);
-        self.open.insert(at, job);
+        let index = self.open.partition_point(|open| open.id.as_str() < id);
+        self.open.insert(index, job);
         Admission::Accepted
     }
 
-    /// Moves a job to the closed ones; answers whether the ledger changed.
+    /// Closes a job if it is open. Returns whether the ledger changed.
     pub fn close(&mut self, id: &str, now_unix: Duration) -> bool {
-        let Ok(at) = self.open_position(id) else {
+        let Ok(index) = self.open_position(id) else {
             return false;
         };
-        self.open.remove(at);
+        self.open.remove(index);
         let closed = ClosedJob {
             id: id.to_owned(),
             closed_unix: now_unix,
         };
-        let at = self.closed.partition_point(|job| job.id.as_str() < id);
-        self.closed.insert(at, closed);
+        let index = self.closed.partition_point(|job| job.id.as_str() < id);
+        self.closed.insert(index, closed);
         true
     }
 
-    /// Lowers a job's waiting tokens; answers whether the ledger changed.
+    /// Sets the unfinished tokens of an open job to `tokens` if that is less than before. Returns
+    /// whether the ledger changed.
     pub fn lower_unfinished_tokens(&mut self, id: &str, tokens: u64) -> bool {
-        let Ok(at) = self.open_position(id) else {
+        let Ok(index) = self.open_position(id) else {
             return false;
         };
-        let changed = tokens < self.open[at].waiting_tokens;
+        let changed = tokens < self.open[index].waiting_tokens;
         if changed {
-            self.open[at].waiting_tokens = tokens;
+            self.open[index].waiting_tokens = tokens;
         }
         changed
     }
 
-    /// Forgets jobs closed longer than `keep` ago; answers whether the ledger changed.
-    pub fn prune_closed(&mut self, now_unix: Duration, keep: Duration) -> bool {
-        let before = self.closed.len();
+    /// Removes jobs that were closed at least `retention` ago. Returns whether the ledger changed.
+    pub fn prune_closed(&mut self, now_unix: Duration, retention: Duration) -> bool {
+        let len_before = self.closed.len();
         self.closed
-            .retain(|job| now_unix.saturating_sub(job.closed_unix) < keep);
-        self.closed.len() != before
+            .retain(|job| now_unix.saturating_sub(job.closed_unix) < retention);
+        self.closed.len() != len_before
     }
 
-    /// Where the job `id` stands.
+    /// Returns the status of the job `id`.
     pub fn job_status(&self, id: &str) -> JobStatus {
         if self.open_position(id).is_ok() {
             JobStatus::Open
@@ -220,15 +228,15 @@
         }
     }
 
-    /// The open job `id`.
+    /// Returns the job `id` if it is open.
     pub fn open_job(&self, id: &str) -> Option<&OpenJob> {
-        self.open_position(id).ok().map(|at| &self.open[at])
+        self.open_position(id).ok().map(|index| &self.open[index])
     }
 
-    /// Tokens that wait on `route`.
+    /// Returns the sum of the unfinished tokens of the open jobs on `route`.
     pub fn unfinished_tokens(&self, route: &str) -> u64 {
-        let of_route = self.open.iter().filter(|job| job.route == route);
-        of_route.map(|job| job.waiting_tokens).sum()
+        let route_jobs = self.open.iter().filter(|job| job.route == route);
+        route_jobs.map(|job| job.waiting_tokens).sum()
     }
 
     fn open_position(&self, id: &str) -> Result<usize, usize> {
--- a/crates/foxwheel-policy/src/batch/mod.rs
+++ b/crates/foxwheel-policy/src/batch/mod.rs
@@ -1,4 +1,4 @@
-//! Batch jobs: acceptance, ownership, items and results.
+//! Batch jobs: acceptance, ownership by workers, runs of their items and stored results.
 
 pub mod checkpoint;
 pub mod item;
--- a/crates/foxwheel-policy/src/batch/ownership.rs
+++ b/crates/foxwheel-policy/src/batch/ownership.rs
@@ -1,8 +1,8 @@
-//! Which worker runs a job.
+//! Decides which worker owns a job, and which one manages the batch slots of a server.
 //!
-//! Ownership saves work; it does not protect results. Two workers that both believe they
-//! own a job waste runs, but each part of the results can be created only once in the
-//! store, so the results stay whole.
+//! Ownership only avoids duplicate work; it does not protect the results. Two workers that both
+//! own a job waste runs, but each part of the results can be created only once in the store, so
+//! the results stay correct.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::{Duration, Instant};
@@ -10,161 +10,180 @@
 use foxwheel_core::ids::{JobId, NodeId, Zone};
 use serde::{Deserialize, Serialize};
 
-/// How long a job must stand in the ledger unheld before any worker but the first choice
-/// takes it. Above the time in which the first choice looks at the ledger (2 s) and its
-/// claim is heard between zones (0.3 s): with 1.5 s two workers took one job at once.
-const UNHELD_PATIENCE: Duration = Duration::from_millis(3_500);
-
-/// The same if the first choice lives but is not heard here: it probably runs the job and
-/// cannot say so. Paths between hosts were cut for about 5 s; jobs are due in 18 s.
-const UNHEARD_PATIENCE: Duration = Duration::from_millis(9_000);
-
-/// How long a worker runs until it has heard of every live one: two heartbeats between zones
-/// (0.3 s each), the second to those of whom the first told, and one that is lost. After a
-/// start of the whole fleet jobs stand still until then: 1.1 s, and 2.2 to 2.6 s when a second
-/// read of the ledger was waited for.
+/// How long a job in the ledger must have no owner before a worker other than the preferred one
+/// takes it over. This exceeds the interval at which the preferred worker polls the ledger (2 s)
+/// plus the time until its claim reaches other zones (0.3 s). With 1.5 s two workers took over
+/// the same job.
+const UNOWNED_JOB_GRACE: Duration = Duration::from_millis(3_500);
+
+/// Replaces [`UNOWNED_JOB_GRACE`] if the preferred worker is alive but its heartbeats do not
+/// reach this process. It probably owns the job, but its claim cannot be seen here. Network
+/// paths between hosts were interrupted for about 5 s; jobs are due in 18 s.
+const UNREACHABLE_WORKER_GRACE: Duration = Duration::from_millis(9_000);
+
+/// Time after a worker's start until it has received the heartbeats of all live workers. It
+/// covers three heartbeats between zones (0.3 s each): one that names further processes, one
+/// exchanged with those, and one that is lost.
+///
+/// No job is taken over before that. After a start of the whole fleet, jobs stood still for
+/// 1.1 s with this delay, and for 2.2 to 2.6 s when workers waited for a second read of the
+/// ledger.
 pub const ALL_HEARTBEATS_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Whether a worker still runs a job that it tells of.
+/// The status of a job that a worker reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimStatus {
-    /// It runs the job.
+    /// The worker owns the job.
     Held,
-    /// The job was closed a short while ago.
+    /// The job was closed recently.
     Closed,
 }
 
-/// What a worker tells of a job.
+/// What a worker reports about a job in its heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobClaim {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// Parts of its results that the worker knows to be stored; only grows.
+    /// Number of parts of the results that the worker knows to be stored. It never decreases.
     pub parts: u32,
-    /// Whether it runs the job.
+    /// Whether the worker owns the job.
     pub standing: ClaimStatus,
 }
 
-/// A live worker as its last heartbeat tells it.
+/// A live worker, as of its last heartbeat.
 #[derive(Debug, Clone)]
 pub struct Worker {
-    /// The worker's name.
+    /// Name of the worker.
     pub node: NodeId,
-    /// Its availability zone.
+    /// Availability zone of the worker.
     pub zone: Zone,
-    /// It takes no new jobs and gives back those it holds.
+    /// Whether the worker is shutting down: it takes no new jobs and releases those it owns.
     pub leaving: bool,
-    /// It is heard by this process, and its claims are new. Otherwise only others hear it:
-    /// it lives, but what it took since is not known here.
+    /// Whether this process receives the worker's heartbeats, so that `claims` are current. If
+    /// false, only other processes receive them: the worker is alive, but the jobs that it took
+    /// since its last heartbeat to this process are not known here.
     pub has_current_claims: bool,
-    /// Jobs it tells of; sorted by job.
+    /// The jobs that the worker reports, sorted by job.
     pub claims: Vec<JobClaim>,
-    /// Items of its jobs that could run now and found no slot.
+    /// Number of items of the worker's jobs that could run now but have no slot.
     pub waiting_items: u32,
 }
 
 impl Worker {
-    /// What it tells of `job`.
-    pub fn claim(&self, job: &str) -> Option<&JobClaim> {
+    /// Returns what the worker reports about `job`, or `None` if it does not report it.
+    pub fn find_claim(&self, job: &str) -> Option<&JobClaim> {
         let found = self
             .claims
             .binary_search_by(|claim| claim.job.as_str().cmp(job));
-        found.ok().map(|at| &self.claims[at])
+        found.ok().map(|index| &self.claims[index])
     }
 
-    /// Whether it stays and, as far as is known, has items that wait for a slot.
+    /// Returns whether the worker has items that wait for a slot, or may have some because its
+    /// state is not known, and is not shutting down.
     fn may_need_slots(&self) -> bool {
         !self.leaving && (self.waiting_items > 0 || !self.has_current_claims)
     }
 
-    /// Whether it runs `job`.
+    /// Returns whether the worker reports that it owns `job`.
     pub fn owns(&self, job: &str) -> bool {
-        self.claim(job)
+        self.find_claim(job)
             .is_some_and(|claim| claim.standing == ClaimStatus::Held)
     }
 }
 
-/// The worker that should take `job`, or none if all are leaving.
-pub fn preferred_worker<'a>(job: &str, workers: &'a [Worker]) -> Option<&'a Worker> {
+/// Returns the worker with the highest rank for `key` that is not shutting down, or `None` if all
+/// are. With a job's id as `key` this is the worker that should own the job.
+pub fn preferred_worker<'a>(key: &str, workers: &'a [Worker]) -> Option<&'a Worker> {
     workers
         .iter()
         .filter(|worker| !worker.leaving)
-        .max_by_key(|worker| (rank(job, &worker.node), &worker.node))
+        .max_by_key(|worker| (rank(key, &worker.node), &worker.node))
 }
 
-/// Whether the worker `one` is chosen before `other` for `job`.
-pub fn outranks(job: &str, one: &str, other: &str) -> bool {
-    (rank(job, one), one) > (rank(job, other), other)
+/// Returns whether the worker `one` has a higher rank for `key` than the worker `other`.
+pub fn outranks(key: &str, one: &str, other: &str) -> bool {
+    (rank(key, one), one) > (rank(key, other), other)
 }
 
-/// The worker that gives out the batch slots of a server in `zone`. Workers that look at the
-/// same free slots at once would overfill them. Of those whose items wait it is one of that
-/// zone if there is any; jobs are not spread evenly, and slots that a worker without waiting
-/// items gives out would be left half empty by the others (3 workers, 39 servers, six runs of
-/// some 1,350 items each: 536 results late, 373 with this).
+/// Returns the slot manager of `server`, which is in `zone`: the worker that assigns the batch
+/// slots of that server. Without a single manager, several workers would see the same free
+/// slots at the same time and start too many items.
+///
+/// Workers with waiting items are preferred, and among these the workers of `zone`. Jobs are not
+/// spread evenly over the workers, and other workers would use only half of the slots whose
+/// manager has no waiting items. In six runs with 3 workers, 39 servers and about 1,350 items
+/// each, this preference reduced the number of late results from 536 to 373.
 pub fn slot_manager<'a>(server: &str, zone: &str, workers: &'a [Worker]) -> Option<&'a Worker> {
-    let any_waits = workers.iter().any(Worker::may_need_slots);
-    let eligible = |worker: &&Worker| !worker.leaving && (!any_waits || worker.may_need_slots());
-    let staying = || workers.iter().filter(eligible);
-    let any_local = staying().any(|worker| worker.zone == zone);
-    staying()
+    let any_needs_slots = workers.iter().any(Worker::may_need_slots);
+    let is_eligible =
+        |worker: &&Worker| !worker.leaving && (!any_needs_slots || worker.may_need_slots());
+    let eligible_workers = || workers.iter().filter(is_eligible);
+    let any_local = eligible_workers().any(|worker| worker.zone == zone);
+    eligible_workers()
         .filter(|worker| !any_local || worker.zone == zone)
         .max_by_key(|worker| (rank(server, &worker.node), &worker.node))
 }
 
-/// Parts of the results of `job` that some worker knows to be stored. A reader that knows
-/// fewer must look in the store before it answers.
+/// Returns the largest number of stored parts of `job` that any worker reports. A process that
+/// knows of fewer must read the store before it responds to a reader.
 pub fn known_stored_parts(job: &str, workers: &[Worker]) -> u32 {
-    let claims = workers.iter().filter_map(|worker| worker.claim(job));
+    let claims = workers.iter().filter_map(|worker| worker.find_claim(job));
     claims.map(|claim| claim.parts).max().unwrap_or(0)
 }
 
-/// Whether a worker that started at `started_at` has heard of every live one, so that it can
-/// tell which jobs nobody runs.
+/// Returns whether a worker that started at `started_at` has received the heartbeats of all live
+/// workers, so that it knows which jobs have no owner.
 pub fn has_received_all_heartbeats(started_at: Instant, now: Instant) -> bool {
     now.duration_since(started_at) >= ALL_HEARTBEATS_DELAY
 }
 
-/// Whether the worker `own` should take a job that it does not hold, which it has known
-/// as unheld since `unheld_since`. `workers` are the live workers, `own` among them.
+/// Returns whether the worker `own` should take over a job that it does not own and that has had
+/// no owner since `unowned_since`, as far as it knows. `workers` are the live workers, including
+/// `own`.
 pub fn should_take_over(
     job: &str,
     own: &str,
     workers: &[Worker],
-    unheld_since: Instant,
+    unowned_since: Instant,
     now: Instant,
 ) -> bool {
-    if workers.iter().any(|worker| worker.claim(job).is_some()) {
+    if workers
+        .iter()
+        .any(|worker| worker.find_claim(job).is_some())
+    {
         return false;
     }
-    let Some(first) = preferred_worker(job, workers) else {
+    let Some(preferred) = preferred_worker(job, workers) else {
         return false;
     };
-    let patience = match first.has_current_claims {
-        true => UNHELD_PATIENCE,
-        false => UNHEARD_PATIENCE,
+    let grace = match preferred.has_current_claims {
+        true => UNOWNED_JOB_GRACE,
+        false => UNREACHABLE_WORKER_GRACE,
     };
-    first.node == own || now.duration_since(unheld_since) >= patience
+    preferred.node == own || now.duration_since(unowned_since) >= grace
 }
 
-/// Whether the worker `own`, which runs `job` and knows `own_parts` of its results, should
-/// leave it to another that runs it too: to the one that knows more, else by rank. Of two
-/// such workers at most one yields, however late they hear of each other, because claims
-/// only grow.
+/// Returns whether the worker `own`, which owns `job` and knows `own_parts` of its results to be
+/// stored, should release it to one of `others` that owns it as well. The worker that knows more
+/// parts keeps the job, or the one with the higher rank if both know the same number. Of two
+/// such workers at most one releases the job, however old the claims are that they have received
+/// from each other, because the number of parts in a claim never decreases.
 pub fn should_release(job: &str, own: &str, own_parts: u32, others: &[Worker]) -> bool {
     let own_rank = (own_parts, rank(job, own), own);
     others
         .iter()
         .filter(|worker| worker.node != own && !worker.leaving && worker.owns(job))
-        .filter_map(|worker| worker.claim(job).map(|claim| (worker, claim)))
+        .filter_map(|worker| worker.find_claim(job).map(|claim| (worker, claim)))
         .any(|(worker, claim)| {
             (claim.parts, rank(job, &worker.node), worker.node.as_str()) > own_rank
         })
 }
 
-fn rank(job: &str, node: &str) -> u64 {
+/// Returns the rank of the worker `node` for `key` in rendezvous hashing: every process computes
+/// the same ranks, and the loss of a worker changes the choice only where it ranked highest.
+fn rank(key: &str, node: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
-    job.hash(&mut hasher);
+    key.hash(&mut hasher);
     node.hash(&mut hasher);
     hasher.finish()
 }
--- a/crates/foxwheel-policy/src/batch/schedule.rs
+++ b/crates/foxwheel-policy/src/batch/schedule.rs
@@ -1,74 +1,78 @@
-//! In which order waiting batch items get slots.
+//! The order in which waiting batch items get slots.
 //!
-//! Load pattern: for a while more batch work is due than the troughs between steps of
-//! online traffic can carry. In order of submission every item then ends a little too late:
-//! the slots go to items that miss their time anyway, and the ones behind them miss theirs.
+//! Load pattern: for some time more batch work is due than fits into the slots that online
+//! traffic leaves free between its steps. If items then ran in the order of their submission,
+//! almost all would finish slightly too late: slots would go to items that miss their due time
+//! in any case, which makes the items behind them late as well.
 
 use std::time::Duration;
 
 use crate::moving_average::MovingAverage;
 
-/// Events from which a run tells how long an event takes; the first of a run waits for its
-/// prompt to be read.
-const LEAST_EVENTS: u64 = 8;
+/// Smallest number of events of a run from which the time per event is estimated. The first
+/// event of a run includes the time to process the prompt, which would distort the estimate of
+/// a short run.
+const MIN_EVENTS_FOR_ESTIMATE: u64 = 8;
 
-/// How long items run, learnt from the runs that ended.
+/// Estimates how long items run, from the runs that have ended.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RunEstimate {
-    /// Time from one event to the next.
-    event_time: MovingAverage,
-    /// Events of a whole output.
+    /// Seconds per event.
+    time_per_event: MovingAverage,
+    /// Number of events of a complete output.
     full_output_events: MovingAverage,
 }
 
 impl RunEstimate {
-    /// Takes note of a run that brought `events` in `took`.
-    pub fn record_run(&mut self, events: u64, took: Duration) {
-        if events >= LEAST_EVENTS {
-            self.event_time.push_duration(took.div_f64(events as f64));
+    /// Records a run that received `events` events in `elapsed`. Runs with few events are
+    /// ignored.
+    pub fn record_run(&mut self, events: u64, elapsed: Duration) {
+        if events >= MIN_EVENTS_FOR_ESTIMATE {
+            self.time_per_event
+                .push_duration(elapsed.div_f64(events as f64));
         }
     }
 
-    /// Takes note of an output that is whole with `events`.
+    /// Records that a complete output has `events` events.
     pub fn record_full_output(&mut self, events: u64) {
         self.full_output_events.push(events as f64);
     }
 
-    /// How much longer an item runs that has `events` of its output. Zero while nothing is
-    /// known.
+    /// Returns the estimated remaining run time of an item of whose output `events` events have
+    /// been received. Returns zero as long as no run has been recorded.
     pub fn remaining_run_time(&self, events: u64) -> Duration {
         let full_output_events = self.full_output_events.get().unwrap_or_default();
-        let events_left = (full_output_events - events as f64).max(0.0);
-        self.event_time
+        let remaining_events = (full_output_events - events as f64).max(0.0);
+        self.time_per_event
             .duration()
             .unwrap_or_default()
-            .mul_f64(events_left)
+            .mul_f64(remaining_events)
     }
 }
 
-/// An item that waits for a slot.
+/// A batch item that waits for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitingItem {
-    /// Its job, as a number of the caller's.
+    /// Index by which the caller identifies the item's job.
     pub job: usize,
-    /// Its position in the job.
+    /// Position of the item in its job.
     pub item: usize,
-    /// When its result is due, since the Unix epoch.
+    /// Time at which the result is due, since the Unix epoch.
     pub due_unix: Duration,
-    /// How much longer it runs once it has a slot.
+    /// Estimated run time from the moment at which the item gets a slot.
     pub remaining_run_time: Duration,
 }
 
 impl WaitingItem {
-    /// Whether it misses its time even with a slot at once.
+    /// Returns whether the item misses its due time even if it gets a slot now.
     pub fn is_late(&self, now_unix: Duration) -> bool {
         now_unix + self.remaining_run_time > self.due_unix
     }
 }
 
-/// Sorts items into the order in which they get slots: those that can still be in time, the
-/// one due first at the front and of equals the one that has least left; then the others,
-/// which lose nothing more by waiting, in the order of their due times.
+/// Sorts items into the order in which they get slots. Items that can still finish in time come
+/// first, ordered by due time and then by remaining run time. Items that are late in any case
+/// follow in the same order, since further waiting does not make them miss another due time.
 pub fn sort_waiting_items(items: &mut [WaitingItem], now_unix: Duration) {
     items.sort_unstable_by_key(|item| {
         (
