--- a/crates/foxwheel-node/tests/common/crashing_servers.rs
+++ b/crates/foxwheel-node/tests/common/crashing_servers.rs
@@ -1,27 +1,27 @@
-//! Servers that crash under one request, and what must hold then.
+//! Backend servers that crash under one request, and the limits that then apply.
 
 use std::time::Duration;
 
 use foxwheel_server_emu::server::Shape;
 
-/// Body of the request that crashes servers.
+/// Body of the request that crashes the servers.
 pub const CRASHING_BODY: &str = "a prompt that the engine cannot stand";
 
-/// The shortest time within which a decision must be known everywhere.
+/// Time after which a quarantine must be known to every process.
 pub const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
-/// Crashes of servers under one request after which it is known.
+/// Number of servers that must crash under a request before it is quarantined.
 pub const CRASHES_TO_QUARANTINE: usize = 3;
 
-/// Servers that it may still reach then.
+/// Maximum number of servers that a quarantined request may still reach.
 pub const MAX_RUNS_IN_QUARANTINE: usize = 3;
 
-/// `count` servers that crash on [`CRASHING_BODY`].
+/// Returns `count` servers that crash on [`CRASHING_BODY`].
 pub fn shapes(count: usize) -> Vec<Shape> {
     let shapes = super::server_shapes(count).into_iter();
-    let crashing_servers = shapes.map(|shape| Shape {
+    let crashing_shapes = shapes.map(|shape| Shape {
         crashes_on: Some(CRASHING_BODY.to_owned()),
         ..shape
     });
-    crashing_servers.collect()
+    crashing_shapes.collect()
 }
--- a/crates/foxwheel-node/tests/common/mod.rs
+++ b/crates/foxwheel-node/tests/common/mod.rs
@@ -1,9 +1,10 @@
-//! Fronts and workers in one process, with stand-ins for everything around them.
+//! Runs fronts and workers in the test process, together with emulators of the store and the
+//! backend servers.
 //!
-//! Each host has a loopback address of its own, as the processes' ports are the same on
-//! all hosts.
+//! Each host has its own loopback address, because the processes use the same ports on all
+//! hosts.
 
-// Each test file uses its own part of this.
+// Each test file uses only some of these items.
 #![allow(dead_code, unused_imports)]
 
 pub mod crashing_servers;
@@ -29,41 +30,41 @@
 use serde_json::{json, Value};
 use tokio_util::sync::CancellationToken;
 
-/// A store, backend servers, fronts and workers.
+/// A store with backend servers, fronts and workers.
 pub struct Fleet {
-    /// The store, as the operator and the backend servers reach it.
+    /// Client of the store, as used by the operator and the backend servers.
     pub store: StoreClient,
     /// The backend servers.
     pub servers: Vec<Server>,
-    /// Where callers reach each front.
+    /// The address at which each front serves callers.
     pub fronts: Vec<SocketAddr>,
-    /// The processes: fronts first, then workers, then those added later.
+    /// The processes: first the fronts, then the workers, then processes that were added later.
     pub processes: Vec<Process>,
-    /// Ends everything.
+    /// Cancelled to stop the whole fleet.
     pub cancel: CancellationToken,
-    hosts: u32,
-    zones: u32,
+    host_count: u32,
+    zone_count: u32,
     network: Network,
     store_addr: SocketAddr,
 }
 
-/// A front or worker on a thread and runtime of its own.
+/// A front or worker with its own thread and runtime.
 pub struct Process {
-    /// Its settings.
+    /// Settings of the process.
     pub settings: NodeSettings,
-    /// Its path to the store.
+    /// Proxy through which the process reaches the store.
     pub store_path: Path,
-    /// Tells it to stop.
+    /// Cancelled to stop the process gracefully.
     pub stop: CancellationToken,
     kill: CancellationToken,
     thread: std::thread::JoinHandle<()>,
 }
 
 impl Process {
-    fn start(settings: NodeSettings, store_path: Path, fleet: &CancellationToken) -> Self {
+    fn start(settings: NodeSettings, store_path: Path, cancel: &CancellationToken) -> Self {
         let stop = CancellationToken::new();
-        let kill = fleet.child_token();
-        let (told, killed, own) = (stop.clone(), kill.clone(), settings.clone());
+        let kill = cancel.child_token();
+        let (stopped, killed, own_settings) = (stop.clone(), kill.clone(), settings.clone());
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
@@ -71,9 +72,9 @@
                 .expect("a runtime");
             runtime.block_on(async move {
                 let run = async {
-                    match own.role {
-                        Role::Front => process::run_front(own, told).await,
-                        Role::Worker => process::run_worker(own, told).await,
+                    match own_settings.role {
+                        Role::Front => process::run_front(own_settings, stopped).await,
+                        Role::Worker => process::run_worker(own_settings, stopped).await,
                     }
                 };
                 tokio::select! {
@@ -81,7 +82,7 @@
                     ended = run => ended.expect("the process runs"),
                 }
             });
-            // Everything the process had spawned goes with its runtime.
+            // Dropping the runtime also drops all tasks that the process spawned.
             drop(runtime);
         });
         Self {
@@ -93,26 +94,26 @@
         }
     }
 
-    /// Kills it without a stop.
+    /// Kills the process without a graceful stop.
     pub fn kill(&self) {
         self.kill.cancel();
     }
 
-    /// Whether it ended.
+    /// Returns whether the process has ended.
     pub fn has_ended(&self) -> bool {
         self.thread.is_finished()
     }
 }
 
-/// How large a fleet is.
+/// Size of a fleet.
 pub struct FleetPlan {
     /// Shapes of the backend servers.
     pub servers: Vec<Shape>,
-    /// Fronts.
+    /// Number of fronts.
     pub fronts: u32,
-    /// Workers.
+    /// Number of workers.
     pub workers: u32,
-    /// Availability zones: hosts are in each in turn, fronts before workers.
+    /// Number of availability zones. Hosts are assigned to them in turn, fronts before workers.
     pub zones: u32,
 }
 
@@ -127,7 +128,7 @@
     }
 }
 
-/// Shapes of `count` servers.
+/// Returns the shapes of `count` servers.
 pub fn server_shapes(count: usize) -> Vec<Shape> {
     (0..count)
         .map(|at| Shape {
@@ -151,8 +152,8 @@
             fronts: Vec::new(),
             processes: Vec::new(),
             cancel,
-            hosts: 0,
-            zones: plan.zones,
+            host_count: 0,
+            zone_count: plan.zones,
             network: Network::take().expect("a free network"),
             store_addr,
         };
@@ -172,12 +173,12 @@
         fleet
     }
 
-    /// Starts a backend server of the service `model` and lists it.
+    /// Starts a backend server of the service `model` and registers it.
     pub async fn add_server(&mut self, shape: Shape) {
         self.add_server_of_service("model", shape).await;
     }
 
-    /// Starts a backend server of a service and lists it.
+    /// Starts a backend server of a service and registers it.
     pub async fn add_server_of_service(&mut self, service: &str, shape: Shape) {
         let id = shape.id.clone();
         let ip = IpAddr::V4(Ipv4Addr::LOCALHOST);
@@ -188,13 +189,13 @@
         self.servers.push(server);
     }
 
-    /// Writes the entry of a backend server of the service `model`.
+    /// Registers a backend server of the service `model`.
     pub async fn register_server(&self, id: &str, addr: SocketAddr, state: &str) {
         self.register_server_of_service("model", id, addr, state)
             .await;
     }
 
-    /// Writes a backend server's entry.
+    /// Registers a backend server of a service.
     pub async fn register_server_of_service(
         &self,
         service: &str,
@@ -207,43 +208,43 @@
         self.write_server_entry(id, &entry).await;
     }
 
-    /// Writes whatever stands for the entry of a backend server.
+    /// Writes any value as the entry of a backend server.
     pub async fn write_server_entry(&self, id: &str, entry: &Value) {
-        self.declare(&format!("servers/{id}"), entry).await;
+        self.write_object(&format!("servers/{id}"), entry).await;
     }
 
-    /// Writes a configuration; `alter` changes the usual one.
+    /// Writes the default configuration as changed by `alter`.
     pub async fn configure(&self, version: u64, alter: impl FnOnce(&mut Value)) {
         let mut config = declarations::config(version);
         alter(&mut config);
-        self.declare("config/main", &config).await;
+        self.write_object("config/main", &config).await;
     }
 
-    /// Writes an object, again while the store does not answer: on a busy machine the test
-    /// process can stand still for longer than the store's client waits.
-    async fn declare(&self, key: &str, value: &Value) {
-        let started = std::time::Instant::now();
+    /// Writes an object. Retries while the store does not respond, because on a busy machine the
+    /// test process can be suspended for longer than the store's client waits.
+    async fn write_object(&self, key: &str, value: &Value) {
+        let started_at = std::time::Instant::now();
         while let Err(e) = self.store.put(key, value, None).await {
-            let again =
-                matches!(e, StoreError::Unavailable { .. }) && started.elapsed() < WAIT_TIMEOUT;
-            assert!(again, "{key}: {e}");
+            let can_retry =
+                matches!(e, StoreError::Unavailable { .. }) && started_at.elapsed() < WAIT_TIMEOUT;
+            assert!(can_retry, "{key}: {e}");
         }
     }
 
-    /// Starts a front or worker; a front's address is appended to `fronts`.
+    /// Starts a front or worker on a new host. The address of a front is appended to `fronts`.
     pub async fn add_process(&mut self, role: Role) {
-        let any = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-        let store_path = Path::open(any, self.store_addr, self.cancel.clone()).await;
+        let any_port = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+        let store_path = Path::open(any_port, self.store_addr, self.cancel.clone()).await;
         let store_path = store_path.expect("a path to the store");
-        self.hosts += 1;
-        let mut settings = self.process_settings(self.hosts, role);
+        self.host_count += 1;
+        let mut settings = self.process_settings(self.host_count, role);
         settings.store_address = store_path.addr;
         self.fronts.extend(settings.caller_address);
         self.processes
             .push(Process::start(settings, store_path, &self.cancel));
     }
 
-    /// Kills every process and starts it again with the settings it had.
+    /// Kills all processes and starts them again with the same settings.
     pub async fn restart_all_processes(&mut self) {
         for process in &self.processes {
             process.kill();
@@ -258,30 +259,30 @@
         self.processes = restarted.collect();
     }
 
-    /// Kills the process at `at` and starts it again with the settings it had.
-    pub async fn restart(&mut self, at: usize) {
-        self.processes[at].kill();
-        while !self.processes[at].has_ended() {
+    /// Kills the process at `index` and starts it again with the same settings.
+    pub async fn restart(&mut self, index: usize) {
+        self.processes[index].kill();
+        while !self.processes[index].has_ended() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        let killed = self.processes.remove(at);
+        let killed = self.processes.remove(index);
         let restarted = Process::start(killed.settings, killed.store_path, &self.cancel);
-        self.processes.insert(at, restarted);
+        self.processes.insert(index, restarted);
     }
 
-    /// Settings of the process on host `number`, with a straight path to the store.
+    /// Returns the settings of a process on host `number` with a direct connection to the store.
     pub fn process_settings(&self, number: u32, role: Role) -> NodeSettings {
-        let ip_of = |host| self.network.host(host);
-        let ip = ip_of(number as u8);
+        let host_ip = |host| self.network.host(host);
+        let ip = host_ip(number as u8);
         let front_port = |port| (role == Role::Front).then(|| SocketAddr::new(ip, port));
         NodeSettings {
             host: format!("host-{number}"),
             role,
-            availability_zone: zone(number % self.zones),
+            availability_zone: zone(number % self.zone_count),
             ip,
             bind_ip: None,
             peer_ports: (network::PEER_PORT, network::PEER_PORT),
-            seeds: vec![SocketAddr::new(ip_of(1), network::PEER_PORT)],
+            seeds: vec![SocketAddr::new(host_ip(1), network::PEER_PORT)],
             caller_address: front_port(network::CALLER_PORT),
             readiness_address: front_port(network::READINESS_PORT),
             metrics_port: Some(network::METRICS_PORT),
@@ -292,41 +293,41 @@
         }
     }
 
-    /// Waits until `front` knows its configuration and servers and hears the workers.
+    /// Waits until `front` serves requests, that is until it has its configuration and servers.
     pub async fn wait_until_serving(&self, front: SocketAddr) {
         for attempt in 0..400 {
             let id = format!("probe-{front}-{attempt}");
-            let reply = call(front, Method::GET, "/plain/probe", &id, &[], "").await;
-            if reply.is_ok_and(|reply| reply.status == StatusCode::OK) {
+            let response = call(front, Method::GET, "/plain/probe", &id, &[], "").await;
+            if response.is_ok_and(|response| response.status == StatusCode::OK) {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("front {front} never served");
+        panic!("front {front} did not serve requests in time");
     }
 
-    /// Writes the entry of a backend server of the service `model` in the zone `number`.
+    /// Registers a backend server of the service `model` in the zone `number`.
     pub async fn register_server_in_zone(&self, number: u32, id: &str, addr: SocketAddr) {
         let mut entry = server_entry(addr, "ready");
         entry["zone"] = json!(zone(number));
         self.write_server_entry(id, &entry).await;
     }
 
-    /// A counter of a process's metrics; 0 before its first event.
+    /// Reads a counter from the metrics of a process; 0 if it has not been counted yet.
     pub async fn read_counter(&self, process: &Process, name: &str) -> u64 {
         let addr = SocketAddr::new(process.settings.ip, network::METRICS_PORT);
-        let answer = call(addr, Method::GET, "/metrics", "metrics", &[], "").await;
-        let text = answer.expect("metrics").text();
+        let response = call(addr, Method::GET, "/metrics", "metrics", &[], "").await;
+        let text = response.expect("metrics").text();
         let found = text.lines().find_map(|line| line.strip_prefix(name));
         found.map_or(0, |value| value.trim().parse().expect("a number"))
     }
 
-    /// Sets the store's faults.
+    /// Sets the faults that the store simulates.
     pub async fn set_store_faults(&self, faults: Faults) {
         self.store.set_faults(&faults).await.expect("faults set");
     }
 
-    /// Every run of a request on all servers, in no certain order between servers.
+    /// Returns all runs of a request, grouped by server.
     pub fn runs_of_request(&self, request_id: &str) -> Vec<foxwheel_server_emu::runs::Run> {
         let servers = self.servers.iter();
         servers
@@ -334,7 +335,7 @@
             .collect()
     }
 
-    /// The store's objects whose keys begin with `prefix`.
+    /// Returns the values of the store's objects whose keys start with `prefix`.
     pub async fn list_stored(&self, prefix: &str) -> Vec<Value> {
         assert!(keys::kind_and_name_prefix(prefix).is_some(), "one kind");
         let listed = self.store.list(prefix).await.expect("listed");
@@ -346,7 +347,7 @@
     }
 }
 
-/// Settings of a process without others, for tests of one part of it.
+/// Returns the settings of a process without peers, for tests of one component.
 pub fn single_process_settings(role: Role, store_address: SocketAddr) -> NodeSettings {
     NodeSettings {
         host: "host-1".to_owned(),
@@ -366,29 +367,33 @@
     }
 }
 
-/// The entry of a backend server of the service `model`.
+/// Returns the entry of a backend server of the service `model`.
 pub fn server_entry(addr: SocketAddr, state: &str) -> Value {
     declarations::server_entry(addr, state)
 }
 
-/// Longest wait for something that takes milliseconds when all is well.
+/// Time limit for conditions that are normally met within milliseconds.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The status that `front` answers a read of `path` with, if it answers.
+/// Returns the status with which `front` responds to a GET of `path`, or `None` if it does not
+/// respond.
 pub async fn get_status(front: SocketAddr, path: &str) -> Option<StatusCode> {
-    let answer = call(front, Method::GET, path, "r", &[], "").await.ok()?;
-    Some(answer.status)
+    let response = call(front, Method::GET, path, "r", &[], "").await.ok()?;
+    Some(response.status)
 }
 
-/// Waits until `front` answers `path` with `wanted`.
-pub async fn wait_for_status(front: SocketAddr, path: &str, wanted: StatusCode) {
-    let waiting = async {
-        while get_status(front, path).await != Some(wanted) {
+/// Waits until `front` responds to a GET of `path` with `expected`.
+pub async fn wait_for_status(front: SocketAddr, path: &str, expected: StatusCode) {
+    let polling = async {
+        while get_status(front, path).await != Some(expected) {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let waited = tokio::time::timeout(WAIT_TIMEOUT, waiting).await;
-    assert!(waited.is_ok(), "{front}{path} never answered {wanted}");
+    let polled = tokio::time::timeout(WAIT_TIMEOUT, polling).await;
+    assert!(
+        polled.is_ok(),
+        "{front}{path} did not respond with {expected} in time"
+    );
 }
 
 /// Moves the route of `/plain/` to `/moved/`.
@@ -396,7 +401,7 @@
     config["routes"][0]["path_prefix"] = json!("/moved/");
 }
 
-/// Reads a job until `count` results are listed; answers them all.
+/// Reads a job until at least `count` results are listed, and returns them.
 pub async fn wait_for_results(front: SocketAddr, job: &str, count: usize) -> Vec<Value> {
     let mut results = Vec::new();
     for _ in 0..300 {
@@ -408,10 +413,13 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    panic!("only {} of {count} results of {job}", results.len());
+    panic!(
+        "only {} of {count} results of {job} were listed in time",
+        results.len()
+    );
 }
 
-/// The ids of results, sorted.
+/// Returns the item ids of results, sorted.
 pub fn result_ids(results: &[Value]) -> Vec<String> {
     let ids = results
         .iter()
@@ -421,7 +429,7 @@
     ids
 }
 
-/// The ids of a job's items as submitted, sorted.
+/// Returns the ids of the items of a job as submitted, sorted.
 pub fn item_ids(job: &str, count: usize) -> Vec<String> {
     let mut ids: Vec<String> = (0..count).map(|at| caller::item_id(job, at)).collect();
     ids.sort();
