--- a/crates/foxwheel-node/tests/batch_contract.rs
+++ b/crates/foxwheel-node/tests/batch_contract.rs
@@ -1,4 +1,5 @@
-//! Batch jobs: every call, and promises under faults of the store, servers and workers.
+//! Tests all requests on batch jobs, and that each result of an accepted job is listed exactly
+//! once despite faults of the store, the backend servers and the workers.
 
 mod common;
 
@@ -14,13 +15,13 @@
 use hyper::{Method, StatusCode};
 use serde_json::{json, Value};
 
-async fn end(fleet: &Fleet, job: &str) -> StatusCode {
+async fn end_job(fleet: &Fleet, job: &str) -> StatusCode {
     let path = format!("/api/lots/{job}");
-    let answer = call(fleet.fronts[0], Method::DELETE, &path, "end", &[], "").await;
-    answer.expect("answered").status
+    let response = call(fleet.fronts[0], Method::DELETE, &path, "end", &[], "").await;
+    response.expect("a response").status
 }
 
-fn whole_output(item: &str) -> String {
+fn full_output(item: &str) -> String {
     let events: Vec<String> = (1..=5).map(|event| event_data(item, event)).collect();
     events.join("\n")
 }
@@ -30,11 +31,12 @@
     for result in results {
         let id = result["id"].as_str().expect("an id");
         assert_eq!(result["state"], "completed", "{id}");
-        assert_eq!(result["output"], whole_output(id), "{id}");
+        assert_eq!(result["output"], full_output(id), "{id}");
     }
 }
 
-/// Slow enough that a job is still running when the test acts.
+/// Returns the shapes of servers that are so slow that a job is still running when the test
+/// acts.
 fn slow_shapes(count: usize) -> Vec<Shape> {
     let shapes = common::server_shapes(count).into_iter();
     let step = Duration::from_millis(120);
@@ -46,33 +48,33 @@
     let fleet = Fleet::start(FleetPlan::default()).await;
     let front = fleet.fronts[0];
     for _ in 0..2 {
-        let answer = submit(front, "job", 7).await.expect("answered");
-        assert_eq!(answer.status, StatusCode::ACCEPTED);
+        let response = submit(front, "job", 7).await.expect("a response");
+        assert_eq!(response.status, StatusCode::ACCEPTED);
     }
     let results = wait_for_results(front, "job", 7).await;
     assert_all_completed(&results, "job", 7);
-    let again = read_results(front, "job", 3).await.expect("readable");
-    assert_eq!(again["total"], 7);
-    assert_eq!(again["next_token"], 7);
-    assert_eq!(again["results"].as_array().expect("a list"), &results[3..]);
+    let rest = read_results(front, "job", 3).await.expect("readable");
+    assert_eq!(rest["total"], 7);
+    assert_eq!(rest["next_token"], 7);
+    assert_eq!(rest["results"].as_array().expect("a list"), &results[3..]);
     let path = "/api/items/job?id=job-item-2";
-    let body = call(front, Method::GET, path, "body", &[], "")
+    let response = call(front, Method::GET, path, "body", &[], "")
         .await
-        .expect("answered");
+        .expect("a response");
     assert_eq!(
-        body.body.as_ref(),
+        response.body.as_ref(),
         [0xab, 0xcd, 0xef, 0x12, 0x34, 0x56, 0x78, 0x90]
     );
     let path = "/api/items/job?id=none";
-    let none = call(front, Method::GET, path, "body", &[], "")
+    let response = call(front, Method::GET, path, "body", &[], "")
         .await
-        .expect("answered");
-    assert_eq!(none.status, StatusCode::NOT_FOUND);
+        .expect("a response");
+    assert_eq!(response.status, StatusCode::NOT_FOUND);
     for _ in 0..2 {
-        assert_eq!(end(&fleet, "job").await, StatusCode::OK);
+        assert_eq!(end_job(&fleet, "job").await, StatusCode::OK);
     }
-    assert_eq!(end(&fleet, "unknown").await, StatusCode::NOT_FOUND);
-    let repeat = submit(front, "job", 7).await.expect("answered");
+    assert_eq!(end_job(&fleet, "unknown").await, StatusCode::NOT_FOUND);
+    let repeat = submit(front, "job", 7).await.expect("a response");
     assert_eq!(repeat.status, StatusCode::ACCEPTED);
     let runs = fleet
         .servers
@@ -84,7 +86,7 @@
 }
 
 #[actix_web::test]
-async fn bad_submissions_are_refused_by_name() {
+async fn invalid_submissions_are_rejected_with_the_reason() {
     let fleet = Fleet::start(FleetPlan::default()).await;
     let item = |id: &str, body: &str| json!({"id": id, "path": "/p", "body": body, "tokens": 1});
     let cases = [
@@ -101,19 +103,23 @@
             "'a'",
         ),
     ];
-    for (name, body, named) in cases {
-        let answer = call(fleet.fronts[0], Method::POST, "/batch/x", "bad", &[], &body).await;
-        let answer = answer.expect("answered");
-        assert_eq!(answer.status, StatusCode::BAD_REQUEST, "{name}");
-        assert!(answer.text().contains(named), "{name}: {}", answer.text());
+    for (name, body, reason) in cases {
+        let response = call(fleet.fronts[0], Method::POST, "/batch/x", "bad", &[], &body).await;
+        let response = response.expect("a response");
+        assert_eq!(response.status, StatusCode::BAD_REQUEST, "{name}");
+        assert!(
+            response.text().contains(reason),
+            "{name}: {}",
+            response.text()
+        );
     }
     assert!(fleet.list_stored("foxwheel-jobs/").await.is_empty());
     fleet.cancel.cancel();
 }
 
-/// A job larger than one value of the store is kept in parts, also its results.
+/// A job that is larger than one value of the store is stored in parts, and so are its results.
 #[actix_web::test]
-async fn a_job_larger_than_a_value_survives_its_worker() {
+async fn a_job_larger_than_a_store_value_survives_the_death_of_its_worker() {
     let mut fleet = Fleet::start(FleetPlan {
         servers: slow_shapes(4),
         ..FleetPlan::default()
@@ -121,14 +127,14 @@
     .await;
     let filler = "A".repeat(40_000);
     let items: Vec<Value> = (0..40)
-        .map(|at| {
+        .map(|number| {
             json!({
-                "id": format!("large-item-{at}"), "path": "/p", "body": filler, "tokens": 1,
+                "id": format!("large-item-{number}"), "path": "/p", "body": filler, "tokens": 1,
             })
         })
         .collect();
     let body = json!({ "items": items }).to_string();
-    let answer = call(
+    let response = call(
         fleet.fronts[0],
         Method::POST,
         "/batch/x",
@@ -137,7 +143,7 @@
         &body,
     )
     .await;
-    assert_eq!(answer.expect("answered").status, StatusCode::ACCEPTED);
+    assert_eq!(response.expect("a response").status, StatusCode::ACCEPTED);
     assert!(!fleet.list_stored("foxwheel-job-parts/").await.is_empty());
     fleet.processes[1].kill();
     fleet.add_process(Role::Worker).await;
@@ -163,29 +169,29 @@
         ("broken", &[Fault::BreakAfter(2)], "completed", 2),
         ("broken within", &[Fault::BreakWithin(2)], "completed", 2),
     ];
-    for (at, (name, faults, state, runs)) in cases.iter().enumerate() {
-        let job = format!("job-{at}");
+    for (index, (name, faults, state, runs)) in cases.iter().enumerate() {
+        let job = format!("job-{index}");
         script.extend(faults.iter().copied());
-        submit(fleet.fronts[0], &job, 1).await.expect("answered");
+        submit(fleet.fronts[0], &job, 1).await.expect("a response");
         let results = wait_for_results(fleet.fronts[0], &job, 1).await;
         assert_eq!(results[0]["state"], *state, "{name}");
         let item = format!("{job}-item-0");
         assert_eq!(fleet.runs_of_request(&item).len(), *runs, "{name}");
         if *state == "completed" {
-            assert_eq!(results[0]["output"], whole_output(&item), "{name}");
+            assert_eq!(results[0]["output"], full_output(&item), "{name}");
         }
     }
     let resumed = fleet.runs_of_request("job-5-item-0");
     assert_eq!(
         resumed[1].resumed_after,
         Some(2),
-        "goes on behind the last whole event"
+        "the run resumes after the last complete event"
     );
     fleet.cancel.cancel();
 }
 
 #[actix_web::test]
-async fn the_quota_holds_across_fronts() {
+async fn the_quota_is_enforced_across_fronts() {
     let fleet = Fleet::start(FleetPlan {
         servers: slow_shapes(1),
         fronts: 3,
@@ -197,13 +203,13 @@
         .configure(2, |config| config["routes"][4]["cap"] = cap.into())
         .await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    // Jobs of 200 tokens each, at three fronts at once.
-    let submissions = (0..12).map(|at| {
-        let front = fleet.fronts[at % 3];
+    // Submits jobs of 200 tokens each to three fronts concurrently.
+    let submissions = (0..12).map(|number| {
+        let front = fleet.fronts[number % 3];
         async move {
-            submit(front, &format!("job-{at}"), 2)
+            submit(front, &format!("job-{number}"), 2)
                 .await
-                .expect("answered")
+                .expect("a response")
                 .status
         }
     });
@@ -214,7 +220,7 @@
     fleet.cancel.cancel();
 }
 
-/// The end of a job is acknowledged only when it is recorded, and its items stop.
+/// The end of a job is acknowledged only once it is recorded, and the items of the job stop.
 #[actix_web::test]
 async fn an_ended_job_stops_and_stays_readable() {
     let fleet = Fleet::start(FleetPlan {
@@ -222,9 +228,11 @@
         ..FleetPlan::default()
     })
     .await;
-    submit(fleet.fronts[0], "job", 30).await.expect("answered");
+    submit(fleet.fronts[0], "job", 30)
+        .await
+        .expect("a response");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert_eq!(end(&fleet, "job").await, StatusCode::OK);
+    assert_eq!(end_job(&fleet, "job").await, StatusCode::OK);
     tokio::time::sleep(Duration::from_millis(500)).await;
     let runs = fleet.servers[0].runs.all().len();
     tokio::time::sleep(Duration::from_millis(1_000)).await;
@@ -237,11 +245,11 @@
     fleet.cancel.cancel();
 }
 
-/// Answers of the store are lost, at once or with the write done late; the store is slow,
-/// or down for a while. What was accepted is finished once.
+/// The store loses responses (and performs the writes at once or late), is slow, or is
+/// unavailable for a while. Accepted jobs are completed, with each result listed once.
 #[actix_web::test]
-async fn accepted_jobs_survive_the_stores_faults() {
-    let lost = |late_ms| Faults {
+async fn accepted_jobs_survive_store_faults() {
+    let lost_responses = |late_ms| Faults {
         lose_reply_every: 2,
         late_ms,
         ..Faults::default()
@@ -256,12 +264,12 @@
         ..Faults::default()
     };
     let cases = [
-        ("answers lost", lost(0)),
-        ("answers lost, done late", lost(400)),
+        ("responses lost", lost_responses(0)),
+        ("responses lost, writes late", lost_responses(400)),
         ("slow", slow),
         ("busy", outage(Refusal::Busy)),
-        ("over its rates", outage(Refusal::RateLimited)),
-        ("reset", outage(Refusal::Reset)),
+        ("rate limited", outage(Refusal::RateLimited)),
+        ("connections reset", outage(Refusal::Reset)),
         ("silent", outage(Refusal::Silent)),
     ];
     let fleet = Fleet::start(FleetPlan {
@@ -269,18 +277,24 @@
         ..FleetPlan::default()
     })
     .await;
-    for (at, (name, faults)) in cases.into_iter().enumerate() {
-        let (before, during) = (format!("before-{at}"), format!("during-{at}"));
-        let accepted = submit(fleet.fronts[0], &before, 4).await.expect("answered");
+    for (index, (name, faults)) in cases.into_iter().enumerate() {
+        let (before, during) = (format!("before-{index}"), format!("during-{index}"));
+        let accepted = submit(fleet.fronts[0], &before, 4)
+            .await
+            .expect("a response");
         assert_eq!(accepted.status, StatusCode::ACCEPTED, "{name}");
         fleet.set_store_faults(faults).await;
-        let submitted = submit(fleet.fronts[0], &during, 4).await.expect("answered");
+        let submitted = submit(fleet.fronts[0], &during, 4)
+            .await
+            .expect("a response");
         tokio::time::sleep(Duration::from_millis(300)).await;
         fleet.set_store_faults(Faults::default()).await;
         if submitted.status != StatusCode::ACCEPTED {
-            let again = submit(fleet.fronts[0], &during, 4).await.expect("answered");
+            let repeated = submit(fleet.fronts[0], &during, 4)
+                .await
+                .expect("a response");
             assert_eq!(
-                again.status,
+                repeated.status,
                 StatusCode::ACCEPTED,
                 "{name}: after the fault"
             );
@@ -293,9 +307,10 @@
     fleet.cancel.cancel();
 }
 
-/// A worker dies with items in flight and results unstored; another takes its jobs over.
+/// A worker dies while items are running and results are not stored yet. Another worker takes
+/// its jobs over.
 #[actix_web::test]
-async fn a_dead_workers_jobs_are_finished_by_another() {
+async fn another_worker_finishes_the_jobs_of_a_dead_worker() {
     let fleet = Fleet::start(FleetPlan {
         servers: slow_shapes(2),
         workers: 2,
@@ -304,7 +319,7 @@
     .await;
     let jobs = ["a", "b", "c", "d"];
     for job in jobs {
-        submit(fleet.fronts[0], job, 6).await.expect("answered");
+        submit(fleet.fronts[0], job, 6).await.expect("a response");
     }
     tokio::time::sleep(Duration::from_millis(700)).await;
     fleet.processes[1].kill();
@@ -315,10 +330,10 @@
     fleet.cancel.cancel();
 }
 
-/// A worker that is told to stop gives its jobs back and ends in time; nothing runs twice
-/// that was finished.
+/// A worker that is told to stop releases its jobs and ends in time, and each result is listed
+/// once.
 #[actix_web::test]
-async fn a_stopping_worker_gives_its_jobs_back() {
+async fn a_stopping_worker_releases_its_jobs() {
     let fleet = Fleet::start(FleetPlan {
         servers: slow_shapes(2),
         workers: 2,
@@ -326,47 +341,51 @@
     })
     .await;
     for job in ["a", "b"] {
-        submit(fleet.fronts[0], job, 20).await.expect("answered");
+        submit(fleet.fronts[0], job, 20).await.expect("a response");
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let told_at = Instant::now();
+    let stopped_at = Instant::now();
     fleet.processes[1].stop.cancel();
     for job in ["a", "b"] {
         let results = wait_for_results(fleet.fronts[0], job, 20).await;
         assert_all_completed(&results, job, 20);
     }
     while !fleet.processes[1].has_ended() {
-        assert!(told_at.elapsed() < Duration::from_secs(60), "it never ends");
+        assert!(
+            stopped_at.elapsed() < Duration::from_secs(60),
+            "the worker does not end"
+        );
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     fleet.cancel.cancel();
 }
 
-/// The operator asks to empty a host: it is reported empty only when it holds no job.
+/// The operator asks to retire a host. The host reports the retirement as completed only when
+/// it owns no job, so that it can be killed then without losing work.
 #[actix_web::test]
-async fn a_retired_host_is_empty_before_it_says_so() {
+async fn a_host_reports_its_retirement_only_after_releasing_its_jobs() {
     let fleet = Fleet::start(FleetPlan {
         servers: slow_shapes(1),
         workers: 2,
         ..FleetPlan::default()
     })
     .await;
-    submit(fleet.fronts[0], "a", 12).await.expect("answered");
+    submit(fleet.fronts[0], "a", 12).await.expect("a response");
     let host = fleet.processes[1].settings.host.clone();
     let key = format!("retirements/{host}");
-    let asked = fleet
+    let requested = fleet
         .store
         .put(&key, &json!({"deadline_s": 10}), Some(0))
         .await;
-    asked.expect("asked");
+    requested.expect("the request is written");
     let store = foxwheel_platform::store::Store::new(fleet.processes[1].settings.store_address);
     let mut states: Vec<Value> = Vec::new();
     while states.last() != Some(&json!("completed")) {
         let object = store
             .get("retirements", &host)
             .await
-            .expect("read")
-            .expect("there");
+            .expect("readable")
+            .expect("the request exists");
         let state = object.status["state"].clone();
         if states.last() != Some(&state) {
             states.push(state);
@@ -379,16 +398,16 @@
     fleet.cancel.cancel();
 }
 
-/// With no worker alive a job is still accepted, readable and its bodies kept.
+/// Without a live worker jobs are still accepted, and their results and item bodies are readable.
 #[actix_web::test]
-async fn a_front_alone_answers_from_the_store() {
+async fn a_front_without_workers_serves_jobs_from_the_store() {
     let mut fleet = Fleet::start(FleetPlan {
         workers: 0,
         ..FleetPlan::default()
     })
     .await;
     let front = fleet.fronts[0];
-    let accepted = submit(front, "job", 3).await.expect("answered");
+    let accepted = submit(front, "job", 3).await.expect("a response");
     assert_eq!(accepted.status, StatusCode::ACCEPTED);
     let read = read_results(front, "job", 0).await.expect("readable");
     assert_eq!(read["total"], 3);
@@ -402,81 +421,92 @@
         "",
     )
     .await;
-    assert_eq!(body.expect("answered").status, StatusCode::OK);
+    assert_eq!(body.expect("a response").status, StatusCode::OK);
     fleet.add_process(Role::Worker).await;
     let results = wait_for_results(front, "job", 3).await;
     assert_all_completed(&results, "job", 3);
     fleet.cancel.cancel();
 }
 
-/// The store turns the front away, or the worker, or both: a job is accepted in time, run
-/// and stored through peers.
+/// The front, the workers or a front and a worker cannot reach the store. Jobs are accepted, run
+/// and stored through peers that can.
 #[actix_web::test]
-async fn a_host_that_the_store_turns_away_works_through_peers() {
+async fn a_host_that_cannot_reach_the_store_works_through_peers() {
     let fleet = Fleet::start(FleetPlan {
         fronts: 2,
         workers: 2,
         ..FleetPlan::default()
     })
     .await;
-    // Processes 0 and 1 are fronts, 2 and 3 workers.
+    // Processes 0 and 1 are fronts, processes 2 and 3 are workers.
     for (name, cut) in [("front", &[0][..]), ("workers", &[2, 3]), ("both", &[0, 2])] {
-        for at in cut {
-            fleet.processes[*at].store_path.cut();
+        for index in cut {
+            fleet.processes[*index].store_path.cut();
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
-        let accepted = submit(fleet.fronts[0], name, 4).await.expect("answered");
+        let accepted = submit(fleet.fronts[0], name, 4).await.expect("a response");
         assert_eq!(accepted.status, StatusCode::ACCEPTED, "{name}");
         let results = wait_for_results(fleet.fronts[0], name, 4).await;
         assert_all_completed(&results, name, 4);
-        assert_eq!(end(&fleet, name).await, StatusCode::OK, "{name}");
-        for at in cut {
-            fleet.processes[*at].store_path.heal();
+        assert_eq!(end_job(&fleet, name).await, StatusCode::OK, "{name}");
+        for index in cut {
+            fleet.processes[*index].store_path.heal();
         }
         tokio::time::sleep(Duration::from_millis(700)).await;
     }
     fleet.cancel.cancel();
 }
 
-/// The writes that one submission at each front costs together.
-async fn round_writes(fleet: &Fleet, name: &str) -> u64 {
+/// Submits one job at each front and returns the number of store writes this takes in total.
+async fn count_writes_of_submissions(fleet: &Fleet, name: &str) -> u64 {
     let before = fleet.store.stats().await.expect("stats").writes;
-    for (at, front) in fleet.fronts.iter().enumerate() {
-        let job = format!("{name}-{at}");
-        let accepted = submit(*front, &job, 1).await.expect("answered");
+    for (index, front) in fleet.fronts.iter().enumerate() {
+        let job = format!("{name}-{index}");
+        let accepted = submit(*front, &job, 1).await.expect("a response");
         assert_eq!(accepted.status, StatusCode::ACCEPTED, "{job}");
     }
     fleet.store.stats().await.expect("stats").writes - before
 }
 
-/// Each submission is stored and entered in the ledger, whichever front it comes to: no
-/// front meets another's change of the ledger and writes again.
+/// Each submission writes the job and the ledger once, whichever front receives it: no front's
+/// write of the ledger conflicts with another's and has to be repeated.
 #[actix_web::test]
-async fn submissions_at_several_fronts_cost_two_writes_each() {
+async fn submissions_at_several_fronts_take_two_writes_each() {
     let fleet = Fleet::start(FleetPlan {
         fronts: 3,
         ..FleetPlan::default()
     })
     .await;
-    // No server takes the items, so that nothing but the submissions is written.
+    // No server runs the items, so that only the submissions cause writes.
     fleet
         .configure(2, |config| config["routes"][4]["service"] = json!("none"))
         .await;
     tokio::time::sleep(Duration::from_millis(500)).await;
-    // Fronts that do not hear the worker yet meet each other's changes, but for their very
-    // first ones: a round costs more. Once all hear it, no round does.
-    let mut cheap_rounds = 0;
+    // Until all fronts receive the worker's heartbeats, they write the ledger by themselves and
+    // their writes conflict, except for the very first ones, so a round takes more writes. Once
+    // they all know the worker, no round does.
+    let mut rounds_without_conflict = 0;
     for round in 0..200 {
-        let writes = round_writes(&fleet, &format!("first-{round}")).await;
-        cheap_rounds = if writes == 6 { cheap_rounds + 1 } else { 0 };
-        if cheap_rounds == 2 {
+        let writes = count_writes_of_submissions(&fleet, &format!("first-{round}")).await;
+        rounds_without_conflict = if writes == 6 {
+            rounds_without_conflict + 1
+        } else {
+            0
+        };
+        if rounds_without_conflict == 2 {
             break;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(cheap_rounds, 2, "submissions never cost two writes each");
+    assert_eq!(
+        rounds_without_conflict, 2,
+        "submissions never took two writes each"
+    );
     for round in 0..3 {
-        assert_eq!(round_writes(&fleet, &format!("job-{round}")).await, 6);
+        assert_eq!(
+            count_writes_of_submissions(&fleet, &format!("job-{round}")).await,
+            6
+        );
     }
     fleet.cancel.cancel();
 }
--- a/crates/foxwheel-node/tests/soak.rs
+++ b/crates/foxwheel-node/tests/soak.rs
@@ -1,5 +1,6 @@
-//! The fault soak on this build's programs: three short seeds, at once. On each of them a
-//! stopping front once closed connections that callers had just opened, without an answer.
+//! Runs the fault soak on the programs of this build with three short seeds. These seeds guard
+//! against a stopping front that closes connections which callers have just opened, without a
+//! response.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -8,7 +9,7 @@
 use foxwheel_soak::plan::{Plan, Size};
 use foxwheel_soak::run::{self, Folders};
 
-async fn soak(seed: u64) {
+async fn run_soak(seed: u64) {
     let size = Size {
         callers: 4,
         faults_for: Duration::from_secs(8),
@@ -20,22 +21,22 @@
         run: PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{seed}")),
     };
     let outcome = run::run(&Plan::draw(seed, size), &folders).await;
-    let outcome = outcome.expect("the run is carried out");
+    let outcome = outcome.expect("the soak run completes");
     assert!(outcome.breaches.is_empty(), "{:#?}", outcome.breaches);
     println!("{}", outcome.summary);
 }
 
 #[actix_web::test]
-async fn every_promise_holds_on_seed_3() {
-    soak(3).await;
+async fn all_checks_pass_on_seed_3() {
+    run_soak(3).await;
 }
 
 #[actix_web::test]
-async fn every_promise_holds_on_seed_7() {
-    soak(7).await;
+async fn all_checks_pass_on_seed_7() {
+    run_soak(7).await;
 }
 
 #[actix_web::test]
-async fn every_promise_holds_on_seed_8() {
-    soak(8).await;
+async fn all_checks_pass_on_seed_8() {
+    run_soak(8).await;
 }
--- a/crates/foxwheel-node/tests/worker_jobs.rs
+++ b/crates/foxwheel-node/tests/worker_jobs.rs
@@ -1,4 +1,4 @@
-//! A worker that reads a job which another worker runs.
+//! Tests a worker's jobs in memory: reading jobs that another worker owns, and evicting jobs.
 
 mod common;
 
@@ -14,9 +14,9 @@
 use foxwheel_policy::batch::job::JobSpec;
 use tokio_util::sync::CancellationToken;
 
-fn job(items: usize) -> JobSpec {
-    let item = |at: usize| ItemSpec {
-        id: format!("item-{at}"),
+fn job_spec(item_count: usize) -> JobSpec {
+    let item = |number: usize| ItemSpec {
+        id: format!("item-{number}"),
         path: "/p".to_owned(),
         headers: Vec::new(),
         body: Vec::new(),
@@ -28,19 +28,19 @@
         path: "/batch/job".to_owned(),
         route: "batch".to_owned(),
         submitted_unix: Duration::from_secs(1),
-        items: (0..items).map(item).collect(),
+        items: (0..item_count).map(item).collect(),
     }
 }
 
-fn result(at: usize) -> ItemResult {
+fn item_result(number: usize) -> ItemResult {
     ItemResult {
-        id: format!("item-{at}"),
+        id: format!("item-{number}"),
         ending: ItemOutcome::Completed,
         output: "text".to_owned(),
     }
 }
 
-fn start(cancel: &CancellationToken) -> Arc<WorkerJobs> {
+fn start_worker_jobs(cancel: &CancellationToken) -> Arc<WorkerJobs> {
     let (store_address, store) =
         foxwheel_platform_emu::server::start(&PlatformSettings::for_test(), cancel.clone())
             .expect("store starts");
@@ -49,7 +49,7 @@
     WorkerJobs::new(Node::new(settings, cancel.clone()))
 }
 
-async fn listed(jobs: &WorkerJobs, known_parts: u32) -> usize {
+async fn count_results(jobs: &WorkerJobs, known_parts: u32) -> usize {
     let read = ResultsQuery {
         from: 0,
         max_bytes: 1_000_000,
@@ -62,91 +62,96 @@
     }
 }
 
-/// The worker read the job early; its runner stored several parts since, closed it and is
-/// told of no more. Every part that a caller may have read elsewhere must be answered.
+/// This worker loaded the job early. Since then its owner stored several parts, closed the job
+/// and no longer reports it. A read must return every part that the caller may already have read
+/// from another worker.
 #[actix_web::test]
 async fn a_later_read_finds_every_part_stored_since() {
     let cancel = CancellationToken::new();
-    let jobs = start(&cancel);
+    let jobs = start_worker_jobs(&cancel);
     let deadline = Instant::now() + Duration::from_secs(5);
     jobs.store
-        .save_job(&job(3), deadline)
+        .save_job(&job_spec(3), deadline)
         .await
         .expect("stored");
-    assert_eq!(listed(&jobs, 0).await, 0);
+    assert_eq!(count_results(&jobs, 0).await, 0);
     for part in 0..3 {
-        let results = [result(part as usize)];
+        let results = [item_result(part as usize)];
         let id = "job".to_owned();
         let stored = jobs.store.create_part(&id, part, &results).await;
         stored.expect("stored");
     }
     tokio::time::sleep(Duration::from_millis(700)).await;
-    assert_eq!(listed(&jobs, 0).await, 3);
+    assert_eq!(count_results(&jobs, 0).await, 3);
     cancel.cancel();
 }
 
-/// Another worker tells of parts: they are read at once, however fresh the last look is.
+/// Parts that another worker reports are read at once, even if the store was read just before.
 #[actix_web::test]
-async fn parts_that_others_know_are_read_at_once() {
+async fn parts_reported_by_other_workers_are_read_at_once() {
     let cancel = CancellationToken::new();
-    let jobs = start(&cancel);
+    let jobs = start_worker_jobs(&cancel);
     let deadline = Instant::now() + Duration::from_secs(5);
     jobs.store
-        .save_job(&job(3), deadline)
+        .save_job(&job_spec(3), deadline)
         .await
         .expect("stored");
-    assert_eq!(listed(&jobs, 0).await, 0);
+    assert_eq!(count_results(&jobs, 0).await, 0);
     for part in 0..2 {
-        let results = [result(part as usize)];
+        let results = [item_result(part as usize)];
         let id = "job".to_owned();
         let stored = jobs.store.create_part(&id, part, &results).await;
         stored.expect("stored");
     }
-    assert_eq!(listed(&jobs, 2).await, 2);
+    assert_eq!(count_results(&jobs, 2).await, 2);
     cancel.cancel();
 }
 
 #[actix_web::test]
-async fn an_unknown_job_is_told_from_an_unreadable_one() {
+async fn an_unknown_job_is_distinguished_from_an_unreadable_one() {
     let cancel = CancellationToken::new();
-    let jobs = start(&cancel);
+    let jobs = start_worker_jobs(&cancel);
     let read = ResultsQuery {
         from: 0,
         max_bytes: 1,
         known_parts: 0,
         wait: Duration::ZERO,
     };
-    let answer = jobs.read_results(&"none".to_owned(), read).await;
-    assert_eq!(answer, ResultsResponse::NoSuchJob);
+    let response = jobs.read_results(&"none".to_owned(), read).await;
+    assert_eq!(response, ResultsResponse::NoSuchJob);
     cancel.cancel();
-    // Without the store nothing can be said.
+    // Without the store the worker cannot tell whether the job exists.
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let answer = jobs.read_results(&"other".to_owned(), read).await;
-    assert_eq!(answer, ResultsResponse::Unsure);
+    let response = jobs.read_results(&"other".to_owned(), read).await;
+    assert_eq!(response, ResultsResponse::Unsure);
 }
 
-/// Jobs that nobody reads stay in memory within a bound: the ones unread for longest go first.
+/// The jobs that are kept in memory only for readers have a size limit; the least recently used
+/// ones are evicted first.
 #[actix_web::test]
-async fn jobs_kept_for_readers_stay_within_a_bound() {
+async fn jobs_kept_for_readers_stay_within_the_size_limit() {
     let cancel = CancellationToken::new();
-    let jobs = start(&cancel);
-    let large = |at: usize| {
-        let mut job = job(1);
-        job.id = format!("job-{at:02}");
+    let jobs = start_worker_jobs(&cancel);
+    let large_job = |number: usize| {
+        let mut job = job_spec(1);
+        job.id = format!("job-{number:02}");
         job.items[0].body = vec![0; 1_000_000];
         job
     };
-    for at in 0..40 {
-        let spec = large(at);
+    for number in 0..40 {
+        let spec = large_job(number);
         let id = spec.id.clone();
         jobs.start_new_job(spec);
         jobs.end_job(&id, "test");
     }
     jobs.evict_unused(Instant::now());
     let kept: Vec<bool> = (0..40)
-        .map(|at| jobs.with_entry(&format!("job-{at:02}"), |_| ()).is_some())
+        .map(|number| {
+            jobs.with_entry(&format!("job-{number:02}"), |_| ())
+                .is_some()
+        })
         .collect();
     assert_eq!(kept.iter().filter(|kept| **kept).count(), 16);
-    assert!(kept[39] && !kept[0], "the newest stay: {kept:?}");
+    assert!(kept[39] && !kept[0], "the newest jobs stay: {kept:?}");
     cancel.cancel();
 }
