--- a/crates/foxwheel-node/tests/load_table.rs
+++ b/crates/foxwheel-node/tests/load_table.rs
@@ -1,4 +1,4 @@
-//! Slots in flight and servers to avoid.
+//! The requests in flight at each server, and the servers to avoid.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,9 +13,10 @@
     }
 }
 
-/// Several choices are made before any of the chosen requests is sent: each counts at once.
+/// Several servers may be chosen before any of the requests is sent, so a request must count from
+/// the choice on.
 #[test]
-fn a_slot_counts_from_the_choice_to_the_end() {
+fn a_request_counts_from_the_choice_of_its_server_to_its_end() {
     let (table, now) = (Arc::new(LoadTable::default()), Instant::now());
     let server = server(1);
     let online = table.begin_request(&server, WorkClass::Online);
@@ -33,19 +34,20 @@
     assert!(table.snapshot().is_empty());
 }
 
-/// At a full server one request waits long while others get their events: it is at work.
+/// At a full server, one request may wait long while others receive events. The server is working
+/// and must not count as silent.
 #[test]
 fn a_server_that_sends_anything_is_not_silent() {
     let (table, start) = (LoadTable::default(), Instant::now());
-    let (server, silence) = (server(1), Duration::from_millis(400));
-    assert!(table.is_silent(&server, silence, start));
+    let (server, limit) = (server(1), Duration::from_millis(400));
+    assert!(table.is_silent(&server, limit, start));
     table.record_progress(&server, start);
-    assert!(!table.is_silent(&server, silence, start + Duration::from_millis(399)));
-    assert!(table.is_silent(&server, silence, start + silence));
+    assert!(!table.is_silent(&server, limit, start + Duration::from_millis(399)));
+    assert!(table.is_silent(&server, limit, start + limit));
 }
 
 #[test]
-fn a_suspect_is_avoided_until_it_sends_something_or_time_passes() {
+fn a_suspected_server_is_avoided_until_it_sends_something_or_time_passes() {
     let (table, start) = (LoadTable::default(), Instant::now());
     let server = server(1);
     assert!(table.mark_suspected(&server, start));
@@ -61,12 +63,12 @@
     assert!(!table.own_load(&server, start).is_suspected);
 }
 
-/// A server starts again under its id: what is known of the earlier start, and what still
-/// hangs there, says nothing of the later one.
+/// A server restarts with the same id. Failures of its earlier instance, and requests that are
+/// still in flight there, must not count for the new instance.
 #[test]
-fn a_later_start_begins_with_nothing() {
+fn a_restarted_server_begins_without_load_and_failures() {
     let (table, now) = (Arc::new(LoadTable::default()), Instant::now());
-    let hanging = table.begin_request(&server(1), WorkClass::Online);
+    let earlier_request = table.begin_request(&server(1), WorkClass::Online);
     table.mark_suspected(&server(1), now);
     for _ in 0..20 {
         table.record_outcome(&server(1), true, now);
@@ -76,9 +78,9 @@
         (load.online, load.is_suspected, load.failure_rate),
         (0, false, 0.0)
     );
-    let other = table.begin_request(&server(2), WorkClass::Online);
-    drop(hanging);
+    let later_request = table.begin_request(&server(2), WorkClass::Online);
+    drop(earlier_request);
     assert_eq!(table.own_load(&server(2), now).online, 1);
-    drop(other);
+    drop(later_request);
     assert!(table.snapshot().is_empty());
 }
--- a/crates/foxwheel-node/tests/membership_contract.rs
+++ b/crates/foxwheel-node/tests/membership_contract.rs
@@ -1,5 +1,5 @@
-//! Configuration, backend servers and processes that come and go, with and without the
-//! store.
+//! Changes of the configuration, of backend servers and of processes, with and without access to
+//! the store.
 
 mod common;
 
@@ -13,15 +13,15 @@
 use hyper::{Method, StatusCode};
 use serde_json::json;
 
-fn readiness(fleet: &Fleet, at: usize) -> SocketAddr {
-    fleet.processes[at]
+fn readiness_address(fleet: &Fleet, process_index: usize) -> SocketAddr {
+    fleet.processes[process_index]
         .settings
         .readiness_address
         .expect("a front")
 }
 
 #[actix_web::test]
-async fn a_configuration_reaches_every_front_and_an_older_one_none() {
+async fn a_configuration_reaches_every_front_and_an_older_one_is_ignored() {
     let fleet = Fleet::start(FleetPlan {
         fronts: 3,
         workers: 0,
@@ -45,7 +45,7 @@
 }
 
 #[actix_web::test]
-async fn an_unreadable_configuration_changes_nothing_and_a_bad_route_only_itself() {
+async fn an_invalid_configuration_is_ignored_and_an_invalid_route_affects_only_itself() {
     let fleet = Fleet::start(FleetPlan::default()).await;
     fleet
         .configure(2, |config| config["limits"] = json!("none"))
@@ -64,9 +64,10 @@
     fleet.cancel.cancel();
 }
 
-/// The store turns one front away: it goes on serving and follows changes through peers.
+/// The store rejects one front's calls. The front continues to serve and receives changes from its
+/// peers.
 #[actix_web::test]
-async fn a_front_without_the_store_follows_its_peers() {
+async fn a_front_without_store_access_receives_changes_from_its_peers() {
     let fleet = Fleet::start(FleetPlan {
         fronts: 2,
         ..FleetPlan::default()
@@ -82,10 +83,10 @@
     fleet.cancel.cancel();
 }
 
-/// A front that starts while the store is down takes over what a peer knows; until then it
-/// answers that nothing was run, and is not ready.
+/// A front that starts while it cannot reach the store takes its state from a peer. Until then it
+/// refuses requests as not run, and is not ready.
 #[actix_web::test]
-async fn a_front_started_in_an_outage_learns_from_a_peer() {
+async fn a_front_started_in_an_outage_syncs_from_a_peer() {
     let mut fleet = Fleet::start(FleetPlan::default()).await;
     fleet.add_process(Role::Front).await;
     let front = fleet.fronts[1];
@@ -94,23 +95,24 @@
     for _ in 0..500 {
         match get_status(front, "/plain/a").await {
             Some(StatusCode::OK) => {
-                let ready = get_status(readiness(&fleet, 2), "/api/readyz").await;
+                let ready = get_status(readiness_address(&fleet, 2), "/api/readyz").await;
                 assert_eq!(ready, Some(StatusCode::OK));
                 fleet.cancel.cancel();
                 return;
             }
             Some(StatusCode::SERVICE_UNAVAILABLE) => refused += 1,
             None => {}
-            Some(other) => panic!("answered {other} without a configuration"),
+            Some(other) => panic!("responded {other} without a configuration"),
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("never served; refused {refused} times");
+    panic!("the front never served; it refused {refused} requests");
 }
 
-/// All entries vanish in an outage and come back after it: requests are served all along.
+/// All server entries expire during an outage of the store and are registered again after it.
+/// Requests must be served throughout.
 #[actix_web::test]
-async fn servers_whose_entries_lapsed_in_an_outage_stay_in_use() {
+async fn servers_whose_entries_expire_in_an_outage_stay_in_use() {
     let fleet = Fleet::start(FleetPlan {
         workers: 0,
         ..FleetPlan::default()
@@ -143,10 +145,10 @@
     fleet.cancel.cancel();
 }
 
-/// The same when the watch of the servers waits through the outage, and only other calls show
-/// that the store is away.
+/// The same if the open watch of the servers does not notice the outage, so that only other calls
+/// show that the store is unavailable.
 #[actix_web::test]
-async fn servers_whose_entries_lapsed_behind_a_waiting_watch_stay_in_use() {
+async fn servers_whose_entries_expire_while_a_watch_stays_open_stay_in_use() {
     let fleet = Fleet::start(FleetPlan::default()).await;
     let front = fleet.fronts[0];
     let outage = Faults {
@@ -155,7 +157,7 @@
     };
     fleet.set_store_faults(outage).await;
     let refused = common::submit(front, "job-in-an-outage", 1).await;
-    assert_ne!(refused.expect("an answer").status, StatusCode::ACCEPTED);
+    assert_ne!(refused.expect("a response").status, StatusCode::ACCEPTED);
     fleet.set_store_faults(Faults::default()).await;
     for id in ["server-0", "server-1"] {
         let removed = fleet.store.delete(&format!("servers/{id}"), None).await;
@@ -169,9 +171,10 @@
     fleet.cancel.cancel();
 }
 
-/// The address of a server that went is reused by another: the request is not run there.
+/// A server of another service reuses the address of a server that has stopped. No request for the
+/// first service may run there.
 #[actix_web::test]
-async fn a_reused_address_never_runs_a_request() {
+async fn no_request_runs_at_a_reused_address() {
     let fleet = Fleet::start(FleetPlan {
         workers: 0,
         ..FleetPlan::default()
@@ -198,30 +201,30 @@
     fleet.cancel.cancel();
 }
 
-/// A front before `count` servers whose streams have `events` events, one each `step`.
-async fn slow_fleet(count: usize, step: Duration, events: u64) -> Fleet {
+/// Starts one front with `count` servers whose streams have `events` events, one per `step`.
+async fn start_slow_fleet(count: usize, step: Duration, events: u64) -> Fleet {
     let shapes = common::server_shapes(count).into_iter();
-    let slow = shapes.map(|shape| Shape {
+    let slow_shapes = shapes.map(|shape| Shape {
         step,
         events,
         ..shape
     });
     Fleet::start(FleetPlan {
-        servers: slow.collect(),
+        servers: slow_shapes.collect(),
         workers: 0,
         ..FleetPlan::default()
     })
     .await
 }
 
-/// A front that is told to stop is not ready at once, ends what it took, and is gone in
-/// time. A request sent meanwhile is served or refused as not run, never cut.
+/// A front that is told to stop reports not ready at once, completes its requests and exits in
+/// time. A request sent meanwhile is either served or refused as not run, but never cut off.
 #[actix_web::test]
-async fn a_stopping_front_cuts_nothing() {
-    let usual = Shape::default().events;
-    let fleet = slow_fleet(2, Duration::from_millis(60), usual).await;
+async fn a_stopping_front_cuts_off_no_request() {
+    let default_events = Shape::default().events;
+    let fleet = start_slow_fleet(2, Duration::from_millis(60), default_events).await;
     let front = fleet.fronts[0];
-    let ready = readiness(&fleet, 0);
+    let ready = readiness_address(&fleet, 0);
     assert_eq!(get_status(ready, "/api/readyz").await, Some(StatusCode::OK));
     fleet.processes[0].stop.cancel();
     assert_eq!(
@@ -234,41 +237,41 @@
             break;
         }
         let id = format!("late-{at}");
-        // A refused or reset connection took no request.
-        let Ok(answer) = call(front, Method::POST, "/stream-once/a", &id, &[], "").await else {
-            assert!(fleet.runs_of_request(&id).is_empty(), "{id} was cut");
+        // A front that refused or reset the connection has not accepted the request.
+        let Ok(response) = call(front, Method::POST, "/stream-once/a", &id, &[], "").await else {
+            assert!(fleet.runs_of_request(&id).is_empty(), "{id} was cut off");
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        match answer.status {
+        match response.status {
             StatusCode::OK => {
-                assert!(answer.whole, "{id} was cut");
+                assert!(response.whole, "{id} was cut off");
                 served += 1;
             }
             StatusCode::SERVICE_UNAVAILABLE => assert!(fleet.runs_of_request(&id).is_empty()),
-            other => panic!("{id} was answered {other}"),
+            other => panic!("the response to {id} was {other}"),
         }
     }
     assert!(
         served > 0,
-        "requests are served while the stop is announced"
+        "requests are served while the front reports not ready"
     );
     fleet.cancel.cancel();
 }
 
-/// A front that was stopping closed connections that callers had just opened, before their
-/// first request had arrived; those callers saw a broken connection and could not tell whether
-/// their request had run. It stays up here as long as a stream goes on.
+/// A stopping front closed connections that callers had just opened, before the first request
+/// arrived on them. The callers saw a broken connection and could not tell whether the request had
+/// run. In this test, a stream in progress keeps the front running.
 #[actix_web::test]
-async fn a_stopping_front_answers_the_first_request_of_each_connection() {
-    let fleet = slow_fleet(1, Duration::from_millis(100), 25).await;
+async fn a_stopping_front_responds_to_the_first_request_of_each_connection() {
+    let fleet = start_slow_fleet(1, Duration::from_millis(100), 25).await;
     let front = fleet.fronts[0];
     fleet.processes[0].stop.cancel();
-    // Half of its time to stop (2.75 s) goes by before it closes idle connections.
+    // The front closes idle connections only after half of its time to stop (2.75 s).
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let mut streaming = common::connect(front).await.expect("connected");
     let request = common::request(Method::POST, "/stream-once/a", "last", &[], "");
-    let stream = streaming.send(request).await.expect("answered");
+    let stream = streaming.send(request).await.expect("a response");
     let mut refused = 0;
     while refused < 20 {
         let mut connection = common::connect(front).await.expect("connected");
@@ -276,26 +279,27 @@
         let id = format!("late-{refused}");
         let request = common::request(Method::POST, "/once/a", &id, &[], "");
         let sent = tokio::time::timeout(Duration::from_millis(50), connection.send(request));
-        // Until it refuses, requests go to the slow server.
-        let Ok(answer) = sent.await else { continue };
-        let answer = answer.expect("the first request is answered");
-        assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.headers().contains_key("retry-after"));
+        // Before the front refuses requests, it sends them to the slow server.
+        let Ok(response) = sent.await else { continue };
+        let response = response.expect("a response to the first request");
+        assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
+        assert!(response.headers().contains_key("retry-after"));
         refused += 1;
     }
     drop(stream);
     fleet.cancel.cancel();
 }
 
-/// The store's history is dropped while servers change: the list is read anew.
+/// The store drops its history of changes while a front cannot reach it and a server changes. The
+/// front must read the list again and miss no change.
 #[actix_web::test]
-async fn a_dropped_history_loses_no_change() {
+async fn no_change_is_missed_when_the_store_drops_its_history() {
     let fleet = Fleet::start(FleetPlan {
         workers: 0,
         ..FleetPlan::default()
     })
     .await;
-    let store = fleet.store.base_url().to_owned();
+    let store_url = fleet.store.base_url().to_owned();
     fleet
         .set_store_faults(Faults {
             outage: true,
@@ -307,14 +311,14 @@
     fleet
         .register_server("server-0", fleet.servers[0].addr, "draining")
         .await;
-    let drop = awc_post(&format!("{store}/drop-history")).await;
-    assert!(drop, "history dropped");
+    let is_dropped = post_drop_history(&format!("{store_url}/drop-history")).await;
+    assert!(is_dropped, "history dropped");
     fleet.processes[0].store_path.heal();
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     for at in 0..10 {
         let id = format!("after-{at}");
-        let answer = call(fleet.fronts[0], Method::GET, "/plain/a", &id, &[], "").await;
-        assert_eq!(answer.expect("answered").status, StatusCode::OK);
+        let response = call(fleet.fronts[0], Method::GET, "/plain/a", &id, &[], "").await;
+        assert_eq!(response.expect("a response").status, StatusCode::OK);
         assert!(
             fleet.servers[0].runs.of(&id).is_empty(),
             "a draining server ran {id}"
@@ -323,13 +327,13 @@
     fleet.cancel.cancel();
 }
 
-async fn awc_post(url: &str) -> bool {
+async fn post_drop_history(url: &str) -> bool {
     let addr: SocketAddr = url
         .trim_start_matches("http://")
         .split('/')
         .next()
         .and_then(|addr| addr.parse().ok())
         .expect("an address");
-    let answer = call(addr, Method::POST, "/drop-history", "drop", &[], "").await;
-    answer.is_ok_and(|answer| answer.status.is_success())
+    let response = call(addr, Method::POST, "/drop-history", "drop", &[], "").await;
+    response.is_ok_and(|response| response.status.is_success())
 }
--- a/crates/foxwheel-node/tests/peers.rs
+++ b/crates/foxwheel-node/tests/peers.rs
@@ -1,4 +1,5 @@
-//! What a process makes of heartbeats that come late, twice, or only by way of others.
+//! Peer state after messages that arrive late, twice, out of order or only through other
+//! processes.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -29,12 +30,12 @@
     }
 }
 
-/// What a worker of the hall knows.
-fn peers() -> Peers {
+/// Returns the empty peer state of a worker in the zone `hall`.
+fn worker_peers() -> Peers {
     Peers::new("hall".to_owned(), Role::Worker)
 }
 
-fn beat(host: u8, sequence: u64, known: &[u8]) -> Heartbeat {
+fn heartbeat(host: u8, sequence: u64, known: &[u8]) -> Heartbeat {
     Heartbeat {
         host: format!("host-{host}"),
         incarnation: 1,
@@ -62,45 +63,45 @@
 }
 
 #[test]
-fn a_silent_process_counts_as_dead_and_its_load_is_forgotten() {
-    let (peers, now) = (peers(), Instant::now());
-    assert!(peers.apply_heartbeat(beat(2, 1, &[]), addr(1), now));
+fn a_process_without_recent_messages_counts_as_dead_and_without_load() {
+    let (peers, now) = (worker_peers(), Instant::now());
+    assert!(peers.apply_heartbeat(heartbeat(2, 1, &[]), addr(1), now));
     assert_eq!(peers.in_flight(&server(1), now), (2, 1));
     assert_eq!(peers.live_workers(now).len(), 1);
     let later = now + DEAD_TIMEOUT;
     assert!(peers.live_workers(later).is_empty());
     assert_eq!(peers.in_flight(&server(1), later), (0, 0));
     assert!(
-        peers.apply_heartbeat(beat(2, 2, &[]), addr(1), later),
-        "it is news that it lives"
+        peers.apply_heartbeat(heartbeat(2, 2, &[]), addr(1), later),
+        "it was considered dead before"
     );
 }
 
 #[test]
-fn heartbeats_out_of_order_change_nothing() {
-    let (peers, now) = (peers(), Instant::now());
-    peers.apply_heartbeat(beat(2, 5, &[]), addr(1), now);
-    let mut old = beat(2, 4, &[]);
+fn heartbeats_received_out_of_order_are_ignored() {
+    let (peers, now) = (worker_peers(), Instant::now());
+    peers.apply_heartbeat(heartbeat(2, 5, &[]), addr(1), now);
+    let mut old = heartbeat(2, 4, &[]);
     old.loads.clear();
     peers.apply_heartbeat(old, addr(1), now);
     assert_eq!(peers.in_flight(&server(1), now), (2, 1));
-    let mut restarted = beat(2, 1, &[]);
+    let mut restarted = heartbeat(2, 1, &[]);
     restarted.incarnation = 2;
     restarted.loads.clear();
     peers.apply_heartbeat(restarted, addr(1), now);
     assert_eq!(
         peers.in_flight(&server(1), now),
         (0, 0),
-        "a restarted process counts anew"
+        "load from before the restart does not count"
     );
 }
 
 #[test]
-fn a_worker_that_others_hear_lives() {
-    let (peers, start) = (peers(), Instant::now());
-    peers.apply_heartbeat(beat(2, 1, &[]), addr(1), start);
+fn a_worker_whose_heartbeats_only_others_receive_is_live() {
+    let (peers, start) = (worker_peers(), Instant::now());
+    peers.apply_heartbeat(heartbeat(2, 1, &[]), addr(1), start);
     let later = start + DEAD_TIMEOUT + Duration::from_millis(1);
-    peers.apply_heartbeat(beat(3, 1, &[2]), addr(1), later);
+    peers.apply_heartbeat(heartbeat(3, 1, &[2]), addr(1), later);
     let workers = peers.live_workers(later);
     let heard: Vec<(&str, bool)> = workers
         .iter()
@@ -110,25 +111,25 @@
     assert_eq!(
         peers.in_flight(&server(1), later),
         (3, 1),
-        "its load is not known any more"
+        "the load of host-2 has expired"
     );
 }
 
 #[test]
-fn addresses_spread_and_are_forgotten_without_their_process() {
-    let (peers, start) = (peers(), Instant::now());
-    peers.apply_heartbeat(beat(2, 1, &[1, 3]), addr(1), start);
+fn addresses_are_learned_from_heartbeats_and_expire() {
+    let (peers, start) = (worker_peers(), Instant::now());
+    peers.apply_heartbeat(heartbeat(2, 1, &[1, 3]), addr(1), start);
     let known = peers.known_addresses(start);
-    assert_eq!(known, [addr(2), addr(3)], "its own address is not told to");
+    assert_eq!(known, [addr(2), addr(3)], "the own address is left out");
     let later = start + Duration::from_secs(61);
     assert!(peers.known_addresses(later).is_empty());
 }
 
-/// With 740 servers in flight a heartbeat takes 11 KB: it is still received whole, and sent
-/// more rarely.
+/// With requests in flight at 740 servers, a heartbeat takes 11 KB. It must still fit into one
+/// datagram, and it is sent less often to bound the bytes per second.
 #[test]
-fn a_large_fleets_heartbeat_is_received_and_sent_more_rarely() {
-    let mut large = beat(2, 1, &[]);
+fn a_large_fleets_heartbeat_fits_a_datagram_and_is_sent_less_often() {
+    let mut large = heartbeat(2, 1, &[]);
     let load = |at| ServerLoad {
         server: ServerInstance {
             id: format!("i-{at:010x}"),
@@ -154,34 +155,34 @@
     assert!(bytes_per_s < 80_000.0, "{bytes_per_s}");
 }
 
-/// A server that starts again under its id runs nothing of what its earlier start ran.
+/// A server that restarts with the same id runs none of the requests of its earlier instance.
 #[test]
-fn load_belongs_to_one_start_of_a_server() {
-    let (peers, now) = (peers(), Instant::now());
-    peers.apply_heartbeat(beat(2, 1, &[]), addr(1), now);
+fn load_is_counted_by_server_instance() {
+    let (peers, now) = (worker_peers(), Instant::now());
+    peers.apply_heartbeat(heartbeat(2, 1, &[]), addr(1), now);
     assert_eq!(peers.in_flight(&server(1), now), (2, 1));
     assert_eq!(peers.in_flight(&server(2), now), (0, 0));
 }
 
-/// What one process finds out for certain every process knows, for as long as it lives and
-/// says so.
+/// A dead instance reported by one process counts as dead at every process, as long as the
+/// reporting process is live and still reports it.
 #[test]
-fn a_start_that_a_live_peer_found_gone_is_gone() {
-    let (peers, now) = (peers(), Instant::now());
-    let mut finder = beat(2, 1, &[]);
-    finder.gone = vec![server(1)];
-    peers.apply_heartbeat(finder, addr(1), now);
+fn an_instance_that_a_live_peer_reports_dead_is_dead() {
+    let (peers, now) = (worker_peers(), Instant::now());
+    let mut reporting = heartbeat(2, 1, &[]);
+    reporting.gone = vec![server(1)];
+    peers.apply_heartbeat(reporting, addr(1), now);
     assert!(peers.is_reported_dead(&server(1), now));
     assert!(
         !peers.is_reported_dead(&server(2), now),
-        "a later start is another one"
+        "a later instance is not affected"
     );
     assert!(!peers.is_reported_dead(&server(1), now + DEAD_TIMEOUT));
-    peers.apply_heartbeat(beat(2, 2, &[]), addr(1), now);
+    peers.apply_heartbeat(heartbeat(2, 2, &[]), addr(1), now);
     assert!(!peers.is_reported_dead(&server(1), now));
 }
 
-fn changes(sequence: u64, online: u32, batch: u32) -> LoadChanges {
+fn load_changes(sequence: u64, online: u32, batch: u32) -> LoadChanges {
     LoadChanges {
         host: "host-2".to_owned(),
         incarnation: 1,
@@ -194,69 +195,69 @@
     }
 }
 
-/// Changes come between heartbeats, late, twice and out of order; the newest counts.
+/// Load changes arrive between heartbeats, late, twice and out of order. The newest one counts.
 #[test]
-fn changes_of_load_count_in_their_order() {
-    let (peers, now) = (peers(), Instant::now());
-    peers.apply_load_changes(changes(9, 5, 0), now);
+fn load_changes_apply_in_sequence_order() {
+    let (peers, now) = (worker_peers(), Instant::now());
+    peers.apply_load_changes(load_changes(9, 5, 0), now);
     assert_eq!(
         peers.in_flight(&server(1), now),
         (0, 0),
-        "of nobody that is known"
+        "the sender is unknown"
     );
-    peers.apply_heartbeat(beat(2, 10, &[]), addr(1), now);
-    peers.apply_load_changes(changes(9, 5, 0), now);
+    peers.apply_heartbeat(heartbeat(2, 10, &[]), addr(1), now);
+    peers.apply_load_changes(load_changes(9, 5, 0), now);
     assert_eq!(
         peers.in_flight(&server(1), now),
         (2, 1),
         "older than the heartbeat"
     );
-    peers.apply_load_changes(changes(12, 5, 0), now);
-    peers.apply_load_changes(changes(11, 4, 0), now);
-    peers.apply_heartbeat(beat(2, 11, &[]), addr(1), now);
+    peers.apply_load_changes(load_changes(12, 5, 0), now);
+    peers.apply_load_changes(load_changes(11, 4, 0), now);
+    peers.apply_heartbeat(heartbeat(2, 11, &[]), addr(1), now);
     assert_eq!(peers.in_flight(&server(1), now), (5, 0));
-    peers.apply_load_changes(changes(13, 0, 0), now);
+    peers.apply_load_changes(load_changes(13, 0, 0), now);
     assert_eq!(peers.in_flight(&server(1), now), (0, 0));
-    peers.apply_load_changes(changes(14, 1, 0), now);
+    peers.apply_load_changes(load_changes(14, 1, 0), now);
     assert_eq!(peers.in_flight(&server(1), now), (1, 0));
-    let mut of_earlier_start = changes(15, 7, 7);
-    of_earlier_start.incarnation = 0;
-    peers.apply_load_changes(of_earlier_start, now);
+    let mut from_earlier_incarnation = load_changes(15, 7, 7);
+    from_earlier_incarnation.incarnation = 0;
+    peers.apply_load_changes(from_earlier_incarnation, now);
     assert_eq!(peers.in_flight(&server(1), now), (1, 0));
 }
 
-/// Whatever is heard, lost and forgotten, the load on a server is the sum over live peers of
-/// what each told last.
+/// For any sequence of received and lost messages and expired peers, the load on a server is the
+/// sum of the last reports of the live peers.
 #[test]
-fn sums_follow_what_each_live_peer_told_last() {
+fn sums_equal_the_last_reports_of_the_live_peers() {
     arbtest::arbtest(|u| {
-        let (peers, mut now) = (peers(), Instant::now());
-        // By host: when it was heard last, and its load at the server then.
-        let mut told: [Option<(Instant, (u32, u32))>; 4] = [None; 4];
+        let (peers, mut now) = (worker_peers(), Instant::now());
+        // For each host: the time of its last message and the load that it reported.
+        let mut reports: [Option<(Instant, (u32, u32))>; 4] = [None; 4];
         for sequence in 1..=u.int_in_range(1..=30)? {
             now += Duration::from_millis(u.int_in_range(0..=900)?);
             let host: u8 = u.int_in_range(0..=3)?;
             let (online, batch) = (u.int_in_range(0..=3)?, u.int_in_range(0..=2)?);
-            let mut beat = beat(host, sequence, &[]);
-            beat.loads[0].online = online;
-            beat.loads[0].batch = batch;
+            let mut received = heartbeat(host, sequence, &[]);
+            received.loads[0].online = online;
+            received.loads[0].batch = batch;
             if u.ratio(1, 2)? {
                 let changes = LoadChanges {
-                    host: beat.host,
+                    host: received.host,
                     incarnation: 1,
                     sequence,
-                    loads: beat.loads,
+                    loads: received.loads,
                 };
                 peers.apply_load_changes(changes, now);
-                let known = &mut told[usize::from(host)];
+                let known = &mut reports[usize::from(host)];
                 if known.is_some_and(|(at, _)| now.duration_since(at) < DEAD_TIMEOUT) {
                     *known = Some((now, (online, batch)));
                 }
             } else {
-                peers.apply_heartbeat(beat, addr(9), now);
-                told[usize::from(host)] = Some((now, (online, batch)));
+                peers.apply_heartbeat(received, addr(9), now);
+                reports[usize::from(host)] = Some((now, (online, batch)));
             }
-            let live = told.iter().flatten();
+            let live = reports.iter().flatten();
             let live = live.filter(|(at, _)| now.duration_since(*at) < DEAD_TIMEOUT);
             let sum = live.fold((0, 0), |sum, (_, load)| (sum.0 + load.0, sum.1 + load.1));
             assert_eq!(peers.in_flight(&server(1), now), sum);
@@ -300,12 +301,17 @@
     Some(load.online)
 }
 
-/// Summaries come late, twice, out of order, by two speakers, and from an earlier start.
+/// Summaries arrive late, twice, out of order, from two representatives and from an earlier
+/// incarnation of one.
 #[test]
-fn the_newest_summary_of_a_zone_counts() {
-    let (peers, start) = (peers(), Instant::now());
+fn the_newest_summary_of_a_zone_is_used() {
+    let (peers, start) = (worker_peers(), Instant::now());
     let now = start + Duration::from_secs(10);
-    assert_eq!(load_in_yard(&peers, now), Some(0), "it has no processes");
+    assert_eq!(
+        load_in_yard(&peers, now),
+        Some(0),
+        "no process of the zone is known"
+    );
     peers.apply_summary(aged(0, summary(5, 2, 7, 4)), SummarySource::Direct, now);
     assert_eq!(load_in_yard(&peers, now), Some(4));
     peers.apply_summary(aged(0, summary(5, 2, 6, 1)), SummarySource::Direct, now);
@@ -313,13 +319,13 @@
     assert_eq!(
         load_in_yard(&peers, now),
         Some(4),
-        "older, and an older start"
+        "an older sequence number and an older incarnation"
     );
     peers.apply_summary(aged(300, summary(6, 1, 99, 2)), SummarySource::Direct, now);
     assert_eq!(
         load_in_yard(&peers, now),
         Some(4),
-        "another speaker, but late"
+        "from another representative, but older"
     );
     peers.apply_summary(
         aged(0, summary(6, 1, 100, 2)),
@@ -332,11 +338,11 @@
     );
 }
 
-/// A zone whose speakers fell silent is not told of: its servers count as they did before
-/// anybody spoke for it, and its workers as dead.
+/// When the last summary of a zone has expired, the load on its servers is estimated as for a
+/// silent zone, and its workers count as dead.
 #[test]
-fn a_late_summary_dies_with_its_zone() {
-    let (peers, start) = (peers(), Instant::now());
+fn a_summary_expires_by_its_age() {
+    let (peers, start) = (worker_peers(), Instant::now());
     let now = start + Duration::from_secs(10);
     peers.apply_summary(aged(1_000, summary(5, 1, 1, 4)), SummarySource::Direct, now);
     assert_eq!(peers.live_workers(now).len(), 1);
@@ -345,27 +351,31 @@
     assert_eq!(
         load_in_yard(&peers, later),
         Some(6),
-        "silent: three quarters of 8"
+        "a silent zone: three quarters of 8 slots"
     );
     assert!(peers.live_workers(later).is_empty());
     assert_eq!(peers.other_front_count(later), 0);
 }
 
-/// What this zone sent since the summary counts; a server that was not told of is full.
+/// Requests that this zone sent since the summary count. A server missing from the summary counts
+/// as full.
 #[test]
-fn load_in_another_zone_follows_what_is_sent_there() {
-    let (peers, now) = (peers(), Instant::now());
+fn load_in_another_zone_includes_requests_sent_since_its_summary() {
+    let (peers, now) = (worker_peers(), Instant::now());
     peers.apply_summary(aged(0, summary(5, 1, 1, 4)), SummarySource::Direct, now);
-    let mut sends = beat(2, 1, &[]);
-    sends.loads[0].online = 2;
-    peers.apply_heartbeat(sends, addr(1), now);
+    let mut sender = heartbeat(2, 1, &[]);
+    sender.loads[0].online = 2;
+    peers.apply_heartbeat(sender, addr(1), now);
     assert_eq!(load_in_yard(&peers, now), Some(6));
     let zone = "yard".to_owned();
-    let untold = peers.other_zone_load(&zone, &server(9), 8, RequestCounts::default(), now);
-    assert_eq!(untold.expect("somebody speaks for it").total(), 8);
+    let unreported = peers.other_zone_load(&zone, &server(9), 8, RequestCounts::default(), now);
+    assert_eq!(
+        unreported.expect("a summary of the zone is known").total(),
+        8
+    );
 }
 
-fn guest(incarnation: u64, sequence: u64, online: u32) -> CrossZoneLoads {
+fn cross_zone_report(incarnation: u64, sequence: u64, online: u32) -> CrossZoneLoads {
     let load = ServerLoad {
         server: server(1),
         online,
@@ -381,49 +391,50 @@
     }
 }
 
-/// Load from other zones counts once, in order, and until its process falls silent.
+/// A process's load from another zone counts once, in the order of its reports, until the process
+/// is silent.
 #[test]
-fn guests_count_until_they_fall_silent() {
-    let (peers, now) = (peers(), Instant::now());
-    assert!(peers.apply_cross_zone_loads(&guest(1, 2, 3), now));
+fn cross_zone_loads_count_until_their_process_is_silent() {
+    let (peers, now) = (worker_peers(), Instant::now());
+    assert!(peers.apply_cross_zone_loads(&cross_zone_report(1, 2, 3), now));
     assert!(
-        !peers.apply_cross_zone_loads(&guest(1, 2, 3), now),
-        "passed on by the other speaker"
+        !peers.apply_cross_zone_loads(&cross_zone_report(1, 2, 3), now),
+        "forwarded by the other representative"
     );
-    assert!(!peers.apply_cross_zone_loads(&guest(1, 1, 9), now));
+    assert!(!peers.apply_cross_zone_loads(&cross_zone_report(1, 1, 9), now));
     assert_eq!(peers.in_flight(&server(1), now), (3, 0));
     assert!(
-        peers.apply_cross_zone_loads(&guest(2, 1, 1), now),
-        "it started again"
+        peers.apply_cross_zone_loads(&cross_zone_report(2, 1, 1), now),
+        "the process restarted"
     );
     assert_eq!(peers.in_flight(&server(1), now), (1, 0));
-    // Its own zone knows that better than it can be told.
-    let of_yard = peers.cross_zone_loads(&"yard".to_owned(), now);
-    assert_eq!(of_yard.in_flight(&server(1)), (1, 0));
-    let of_attic = peers.cross_zone_loads(&"attic".to_owned(), now);
-    assert_eq!(of_attic.in_flight(&server(1)), (0, 0));
+    // The summary for a zone excludes the load that comes from that zone itself.
+    let from_yard = peers.cross_zone_loads(&"yard".to_owned(), now);
+    assert_eq!(from_yard.in_flight(&server(1)), (1, 0));
+    let from_attic = peers.cross_zone_loads(&"attic".to_owned(), now);
+    assert_eq!(from_attic.in_flight(&server(1)), (0, 0));
     assert_eq!(peers.in_flight(&server(1), now + DEAD_TIMEOUT), (0, 0));
 }
 
-/// Processes of other zones are told only what they must know: a front tells nothing beyond
-/// its zone, a worker tells workers, and who is unknown is asked once.
+/// Heartbeats to other zones are limited to what is needed: a front sends none, a worker sends
+/// them to workers, and an unknown process gets them until it has introduced itself.
 #[test]
-fn heartbeats_stay_within_the_zone_but_for_workers() {
-    let contact = |host, zone: &str, role| PeerEndpoint {
+fn heartbeats_stay_within_the_zone_except_between_workers() {
+    let endpoint = |host, zone: &str, role| PeerEndpoint {
         addr: addr(host),
         zone: zone.to_owned(),
         role,
     };
-    for (own_role, beyond) in [
+    for (own_role, other_zone_recipients) in [
         (Role::Front, vec![addr(9)]),
         (Role::Worker, vec![addr(5), addr(9)]),
     ] {
         let (peers, now) = (Peers::new("hall".to_owned(), own_role), Instant::now());
-        peers.add_endpoint(&contact(2, "hall", Role::Front), now);
+        peers.add_endpoint(&endpoint(2, "hall", Role::Front), now);
         for host in 10..200 {
-            peers.add_endpoint(&contact(host, "yard", Role::Front), now);
+            peers.add_endpoint(&endpoint(host, "yard", Role::Front), now);
         }
-        peers.add_endpoint(&contact(5, "yard", Role::Worker), now);
+        peers.add_endpoint(&endpoint(5, "yard", Role::Worker), now);
         peers.add_address(addr(9), addr(1), now);
         assert_eq!(
             peers.heartbeat_recipients(HeartbeatScope::OwnZone, now),
@@ -431,16 +442,16 @@
         );
         assert_eq!(
             peers.heartbeat_recipients(HeartbeatScope::OtherZones, now),
-            beyond
+            other_zone_recipients
         );
         assert_eq!(
             peers.known_addresses(now).len(),
             5,
-            "few of another zone's fronts are kept"
+            "only a few fronts of another zone are kept"
         );
         let introduction = Introduction {
-            from: contact(9, "yard", Role::Front),
-            others: vec![contact(3, "hall", Role::Front)],
+            from: endpoint(9, "yard", Role::Front),
+            others: vec![endpoint(3, "hall", Role::Front)],
         };
         peers.apply_introduction(&introduction, addr(1), now);
         assert_eq!(
@@ -453,12 +464,12 @@
     }
 }
 
-/// Two workers that started together may each have missed the other's entry in the store. The
-/// summary of its zone tells one of the other: they must hear each other, or both would run
-/// the same jobs.
+/// Two workers that start at the same time may each miss the other's entry in the store. Without
+/// heartbeats between them, both would run the same jobs. A worker therefore learns of the other
+/// one from its zone's summary.
 #[test]
-fn a_worker_hears_of_another_by_its_zones_summary() {
-    let (peers, now) = (peers(), Instant::now());
+fn a_worker_learns_of_another_from_its_zones_summary() {
+    let (peers, now) = (worker_peers(), Instant::now());
     peers.apply_summary(aged(0, summary(5, 1, 1, 4)), SummarySource::Direct, now);
     assert_eq!(
         peers.heartbeat_recipients(HeartbeatScope::OtherZones, now),
@@ -466,42 +477,50 @@
     );
 }
 
-/// The path between two zones' first speakers is cut: the second one hears of the other zone
-/// and passes that on, but only what the first one does not pass on.
+/// If the path between the primary representatives of two zones is cut, the secondary one still
+/// receives the other zone's summaries. It forwards only those that the primary does not.
 #[test]
-fn a_second_speaker_passes_on_what_the_first_one_does_not() {
-    let (peers, start) = (peers(), Instant::now());
+fn the_secondary_representative_forwards_what_the_primary_does_not() {
+    let (peers, start) = (worker_peers(), Instant::now());
     let at = |ms| start + Duration::from_secs(10) + Duration::from_millis(ms);
-    let passed_on = |ms| peers.summaries_to_forward(false, at(ms)).len();
+    let forwarded_count = |ms| peers.summaries_to_forward(false, at(ms)).len();
     peers.apply_summary(
         aged(0, summary(5, 1, 1, 4)),
         SummarySource::Forwarded,
         at(0),
     );
     peers.apply_summary(aged(0, summary(5, 1, 2, 4)), SummarySource::Direct, at(400));
-    assert_eq!(passed_on(400), 0, "the first speaker did a moment ago");
+    assert_eq!(
+        forwarded_count(400),
+        0,
+        "the primary representative forwarded one 400 ms ago"
+    );
     peers.apply_summary(aged(0, summary(5, 1, 3, 4)), SummarySource::Direct, at(600));
-    assert_eq!(passed_on(600), 1);
-    assert_eq!(passed_on(700), 0, "nothing new");
+    assert_eq!(forwarded_count(600), 1);
+    assert_eq!(forwarded_count(700), 0, "no new summary");
     peers.apply_summary(
         aged(0, summary(5, 1, 4, 4)),
         SummarySource::Forwarded,
         at(800),
     );
-    assert_eq!(passed_on(800), 0, "passed on once is enough");
+    assert_eq!(
+        forwarded_count(800),
+        0,
+        "already forwarded by the primary representative"
+    );
     peers.apply_summary(aged(0, summary(5, 1, 5, 4)), SummarySource::Direct, at(900));
     assert_eq!(
         peers.summaries_to_forward(true, at(900)).len(),
         1,
-        "as the first speaker"
+        "as the primary representative"
     );
 }
 
-/// A process that hears nothing of a zone any more asks its processes itself, and no zone
-/// that it is told of.
+/// A process without a recent summary of a zone asks the processes of that zone, and only of such
+/// zones.
 #[test]
-fn silent_zones_are_asked() {
-    let (peers, now) = (peers(), Instant::now());
+fn processes_of_zones_without_a_recent_summary_are_asked() {
+    let (peers, now) = (worker_peers(), Instant::now());
     assert!(peers.silent_zone_recipients(now).is_empty());
     peers.apply_summary(aged(0, summary(5, 1, 1, 4)), SummarySource::Forwarded, now);
     assert!(peers.silent_zone_recipients(now).is_empty());
@@ -511,10 +530,11 @@
     );
 }
 
-/// A front whose zone is full knows how full another zone's server is of requests that came
-/// through fronts which it does not hear: it leaves the rest there, and nothing once it is full.
+/// A front whose zone is full sends requests to another zone only while that zone has free slots.
+/// The summary shows it the requests that the zone's own fronts, whose heartbeats it does not
+/// receive, have in flight there.
 #[test]
-fn a_full_zone_knows_how_full_another_is() {
+fn placement_uses_the_summarized_load_of_another_zone() {
     const SLOTS: u32 = 8;
     let candidate = |zone: &str, load: RequestCounts| Candidate {
         id: format!("server of {zone}"),
@@ -524,10 +544,10 @@
         ..Candidate::default()
     };
     let now = Instant::now();
-    for (told, wanted) in [(3, Some("yard")), (10, None)] {
-        let peers = peers();
+    for (summarized, wanted) in [(3, Some("yard")), (10, None)] {
+        let peers = worker_peers();
         peers.apply_summary(
-            aged(0, summary(5, 1, 1, told)),
+            aged(0, summary(5, 1, 1, summarized)),
             SummarySource::Forwarded,
             now,
         );
@@ -547,11 +567,15 @@
             candidate("yard", load.expect("another zone")),
         ];
         let picked = placement::pick_online(&candidates, "hall", 0);
-        assert_eq!(picked.map(|one| one.zone.as_str()), wanted, "{told} told");
+        assert_eq!(
+            picked.map(|one| one.zone.as_str()),
+            wanted,
+            "{summarized} in the summary"
+        );
     }
 }
 
-fn follower(host: u8, sequence: u64, revision: u64, answered_ago_ms: u64) -> Heartbeat {
+fn watcher_heartbeat(host: u8, sequence: u64, revision: u64, answered_ago_ms: u64) -> Heartbeat {
     Heartbeat {
         follows: true,
         knows: StoreStateVersion {
@@ -559,40 +583,42 @@
             ..StoreStateVersion::default()
         },
         store_answered_ago: Duration::from_millis(answered_ago_ms),
-        ..beat(host, sequence, &[])
+        ..heartbeat(host, sequence, &[])
     }
 }
 
-/// A follower that was cut off from the store without a word went on to vouch for its list until
-/// its probe failed, and only then the others began to wait.
+/// A store watcher whose connection to the store was cut silently kept its state confirmed as
+/// current until its probe failed. Only then did the other processes begin to wait before
+/// watching the store themselves. The wait must count from the store's last response.
 #[test]
-fn what_a_cut_off_follower_told_ages_from_the_stores_last_answer() {
-    let (peers, now) = (peers(), Instant::now());
+fn state_of_a_cut_off_watcher_ages_from_the_stores_last_response() {
+    let (peers, now) = (worker_peers(), Instant::now());
     let known = StoreStateVersion {
         servers_revision: Some(7),
         ..StoreStateVersion::default()
     };
     assert_eq!(peers.state_current_at(known), None);
-    peers.apply_heartbeat(follower(2, 1, 7, 300), addr(1), now);
+    peers.apply_heartbeat(watcher_heartbeat(2, 1, 7, 300), addr(1), now);
     let answered_at = now - Duration::from_millis(300);
     assert_eq!(peers.state_current_at(known), Some(answered_at));
     let later = now + Duration::from_millis(500);
-    peers.apply_heartbeat(follower(2, 2, 7, 800), addr(1), later);
+    peers.apply_heartbeat(watcher_heartbeat(2, 2, 7, 800), addr(1), later);
     assert_eq!(peers.state_current_at(known), Some(answered_at));
-    // Changes of its load say nothing of the store.
-    peers.apply_load_changes(changes(3, 1, 1), later);
+    // Load changes do not show that the store responded.
+    peers.apply_load_changes(load_changes(3, 1, 1), later);
     assert_eq!(peers.state_current_at(known), Some(answered_at));
 }
 
-/// A process that hears a follower's heartbeats, but whose calls to it fail, counted as told.
+/// A process that received a watcher's heartbeats but could not sync with it, because its calls
+/// failed, counted as synced.
 #[test]
-fn a_follower_that_knows_more_vouches_for_nothing_older() {
-    let (peers, now) = (peers(), Instant::now());
+fn a_watcher_with_newer_state_does_not_confirm_older_state() {
+    let (peers, now) = (worker_peers(), Instant::now());
     let known = |revision| StoreStateVersion {
         servers_revision: Some(revision),
         ..StoreStateVersion::default()
     };
-    peers.apply_heartbeat(follower(2, 1, 8, 0), addr(1), now);
+    peers.apply_heartbeat(watcher_heartbeat(2, 1, 8, 0), addr(1), now);
     assert_eq!(peers.state_current_at(known(7)), None);
     assert_eq!(peers.state_current_at(known(8)), Some(now));
 }
--- a/crates/foxwheel-node/tests/store_access.rs
+++ b/crates/foxwheel-node/tests/store_access.rs
@@ -1,4 +1,4 @@
-//! How a process's calls to the store wait while it is away.
+//! Retries of calls to the store while it is unavailable, and writes that got no response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 use foxwheel_store::client::StoreClient;
 use tokio_util::sync::CancellationToken;
 
-/// Far above any pause between tries, so that only the store's return can end the wait.
-const LONG_PAUSE: Duration = Duration::from_secs(3_600);
+/// Much longer than any retry delay, so that only the store's recovery can end the wait.
+const LONG_DELAY: Duration = Duration::from_secs(3_600);
 
-/// Longest wait of the test for something that takes milliseconds.
+/// Maximum wait for events that normally take milliseconds.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[actix_web::test]
-async fn whoever_waits_goes_on_when_any_call_is_answered_again() {
+async fn all_retry_waits_end_when_any_call_succeeds() {
     let cancel = CancellationToken::new();
     let settings = PlatformSettings::for_test();
     let (addr, server) =
@@ -36,41 +36,46 @@
     store
         .get("config", "main")
         .await
-        .expect_err("the store is away");
-    let waiting: Vec<_> = (0..3)
+        .expect_err("the store is unavailable");
+    let waits: Vec<_> = (0..3)
         .map(|_| {
             let store = Arc::clone(&store);
-            tokio::spawn(async move { store.wait_before_retry(LONG_PAUSE).await })
+            tokio::spawn(async move { store.wait_before_retry(LONG_DELAY).await })
         })
         .collect();
     tokio::task::yield_now().await;
-    store.get("config", "main").await.expect_err("still away");
-    assert!(waiting.iter().all(|one| !one.is_finished()));
+    store
+        .get("config", "main")
+        .await
+        .expect_err("still unavailable");
+    assert!(waits.iter().all(|wait| !wait.is_finished()));
     operator.set_faults(&Faults::default()).await.expect("set");
     store
         .get("config", "main")
         .await
-        .expect("the store is back");
-    for one in waiting {
-        let woken = tokio::time::timeout(WAIT_TIMEOUT, one).await;
-        woken
-            .expect("woken by the store's return")
-            .expect("it ends");
+        .expect("the store is available again");
+    for wait in waits {
+        let ended = tokio::time::timeout(WAIT_TIMEOUT, wait).await;
+        ended
+            .expect("ended by the store's recovery")
+            .expect("the task completes");
     }
     cancel.cancel();
 }
 
-/// A write that got no answer was given up and made in another way; seconds later it was done
-/// all the same.
+/// A write without a response was abandoned and its effect achieved in another way. The abandoned
+/// write was then executed seconds later all the same.
 #[actix_web::test]
-async fn a_write_that_was_given_up_is_not_done_later() {
+async fn an_abandoned_write_is_not_executed_later() {
     let cancel = CancellationToken::new();
     let settings = PlatformSettings::for_test();
     let (addr, server) =
         foxwheel_platform_emu::server::start(&settings, cancel.clone()).expect("store starts");
     actix_web::rt::spawn(server);
-    let any = "127.0.0.1:0".parse().expect("an address");
-    let path = Path::open(any, addr, cancel.clone()).await.expect("a path");
+    let any_port = "127.0.0.1:0".parse().expect("an address");
+    let path = Path::open(any_port, addr, cancel.clone())
+        .await
+        .expect("a path");
     let store = StoreAccess::new(path.addr, Metrics::default());
     path.set(PathFault::Silence);
     let write = Write::Create {
@@ -80,9 +85,9 @@
     };
     store.write(&write).await.expect_err("no answer");
     path.heal();
-    // By then what the path held back has arrived.
+    // By then, the data that the path held back has arrived.
     tokio::time::sleep(Duration::from_millis(700)).await;
-    let found = store.get("results", "late").await.expect("answered");
+    let found = store.get("results", "late").await.expect("a response");
     assert_eq!(found, None);
     cancel.cancel();
 }
--- a/crates/foxwheel-node/tests/untrusted_frames.rs
+++ b/crates/foxwheel-node/tests/untrusted_frames.rs
@@ -1,4 +1,4 @@
-//! Frames of calls between processes that nobody vouches for: whoever takes calls goes on.
+//! Corrupted calls to the peer service must not stop the process that receives them.
 
 mod common;
 
@@ -12,11 +12,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Spoiled calls that each process gets.
-const CALLS: u64 = 300;
+/// Number of corrupted calls sent to each process.
+const CORRUPTED_CALLS: u64 = 300;
 
-/// The bytes of one call, as its caller sends them.
-async fn recorded_call() -> Vec<u8> {
+/// Returns the bytes of one valid call.
+async fn record_call() -> Vec<u8> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
     let addr = listener.local_addr().expect("an address");
     let calls = PeerCalls::default();
@@ -35,8 +35,8 @@
     bytes
 }
 
-/// Changes, cuts or repeats parts of `call`.
-fn spoil(rng: &mut StdRng, call: &[u8]) -> Vec<u8> {
+/// Returns `call` with random changes, truncations or repetitions of parts.
+fn corrupt(rng: &mut StdRng, call: &[u8]) -> Vec<u8> {
     let mut bytes = call.to_vec();
     for _ in 0..rng.random_range(1..6) {
         let at = rng.random_range(0..bytes.len());
@@ -52,25 +52,27 @@
 
 async fn send(addr: SocketAddr, bytes: &[u8]) {
     let mut stream = TcpStream::connect(addr).await.expect("still listening");
-    // It may be refused before it is read whole.
+    // The process may close the connection before it has read everything.
     let _ = stream.write_all(bytes).await;
 }
 
 #[actix_web::test]
-async fn a_process_that_gets_spoiled_calls_goes_on() {
+async fn a_process_survives_corrupted_calls() {
     let fleet = Fleet::start(FleetPlan::default()).await;
-    let call = recorded_call().await;
+    let call = record_call().await;
     for process in &fleet.processes {
         let mut rng = StdRng::seed_from_u64(1);
-        for _ in 0..CALLS {
-            let spoiled = spoil(&mut rng, &call);
-            send(process.settings.peer_address(), &spoiled).await;
+        for _ in 0..CORRUPTED_CALLS {
+            let corrupted = corrupt(&mut rng, &call);
+            send(process.settings.peer_address(), &corrupted).await;
         }
         assert!(!process.has_ended());
     }
-    // The front tells the worker of the job by a call.
-    let taken = submit(fleet.fronts[0], "after", 2).await.expect("answered");
-    assert_eq!(taken.status, StatusCode::ACCEPTED);
+    // The front informs the worker of the job by a call.
+    let accepted = submit(fleet.fronts[0], "after", 2)
+        .await
+        .expect("a response");
+    assert_eq!(accepted.status, StatusCode::ACCEPTED);
     wait_for_results(fleet.fronts[0], "after", 2).await;
     fleet.cancel.cancel();
 }
