--- a/crates/foxwheel-policy/src/placement.rs
+++ b/crates/foxwheel-policy/src/placement.rs
@@ -213,7 +213,8 @@
 /// before its failure is reported.
 pub const MIN_RUN_TIME: Duration = Duration::from_millis(120);
 
-/// Delay before a preempted item runs again, so that it does not meet the same traffic step.
+/// Delay before a preempted item runs again, so that the same traffic step does not preempt it
+/// again.
 pub const PREEMPTED_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Returns how many of this process's batch items to preempt at a server so that the online
--- a/crates/foxwheel-policy/tests/batch_job.rs
+++ b/crates/foxwheel-policy/tests/batch_job.rs
@@ -43,7 +43,7 @@
     ];
     for (end, expected) in cases {
         let now = Instant::now();
-        let mut progress = JobProgress::new(common::job_of(1));
+        let mut progress = JobProgress::new(common::job_with_items(1));
         progress.start_item(0);
         progress.record_run_end(0, end, output(&[(1, "a")]), MAX_FAILURES, now);
         let ending = results(&progress).first().map(|result| result.ending);
@@ -63,7 +63,7 @@
 #[test]
 fn an_item_is_given_up_after_its_failures_and_not_for_broken_runs() {
     let now = Instant::now();
-    let mut progress = JobProgress::new(common::job_of(1));
+    let mut progress = JobProgress::new(common::job_with_items(1));
     for _ in 0..20 {
         progress.start_item(0);
         progress.record_run_end(
@@ -93,7 +93,7 @@
 #[test]
 fn a_part_holds_at_least_one_result_and_no_more_than_fit() {
     let now = Instant::now();
-    let mut progress = JobProgress::new(common::job_of(4));
+    let mut progress = JobProgress::new(common::job_with_items(4));
     for item in 0..4 {
         progress.start_item(item);
         progress.record_run_end(
@@ -111,7 +111,7 @@
 
 #[test]
 fn an_ended_job_runs_nothing_and_keeps_what_is_listed() {
-    let mut progress = JobProgress::new(common::job_of(2));
+    let mut progress = JobProgress::new(common::job_with_items(2));
     let listed = ItemResult {
         id: "item-1".to_owned(),
         ending: ItemOutcome::Completed,
@@ -155,10 +155,10 @@
 #[test]
 fn workers_that_take_turns_list_every_item_once() {
     const STEPS: usize = 10_000;
-    common::seeded(8, 120000, |u| {
+    common::run_seeded_cases(8, 120000, |u| {
         let items = 6;
         let mut parts = Parts::default();
-        let mut workers = vec![JobProgress::new(common::job_of(items)); 3];
+        let mut workers = vec![JobProgress::new(common::job_with_items(items)); 3];
         let mut seen: Vec<String> = Vec::new();
         let now = Instant::now() + Duration::from_secs(3_600);
         for _ in 0..STEPS {
@@ -219,7 +219,7 @@
             }
         }
         8 => {
-            *worker = JobProgress::new(common::job_of(items));
+            *worker = JobProgress::new(common::job_with_items(items));
             for (number, results) in parts.0.iter().enumerate() {
                 assert!(worker.apply_part(number as u32, results.clone()));
             }
@@ -241,7 +241,7 @@
 fn results_are_stored_together_and_give_ups_soon() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let mut progress = JobProgress::new(common::job_of(3));
+    let mut progress = JobProgress::new(common::job_with_items(3));
     assert!(!progress.should_store(at(60_000), true), "nothing to store");
     progress.start_item(0);
     progress.record_run_end(0, RunEnd::Whole, output(&[(1, "a")]), 1, start);
@@ -268,7 +268,7 @@
 fn results_are_stored_before_their_job_is_due() {
     let now = Instant::now();
     let seconds = Duration::from_secs_f64;
-    let mut progress = JobProgress::new(common::job_of(2));
+    let mut progress = JobProgress::new(common::job_with_items(2));
     assert!(
         !progress.should_store_before_due(seconds(0.1)),
         "nothing to store"
@@ -318,10 +318,10 @@
 /// are still taken, once.
 #[test]
 fn an_end_races_results_and_loses_none() {
-    common::seeded(200, 2_000, |u| {
+    common::run_seeded_cases(200, 2_000, |u| {
         let items = 5;
         let mut parts = Parts::default();
-        let mut workers = vec![JobProgress::new(common::job_of(items)); 2];
+        let mut workers = vec![JobProgress::new(common::job_with_items(items)); 2];
         let now = Instant::now() + Duration::from_secs(3_600);
         for _ in 0..60 {
             let at = u.choose_index(workers.len())?;
--- a/crates/foxwheel-policy/tests/checkpoint.rs
+++ b/crates/foxwheel-policy/tests/checkpoint.rs
@@ -27,7 +27,7 @@
 #[test]
 fn a_job_goes_on_where_its_dead_worker_stopped() {
     let now = Instant::now();
-    let mut progress = JobProgress::new(common::job_of(5));
+    let mut progress = JobProgress::new(common::job_with_items(5));
     assert_eq!(
         JobCheckpoint::from_progress(&progress),
         None,
@@ -41,7 +41,7 @@
     run(&mut progress, 3, RunEnd::Impossible, 0);
     let saved = JobCheckpoint::from_progress(&progress).expect("progress");
 
-    let mut adopted = JobProgress::new(common::job_of(5));
+    let mut adopted = JobProgress::new(common::job_with_items(5));
     saved.restore(&mut adopted, now);
     assert_eq!(adopted.items[0].partial_output, output(40));
     assert_eq!(adopted.items[2].failures, 2);
@@ -70,7 +70,7 @@
 #[test]
 fn what_is_stored_or_further_stays() {
     let now = Instant::now();
-    let mut progress = JobProgress::new(common::job_of(3));
+    let mut progress = JobProgress::new(common::job_with_items(3));
     run(&mut progress, 0, RunEnd::Whole, 5);
     progress.start_item(1);
     progress.record_output(1, &output(7));
@@ -79,7 +79,7 @@
     let newer = JobCheckpoint::from_progress(&progress).expect("progress");
     let stored = progress.next_part(10_000);
 
-    let mut adopted = JobProgress::new(common::job_of(3));
+    let mut adopted = JobProgress::new(common::job_with_items(3));
     adopted.apply_part(0, stored);
     for saved in [&newer, &older] {
         saved.restore(&mut adopted, now);
@@ -98,12 +98,12 @@
 #[test]
 fn jobs_that_change_hands_list_every_item_once() {
     let mut finished = 0;
-    common::seeded(60, 4_096, |u| {
+    common::run_seeded_cases(60, 4_096, |u| {
         let count = u.int_in_range(1..=6)?;
         let (mut stored, mut saved): (Vec<_>, Vec<JobCheckpoint>) = (Vec::new(), Vec::new());
         loop {
             let now = Instant::now();
-            let mut progress = JobProgress::new(common::job_of(count));
+            let mut progress = JobProgress::new(common::job_with_items(count));
             for (number, part) in stored.iter().enumerate() {
                 assert!(progress.apply_part(number as u32, Vec::clone(part)));
             }
--- a/crates/foxwheel-policy/tests/common/mod.rs
+++ b/crates/foxwheel-policy/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use foxwheel_policy::batch::job::JobSpec;
 
 /// Runs `property` with `cases` fixed seeds of `bytes` random bytes each.
-pub fn seeded(
+pub fn run_seeded_cases(
     cases: u32,
     bytes: u32,
     mut property: impl FnMut(&mut Unstructured<'_>) -> Result<()>,
@@ -23,7 +23,7 @@
 }
 
 /// Returns a job of `items` items of 100 tokens each.
-pub fn job_of(items: usize) -> JobSpec {
+pub fn job_with_items(items: usize) -> JobSpec {
     let item = |at: usize| ItemSpec {
         id: format!("item-{at}"),
         path: "/batch/item".to_owned(),
--- a/crates/foxwheel-policy/tests/ledger.rs
+++ b/crates/foxwheel-policy/tests/ledger.rs
@@ -95,7 +95,7 @@
 fn racing_fronts_never_exceed_the_quota_nor_reopen_a_job() {
     const STEPS: usize = 10_000;
     const QUOTA: u64 = 100;
-    common::seeded(8, 120000, |u| {
+    common::run_seeded_cases(8, 120000, |u| {
         let mut object = Object::default();
         let mut cached: Vec<(u64, Ledger)> = vec![Default::default(); 4];
         let mut late: Vec<(u64, Ledger)> = Vec::new();
--- a/crates/foxwheel-policy/tests/ownership.rs
+++ b/crates/foxwheel-policy/tests/ownership.rs
@@ -155,7 +155,7 @@
 /// claims at most one yields, and once both hear the newest claims exactly one does.
 #[test]
 fn of_two_holders_exactly_one_yields() {
-    common::seeded(500, 64, |u| {
+    common::run_seeded_cases(500, 64, |u| {
         let parts_a: u32 = u.int_in_range(0..=5)?;
         let parts_b: u32 = u.int_in_range(0..=5)?;
         let heard_a: u32 = u.int_in_range(0..=parts_a)?;
--- a/crates/foxwheel-policy/tests/retry.rs
+++ b/crates/foxwheel-policy/tests/retry.rs
@@ -53,7 +53,7 @@
 /// the request cannot have run, and a request that may not repeat runs at most once.
 #[test]
 fn run_limits_hold_in_any_order_of_outcomes() {
-    common::seeded(500, 128, |u| {
+    common::run_seeded_cases(500, 128, |u| {
         let repeatable: bool = u.arbitrary()?;
         let max_runs: u32 = u.int_in_range(0..=4)?;
         let mut attempts = Attempts::new(repeatable, max_runs);
--- a/crates/foxwheel-policy/tests/routing.rs
+++ b/crates/foxwheel-policy/tests/routing.rs
@@ -105,7 +105,7 @@
 /// replace a newer one.
 #[test]
 fn the_version_in_force_never_decreases() {
-    common::seeded(200, 512, |u| {
+    common::run_seeded_cases(200, 512, |u| {
         let mut in_force = ConfigInForce::default();
         for _ in 0..20 {
             let version: u64 = u.int_in_range(1..=30)?;
@@ -157,7 +157,7 @@
         AttemptOutcome::Unknown,
     ];
     for kind in [RouteKind::Idempotent, RouteKind::NonIdempotent] {
-        common::seeded(8, 40_000, |u| {
+        common::run_seeded_cases(8, 40_000, |u| {
             let mut in_force = ConfigInForce::default();
             let mut pending: Vec<PendingRequest> = Vec::new();
             let (mut newest, mut last_version) = (0, 0);
