--- a/crates/foxwheel-node/tests/abandoned_requests.rs
+++ b/crates/foxwheel-node/tests/abandoned_requests.rs
@@ -1,6 +1,7 @@
-//! A front gave a request up, and its bytes, which a broken path held back, still reached the
-//! backend server when the path was whole again, seconds after the server had begun to drain.
-//! The caller had been told of a failure by then, and the server worked for nobody.
+//! Guards against requests that reach a backend server after their front has given them up. The
+//! bytes of a request that an interrupted network path delays may arrive once the path recovers,
+//! seconds after the server has started to drain. The caller has received an error by then, so
+//! that the server would run a request that nobody waits for.
 
 mod common;
 
@@ -11,14 +12,15 @@
 use foxwheel_soak::proxy::{Path, PathFault};
 use hyper::{Method, StatusCode};
 
-/// By then a front knows of a change of the servers' list.
-const KNOWN_AFTER: Duration = Duration::from_millis(500);
+/// Within this time a front has received a change of the list of servers.
+const LIST_CHANGE_DELAY: Duration = Duration::from_millis(500);
 
-/// By then what a path held back has arrived and was begun.
-const DELIVERED_AFTER: Duration = Duration::from_millis(700);
+/// Within this time after a path recovers, the bytes that it delayed have arrived and a server
+/// would have started to run the request.
+const DELIVERY_DELAY: Duration = Duration::from_millis(700);
 
-/// A front and a worker before one server, behind a path that can be broken. The connections
-/// of an earlier request are kept.
+/// Starts a front and a worker with one server behind a path that can be interrupted. Returns with
+/// pooled connections to the server, left over from earlier requests.
 async fn fleet_behind_path() -> (Fleet, Path) {
     let mut fleet = Fleet::start(FleetPlan {
         servers: common::server_shapes(1),
@@ -40,70 +42,82 @@
     fleet.register_server("far", path.addr, "ready").await;
     fleet.servers.push(far);
     common::wait_for_status(fleet.fronts[0], "/plain/first", StatusCode::OK).await;
-    tokio::time::sleep(KNOWN_AFTER).await;
+    tokio::time::sleep(LIST_CHANGE_DELAY).await;
     (fleet, path)
 }
 
-/// Has the far server drain, makes the path whole and gives what it held back time to arrive.
-async fn drain_and_heal(fleet: &Fleet, path: &Path) {
+/// Drains the server behind the path, then restores the path and waits until the bytes that it
+/// delayed have arrived.
+async fn drain_and_restore_path(fleet: &Fleet, path: &Path) {
     fleet.register_server("far", path.addr, "draining").await;
-    tokio::time::sleep(KNOWN_AFTER).await;
+    tokio::time::sleep(LIST_CHANGE_DELAY).await;
     path.heal();
-    tokio::time::sleep(DELIVERED_AFTER).await;
+    tokio::time::sleep(DELIVERY_DELAY).await;
 }
 
-/// Whether a request reached any server.
-fn arrived(fleet: &Fleet, request_id: &str) -> bool {
+/// Returns whether a request reached any server.
+fn has_arrived(fleet: &Fleet, request_id: &str) -> bool {
     let arrivals = fleet.servers.iter().flat_map(|one| one.runs.arrivals());
     let mut ids = arrivals.map(|arrival| arrival.request_id);
     ids.any(|id| id == request_id)
 }
 
 #[actix_web::test]
-async fn a_request_that_its_front_gave_up_reaches_no_server_later() {
+async fn request_given_up_by_its_front_never_reaches_a_server() {
     let (fleet, path) = fleet_behind_path().await;
     for route in ["/plain/a", "/stream/a", "/once/a"] {
         fleet.register_server("far", path.addr, "ready").await;
         common::wait_for_status(fleet.fronts[0], "/plain/again", StatusCode::OK).await;
         path.set(PathFault::Silence);
         let id = format!("given-up{route}");
-        let answer = call(fleet.fronts[0], Method::POST, route, &id, &[], "").await;
-        let status = answer.expect("an answer").status;
+        let response = call(fleet.fronts[0], Method::POST, route, &id, &[], "").await;
+        let status = response.expect("a response").status;
         assert!(status.is_server_error(), "{route}: {status}");
-        drain_and_heal(&fleet, &path).await;
-        assert!(!arrived(&fleet, &id), "{route}");
+        drain_and_restore_path(&fleet, &path).await;
+        assert!(!has_arrived(&fleet, &id), "{route}");
     }
     fleet.cancel.cancel();
 }
 
 #[actix_web::test]
-async fn a_request_whose_caller_left_reaches_no_server_later() {
+async fn request_of_a_disconnected_caller_never_reaches_a_server() {
     let (fleet, path) = fleet_behind_path().await;
     path.set(PathFault::Silence);
     for route in ["/plain/a", "/stream/a", "/once/a"] {
         let mut caller = connect(fleet.fronts[0]).await.expect("connected");
-        let asked = request(Method::POST, route, &format!("left{route}"), &[], "");
-        let waited = tokio::time::timeout(Duration::from_millis(200), caller.send(asked));
-        assert!(waited.await.is_err(), "{route} was answered");
+        let sent = request(
+            Method::POST,
+            route,
+            &format!("disconnected{route}"),
+            &[],
+            "",
+        );
+        let waited = tokio::time::timeout(Duration::from_millis(200), caller.send(sent));
+        assert!(waited.await.is_err(), "{route} got a response");
     }
-    drain_and_heal(&fleet, &path).await;
+    drain_and_restore_path(&fleet, &path).await;
     for route in ["/plain/a", "/stream/a", "/once/a"] {
-        assert!(!arrived(&fleet, &format!("left{route}")), "{route}");
+        assert!(
+            !has_arrived(&fleet, &format!("disconnected{route}")),
+            "{route}"
+        );
     }
     fleet.cancel.cancel();
 }
 
 #[actix_web::test]
-async fn an_item_whose_job_was_ended_reaches_no_server_later() {
+async fn item_of_a_job_ended_by_its_caller_never_reaches_a_server() {
     let (fleet, path) = fleet_behind_path().await;
     path.set(PathFault::Silence);
-    let taken = submit(fleet.fronts[0], "ended", 1).await.expect("answered");
-    assert_eq!(taken.status, StatusCode::ACCEPTED);
-    // The item's run is on its way by then.
+    let accepted = submit(fleet.fronts[0], "ended", 1)
+        .await
+        .expect("a response");
+    assert_eq!(accepted.status, StatusCode::ACCEPTED);
+    // By then the item's run has been sent.
     tokio::time::sleep(Duration::from_millis(600)).await;
     let ended = caller::end(fleet.fronts[0], "ended").await;
-    assert_eq!(ended.expect("answered").status, StatusCode::OK);
-    drain_and_heal(&fleet, &path).await;
-    assert!(!arrived(&fleet, &caller::item_id("ended", 0)));
+    assert_eq!(ended.expect("a response").status, StatusCode::OK);
+    drain_and_restore_path(&fleet, &path).await;
+    assert!(!has_arrived(&fleet, &caller::item_id("ended", 0)));
     fleet.cancel.cancel();
 }
--- a/crates/foxwheel-node/tests/attempt.rs
+++ b/crates/foxwheel-node/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a server whose entry changes meanwhile.
+//! One attempt at a server whose entry in the server list changes during the attempt.
 
 mod common;
 
@@ -20,7 +20,7 @@
 
 const LOCALHOST: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
-fn list(node: &Node, addr: SocketAddr, state: ServerState) -> BackendServer {
+fn register_server(node: &Node, addr: SocketAddr, state: ServerState) -> BackendServer {
     let server = BackendServer {
         id: Shape::default().id,
         incarnation: 1,
@@ -35,30 +35,30 @@
     server
 }
 
-/// The front chose a server and was still opening a connection when it learned that the server
-/// drains; the request went out all the same.
+/// Guards against a request being sent although the front, while it opened the connection, was
+/// notified that the chosen server drains.
 #[actix_web::test]
-async fn a_server_that_drains_while_it_is_connected_to_gets_no_request() {
+async fn server_that_drains_during_connect_gets_no_request() {
     let cancel = CancellationToken::new();
     let started = server::start(LOCALHOST, Shape::default(), cancel.clone()).await;
     let server = started.expect("server starts");
-    let nowhere = SocketAddr::new(LOCALHOST, 9);
-    let settings = common::single_process_settings(Role::Front, nowhere);
+    let unused_address = SocketAddr::new(LOCALHOST, 9);
+    let settings = common::single_process_settings(Role::Front, unused_address);
     let node = Node::new(settings, cancel.clone());
-    let listed = list(&node, server.addr, ServerState::Ready);
+    let listed = register_server(&node, server.addr, ServerState::Ready);
     let target = Target {
         slot: node
             .loads
             .begin_request(&listed.instance(), WorkClass::Online),
-        request_id: "late".to_owned(),
+        request_id: "request".to_owned(),
         content: Arc::new(RequestContent::new("POST", "h", "/a", Default::default())),
         expected_wait: Duration::ZERO,
         deadline: Instant::now() + Duration::from_secs(5),
         head_deadline: None,
     };
-    let request = caller::request(Method::POST, "/plain/a", "late", &[], "");
+    let request = caller::request(Method::POST, "/plain/a", "request", &[], "");
     let (sent, _) = tokio::join!(attempt::send(&node, target, request), async {
-        list(&node, server.addr, ServerState::Draining)
+        register_server(&node, server.addr, ServerState::Draining)
     });
     let outcome = sent.map(|_| ()).map_err(|failure| failure.outcome);
     assert_eq!(outcome, Err(AttemptOutcome::NotSent));
--- a/crates/foxwheel-node/tests/crashing_requests_randomised.rs
+++ b/crates/foxwheel-node/tests/crashing_requests_randomised.rs
@@ -1,7 +1,8 @@
-//! The crashing request of `crashing_requests`, sent at random fronts of three zones a few times
-//! a second, some at once, while fronts and workers are killed and started again and the store
-//! goes away. Once it crashed three servers and the time within which that must be known has
-//! passed, fronts that ran all that time send it to three servers more at most.
+//! Sends the crashing request of `crashing_requests` to random fronts of three zones a few times
+//! per second, sometimes two at once, while random fronts and workers are killed and restarted and
+//! the store has outages. After the request has crashed three servers and every process has had
+//! time to receive these crashes, fronts that ran for all of that time send it to at most three
+//! more servers.
 
 mod common;
 
@@ -18,22 +19,20 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// How long the request comes.
-const LENGTH: Duration = Duration::from_secs(12);
+/// How long the request is sent.
+const DURATION: Duration = Duration::from_secs(12);
 
-/// A request that was sent.
-struct Sent {
+struct SentRequest {
     id: String,
-    at: Instant,
-    /// When its front was started.
-    front_since: Instant,
+    sent_at: Instant,
+    front_started_at: Instant,
 }
 
-/// When each front was started last; in the order of the fleet's fronts.
-type Starts = Mutex<Vec<(SocketAddr, Instant)>>;
+/// When each front was last started, in the order of the fleet's fronts.
+type FrontStarts = Mutex<Vec<(SocketAddr, Instant)>>;
 
-async fn play(seed: u64) {
-    let mut draw = StdRng::seed_from_u64(seed);
+async fn run_scenario(seed: u64) {
+    let mut rng = StdRng::seed_from_u64(seed);
     let mut fleet = Fleet::start(FleetPlan {
         servers: crashing_servers::shapes(90),
         fronts: 6,
@@ -43,30 +42,31 @@
     .await;
     let started = Instant::now();
     let fronts = fleet.fronts.iter().map(|front| (*front, started));
-    let starts: Starts = Mutex::new(fronts.collect());
-    let mut third_crash = None;
-    let mut sent: Vec<Sent> = Vec::new();
+    let starts: FrontStarts = Mutex::new(fronts.collect());
+    let mut quarantined_at = None;
+    let mut sent: Vec<SentRequest> = Vec::new();
     let mut calls = Vec::new();
-    while started.elapsed() < LENGTH {
-        for _ in 0..draw.random_range(1..=2) {
-            let (front, front_since) = {
+    while started.elapsed() < DURATION {
+        for _ in 0..rng.random_range(1..=2) {
+            let (front, front_started_at) = {
                 let starts = starts.lock().expect("starts lock");
-                starts[draw.random_range(0..starts.len())]
+                starts[rng.random_range(0..starts.len())]
             };
             let id = format!("crash-{}", sent.len());
-            sent.push(Sent {
+            sent.push(SentRequest {
                 id: id.clone(),
-                at: Instant::now(),
-                front_since,
+                sent_at: Instant::now(),
+                front_started_at,
             });
             calls.push(actix_web::rt::spawn(async move {
-                // Refused, broken off or unreachable: what counts is what the servers see.
+                // The front may refuse the request, cut it off or be unreachable: only the runs at
+                // the servers are checked.
                 let _ = call(front, Method::POST, "/stream/a", &id, &[], CRASHING_BODY).await;
             }));
         }
-        match draw.random_range(0..12) {
+        match rng.random_range(0..12) {
             0 | 1 => {
-                let at = draw.random_range(0..fleet.processes.len());
+                let at = rng.random_range(0..fleet.processes.len());
                 fleet.restart(at).await;
                 let addr = fleet.processes[at].settings.caller_address;
                 let mut starts = starts.lock().expect("starts lock");
@@ -85,38 +85,39 @@
             3..=5 => fleet.set_store_faults(Faults::default()).await,
             _ => {}
         }
-        let pause = draw.random_range(50..400);
+        let pause = rng.random_range(50..400);
         tokio::time::sleep(Duration::from_millis(pause)).await;
         let ended = fleet.servers.iter().filter(|server| server.has_ended());
-        if third_crash.is_none() && ended.count() >= CRASHES_TO_QUARANTINE {
-            third_crash = Some(Instant::now());
+        if quarantined_at.is_none() && ended.count() >= CRASHES_TO_QUARANTINE {
+            quarantined_at = Some(Instant::now());
         }
     }
     futures::future::join_all(calls).await;
-    let known_at = third_crash.expect("servers crash") + PROPAGATION_TIME;
-    let late = sent.iter().filter(|one| {
-        let front_was_up = one.at.duration_since(one.front_since) >= PROPAGATION_TIME;
-        one.at >= known_at && front_was_up
+    let propagated_at = quarantined_at.expect("too few servers crashed") + PROPAGATION_TIME;
+    let late = sent.iter().filter(|request| {
+        let front_had_reports =
+            request.sent_at.duration_since(request.front_started_at) >= PROPAGATION_TIME;
+        request.sent_at >= propagated_at && front_had_reports
     });
-    let late: Vec<&Sent> = late.collect();
+    let late: Vec<&SentRequest> = late.collect();
     assert!(
         late.len() > MAX_RUNS_IN_QUARANTINE,
-        "seed {seed}: enough was sent"
+        "seed {seed}: too few requests sent"
     );
     let runs: usize = late
         .iter()
-        .map(|one| fleet.runs_of_request(&one.id).len())
+        .map(|request| fleet.runs_of_request(&request.id).len())
         .sum();
     assert!(
         runs <= MAX_RUNS_IN_QUARANTINE,
-        "seed {seed}: {runs} servers reached"
+        "seed {seed}: {runs} runs in quarantine"
     );
     fleet.cancel.cancel();
 }
 
 #[actix_web::test]
-async fn whatever_happens_to_processes_and_store_a_known_request_stays_known() {
+async fn quarantine_survives_process_restarts_and_store_outages() {
     for seed in [1, 2] {
-        play(seed).await;
+        run_scenario(seed).await;
     }
 }
