--- a/crates/foxwheel-node/tests/moving_route.rs
+++ b/crates/foxwheel-node/tests/moving_route.rs
@@ -1,4 +1,5 @@
-//! A route moves to another service while requests wait for slots.
+//! A new configuration moves a route to another service while requests wait for slots. Guards
+//! against requests that then run twice, or at a service that is no longer configured for them.
 
 mod common;
 
@@ -11,13 +12,14 @@
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
 
-/// More than the front sends to one server at once (12 of 8 slots), so that some wait.
-const BURST: usize = 30;
+/// Number of concurrent requests: more than the front sends to one server at the same time (12 to a
+/// server with 8 slots), so that some of them wait.
+const CONCURRENT_REQUESTS: usize = 30;
 
 const ROUNDS: u64 = 6;
 
-/// Where the requests of a route go in a version of the configuration.
-fn service_of(version: u64) -> &'static str {
+/// Returns the service of every route in the given version of the configuration.
+fn service_in_version(version: u64) -> &'static str {
     match version % 2 {
         0 => "other",
         _ => "model",
@@ -35,13 +37,14 @@
     server
 }
 
-/// Moves every route to the service of `version`, and marks the version by a route.
+/// Writes configuration `version`: every route uses the service of this version, and an added
+/// marker route shows whether the version is in force.
 async fn move_routes(fleet: &Fleet, version: u64) {
     fleet
         .configure(version, |config| {
             let routes = config["routes"].as_array_mut().expect("routes");
             for route in routes.iter_mut() {
-                route["service"] = json!(service_of(version));
+                route["service"] = json!(service_in_version(version));
             }
             let mut marker = routes[0].clone();
             marker["name"] = json!("marker");
@@ -55,12 +58,12 @@
         .await;
 }
 
-async fn until_in_force(fleet: &Fleet, version: u64) {
+async fn wait_until_in_force(fleet: &Fleet, version: u64) {
     let path = format!("/version-{version}/probe");
     for attempt in 0..1_000 {
         let id = format!("probe-{version}-{attempt}");
-        let reply = call(fleet.fronts[0], Method::GET, &path, &id, &[], "").await;
-        if reply.is_ok_and(|reply| reply.status != StatusCode::NOT_FOUND) {
+        let response = call(fleet.fronts[0], Method::GET, &path, &id, &[], "").await;
+        if response.is_ok_and(|response| response.status != StatusCode::NOT_FOUND) {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -68,71 +71,73 @@
     panic!("version {version} never came into force");
 }
 
-async fn send(front: std::net::SocketAddr, path: &str, id: String) -> (String, Answer) {
+async fn send_request(front: std::net::SocketAddr, path: &str, id: String) -> (String, Answer) {
     let path = format!("{path}{id}");
-    let answer = call(front, Method::POST, &path, &id, &[], "timber").await;
-    (id, answer.expect("an answer"))
+    let response = call(front, Method::POST, &path, &id, &[], "timber").await;
+    (id, response.expect("a response"))
 }
 
-/// Each request runs at one service, that of a version in force since it came; a request
-/// that comes after a version is in force never runs where only an older one sent it; one
-/// that may run once runs once at most, and one refused as not run never ran.
+/// Each request runs at one service only: that of a configuration version that was in force at or
+/// after its arrival. A request sent after a version came into force never runs at the service of
+/// an older version. A request that may run once runs at most once, and one that is refused as not
+/// run has not run.
 #[actix_web::test]
-async fn waiting_requests_keep_their_promises_while_their_route_moves() {
-    let slow = |id: &str| Shape {
+async fn waiting_requests_run_at_most_once_while_their_route_moves() {
+    let slow_shape = |id: &str| Shape {
         id: id.to_owned(),
         events: 0,
         step: Duration::from_millis(60),
         ..Shape::default()
     };
     let fleet = Fleet::start(FleetPlan {
-        servers: vec![slow("server-0")],
+        servers: vec![slow_shape("server-0")],
         workers: 0,
         ..FleetPlan::default()
     })
     .await;
-    let other = add_other_server(&fleet, slow("other-0")).await;
+    let other = add_other_server(&fleet, slow_shape("other-0")).await;
     let runs_at = |service: &str, id: &str| match service {
         "other" => other.runs.of(id).len(),
         _ => fleet.runs_of_request(id).len(),
     };
     move_routes(&fleet, 3).await;
-    until_in_force(&fleet, 3).await;
+    wait_until_in_force(&fleet, 3).await;
     for round in 0..ROUNDS {
         let mut rng = StdRng::seed_from_u64(round);
-        let (before, after) = (3 + round, 4 + round);
+        let (old_version, new_version) = (3 + round, 4 + round);
         let front = fleet.fronts[0];
-        let early = (0..BURST).map(|at| {
+        let early = (0..CONCURRENT_REQUESTS).map(|at| {
             let path = ["/plain/", "/once/"][at % 2];
-            let pause = Duration::from_millis(rng.random_range(0..120));
+            let delay = Duration::from_millis(rng.random_range(0..120));
             async move {
-                tokio::time::sleep(pause).await;
-                send(front, path, format!("early-{round}-{at}")).await
+                tokio::time::sleep(delay).await;
+                send_request(front, path, format!("early-{round}-{at}")).await
             }
         });
         let early = futures::future::join_all(early.collect::<Vec<_>>());
-        let moving = async {
+        let move_and_send = async {
             tokio::time::sleep(Duration::from_millis(rng.random_range(0..120))).await;
-            move_routes(&fleet, after).await;
-            until_in_force(&fleet, after).await;
-            let late = (0..BURST).map(|at| send(front, "/once/", format!("late-{round}-{at}")));
+            move_routes(&fleet, new_version).await;
+            wait_until_in_force(&fleet, new_version).await;
+            let late = (0..CONCURRENT_REQUESTS)
+                .map(|at| send_request(front, "/once/", format!("late-{round}-{at}")));
             futures::future::join_all(late).await
         };
-        let (early, late) = tokio::join!(early, moving);
-        for (id, answer) in early.iter().chain(&late) {
+        let (early, late) = tokio::join!(early, move_and_send);
+        for (id, response) in early.iter().chain(&late) {
             let runs = runs_at("model", id) + runs_at("other", id);
             assert!(runs <= 1, "{id} ran {runs} times");
-            if answer.status == StatusCode::SERVICE_UNAVAILABLE {
+            if response.status == StatusCode::SERVICE_UNAVAILABLE {
                 assert_eq!(runs, 0, "{id} was refused as not run");
-                assert!(answer.headers.contains_key("retry-after"), "{id}");
+                assert!(response.headers.contains_key("retry-after"), "{id}");
             } else {
-                assert_eq!(answer.status, StatusCode::OK, "{id}");
+                assert_eq!(response.status, StatusCode::OK, "{id}");
                 assert_eq!(runs, 1, "{id}");
             }
         }
         for (id, _) in &late {
             assert_eq!(
-                runs_at(service_of(before), id),
+                runs_at(service_in_version(old_version), id),
                 0,
                 "{id} ran at the old service"
             );
--- a/crates/foxwheel-node/tests/restarted_servers.rs
+++ b/crates/foxwheel-node/tests/restarted_servers.rs
@@ -1,5 +1,5 @@
-//! Backend servers that start again, under a new id or the one they had, and entries that
-//! other writers spoil.
+//! Backend servers that restart under a new id or the same one, and server list entries that other
+//! writers make invalid.
 
 mod common;
 
@@ -12,8 +12,8 @@
 use hyper::{Method, StatusCode};
 use serde_json::{json, Value};
 
-/// How long a change of the list may take to be known to a process.
-const KNOWN_AFTER: Duration = Duration::from_millis(500);
+/// Within this time a process has received a change of the list of servers.
+const LIST_CHANGE_DELAY: Duration = Duration::from_millis(500);
 
 async fn start_server(fleet: &Fleet, id: &str) -> Server {
     let ip = "127.0.0.1".parse().expect("an address");
@@ -25,29 +25,30 @@
     started.expect("server starts")
 }
 
-fn started(addr: SocketAddr, incarnation: u64) -> Value {
+fn entry_of_instance(addr: SocketAddr, incarnation: u64) -> Value {
     let mut entry = server_entry(addr, "ready");
     entry["born"] = json!(incarnation);
     entry
 }
 
-/// Sends `count` requests; asserts that each is served, and answers how many ran at `server`.
-async fn served(front: SocketAddr, name: &str, count: usize, server: &Server) -> usize {
+/// Sends `count` requests and asserts that each is served. Returns how many ran at `server`.
+async fn serve_requests(front: SocketAddr, name: &str, count: usize, server: &Server) -> usize {
     for at in 0..count {
         let id = format!("{name}-{at}");
-        let answer = call(front, Method::POST, "/once/a", &id, &[], "").await;
-        assert_eq!(answer.expect("answered").status, StatusCode::OK, "{id}");
+        let response = call(front, Method::POST, "/once/a", &id, &[], "").await;
+        assert_eq!(response.expect("a response").status, StatusCode::OK, "{id}");
     }
     let runs = server.runs.all();
-    let of_name = runs.iter().filter(|run| run.request_id.starts_with(name));
-    of_name.count()
+    let named_runs = runs.iter().filter(|run| run.request_id.starts_with(name));
+    named_runs.count()
 }
 
-/// Of ten listed servers eight started again while the list cannot show it: their addresses
-/// answer as other instances, and having no load they look best. Requests that may run once
-/// are served by the two that are left, at a front that never met the eight too.
+/// Eight of ten listed servers have restarted while the list still shows their old instances. Their
+/// addresses respond as other instances, and they look best as they have no load. Requests that may
+/// run only once are still served by the other two servers, also at a front that has never sent
+/// requests to the eight.
 #[actix_web::test]
-async fn servers_that_started_again_behind_a_cut_cost_no_request() {
+async fn servers_restarted_without_a_list_update_fail_no_request() {
     let fleet = Fleet::start(FleetPlan {
         fronts: 2,
         workers: 0,
@@ -55,64 +56,67 @@
     })
     .await;
     for at in 0..8 {
-        let reborn = start_server(&fleet, &format!("reborn-{at}")).await;
+        let restarted = start_server(&fleet, &format!("restarted-{at}")).await;
         fleet
-            .register_server(&format!("listed-{at}"), reborn.addr, "ready")
+            .register_server(&format!("listed-{at}"), restarted.addr, "ready")
             .await;
     }
-    tokio::time::sleep(KNOWN_AFTER).await;
+    tokio::time::sleep(LIST_CHANGE_DELAY).await;
     for front in [fleet.fronts[0], fleet.fronts[1]] {
-        served(front, &format!("at-{front}"), 12, &fleet.servers[0]).await;
+        serve_requests(front, &format!("at-{front}"), 12, &fleet.servers[0]).await;
     }
     fleet.cancel.cancel();
 }
 
-/// What other writers make of a server's entry takes that server out of use at once, and no
-/// other; a process that starts meanwhile serves too. A whole entry brings it back.
+/// An entry that another writer made invalid takes its server out of use, and no other server. A
+/// process that starts meanwhile serves, too. A valid entry brings the server back into use.
 #[actix_web::test]
-async fn a_spoiled_entry_takes_one_server_out_and_no_other() {
+async fn invalid_entry_removes_only_its_own_server() {
     let mut fleet = Fleet::start(FleetPlan {
         workers: 0,
         ..FleetPlan::default()
     })
     .await;
     let addr = fleet.servers[0].addr;
-    let without = |field: &str| {
-        let mut spoiled = server_entry(addr, "ready");
-        spoiled.as_object_mut().expect("an object").remove(field);
-        spoiled
+    let entry_without = |field: &str| {
+        let mut entry = server_entry(addr, "ready");
+        entry.as_object_mut().expect("an object").remove(field);
+        entry
     };
-    let spoiled = [
+    let invalid_entries = [
         json!("bytes that say nothing"),
         Value::Null,
-        without("zone"),
-        without("slots"),
+        entry_without("zone"),
+        entry_without("slots"),
         server_entry(addr, "asleep"),
     ];
-    for (at, spec) in spoiled.iter().enumerate() {
+    for (at, spec) in invalid_entries.iter().enumerate() {
         fleet.write_server_entry("server-0", spec).await;
-        tokio::time::sleep(KNOWN_AFTER).await;
-        let name = format!("spoiled-{at}");
-        let ran = served(fleet.fronts[0], &name, 6, &fleet.servers[0]).await;
-        assert_eq!(ran, 0, "{spec} named a server");
+        tokio::time::sleep(LIST_CHANGE_DELAY).await;
+        let name = format!("invalid-{at}");
+        let run_count = serve_requests(fleet.fronts[0], &name, 6, &fleet.servers[0]).await;
+        assert_eq!(run_count, 0, "requests ran at the server of entry {spec}");
     }
     fleet.add_process(Role::Front).await;
-    let late = *fleet.fronts.last().expect("a front");
-    fleet.wait_until_serving(late).await;
-    assert_eq!(served(late, "late", 6, &fleet.servers[0]).await, 0);
+    let late_front = *fleet.fronts.last().expect("a front");
+    fleet.wait_until_serving(late_front).await;
+    assert_eq!(
+        serve_requests(late_front, "late", 6, &fleet.servers[0]).await,
+        0
+    );
     fleet.register_server("server-0", addr, "ready").await;
-    tokio::time::sleep(KNOWN_AFTER).await;
-    for (at, front) in [fleet.fronts[0], late].into_iter().enumerate() {
-        let ran = served(front, &format!("whole-{at}"), 12, &fleet.servers[0]).await;
-        assert!(ran > 0, "the server is used again");
+    tokio::time::sleep(LIST_CHANGE_DELAY).await;
+    for (at, front) in [fleet.fronts[0], late_front].into_iter().enumerate() {
+        let run_count = serve_requests(front, &format!("valid-{at}"), 12, &fleet.servers[0]).await;
+        assert!(run_count > 0, "the server is not used again");
     }
     fleet.cancel.cancel();
 }
 
-/// A server that starts again under its id at another address is used there; what its
-/// earlier start still writes changes nothing.
+/// A server that restarts under the same id at another address is used at that address. Entries
+/// that its earlier instance still writes are ignored.
 #[actix_web::test]
-async fn a_later_start_under_the_same_id_is_the_one_that_serves() {
+async fn latest_instance_of_a_server_id_is_used() {
     let fleet = Fleet::start(FleetPlan {
         servers: server_shapes(1),
         workers: 0,
@@ -121,18 +125,18 @@
     .await;
     let front = fleet.fronts[0];
     fleet
-        .write_server_entry("server-0", &started(fleet.servers[0].addr, 1_000))
+        .write_server_entry("server-0", &entry_of_instance(fleet.servers[0].addr, 1_000))
         .await;
     let later = start_server(&fleet, "server-0").await;
     fleet
-        .write_server_entry("server-0", &started(later.addr, 2_000))
+        .write_server_entry("server-0", &entry_of_instance(later.addr, 2_000))
         .await;
-    tokio::time::sleep(KNOWN_AFTER).await;
-    assert_eq!(served(front, "later", 6, &later).await, 6);
+    tokio::time::sleep(LIST_CHANGE_DELAY).await;
+    assert_eq!(serve_requests(front, "later", 6, &later).await, 6);
     fleet
-        .write_server_entry("server-0", &started(fleet.servers[0].addr, 1_000))
+        .write_server_entry("server-0", &entry_of_instance(fleet.servers[0].addr, 1_000))
         .await;
-    tokio::time::sleep(KNOWN_AFTER).await;
-    assert_eq!(served(front, "stale", 6, &later).await, 6);
+    tokio::time::sleep(LIST_CHANGE_DELAY).await;
+    assert_eq!(serve_requests(front, "stale", 6, &later).await, 6);
     fleet.cancel.cancel();
 }
