--- a/crates/foxwheel-node/tests/explain_failures.rs
+++ b/crates/foxwheel-node/tests/explain_failures.rs
@@ -1,4 +1,5 @@
-//! Real processes, three kinds of failed request: their logs alone name the cause.
+//! Starts front and worker processes and checks that `foxwheel-ctl explain` finds the cause of
+//! three kinds of failed request from their logs alone.
 
 mod common;
 
@@ -14,22 +15,22 @@
 use foxwheel_server_emu::server::Shape;
 use hyper::{Method, StatusCode};
 
-/// A process started from its binary, with its log in a file.
-struct Spawned {
+/// A process started from its binary, with its log in a file; killed when dropped.
+struct SpawnedProcess {
     child: Child,
     log: PathBuf,
     caller_address: Option<SocketAddr>,
 }
 
-impl Drop for Spawned {
+impl Drop for SpawnedProcess {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already, so that errors are ignored.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-impl Spawned {
+impl SpawnedProcess {
     fn start(name: &str, settings: &NodeSettings) -> Self {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("explain-{name}"));
         std::fs::create_dir_all(&folder).expect("folder");
@@ -54,14 +55,18 @@
         }
     }
 
-    fn front(&self) -> SocketAddr {
+    fn caller_address(&self) -> SocketAddr {
         self.caller_address.expect("a front")
     }
 }
 
-/// A front and workers as processes of their own, beside a fleet that only has the store
+/// Starts a front and workers as separate processes, and a fleet that consists only of the store
 /// and the backend servers.
-async fn spawn(name: &str, servers: Vec<Shape>, workers: u32) -> (Fleet, Vec<Spawned>) {
+async fn spawn_fleet(
+    name: &str,
+    servers: Vec<Shape>,
+    workers: u32,
+) -> (Fleet, Vec<SpawnedProcess>) {
     let fleet = Fleet::start(FleetPlan {
         servers,
         fronts: 0,
@@ -69,37 +74,39 @@
         ..FleetPlan::default()
     })
     .await;
-    let mut processes = vec![Spawned::start(
+    let mut processes = vec![SpawnedProcess::start(
         name,
         &fleet.process_settings(1, Role::Front),
     )];
     for host in 2..2 + workers {
         let settings = fleet.process_settings(host, Role::Worker);
-        processes.push(Spawned::start(name, &settings));
+        processes.push(SpawnedProcess::start(name, &settings));
     }
-    fleet.wait_until_serving(processes[0].front()).await;
+    fleet
+        .wait_until_serving(processes[0].caller_address())
+        .await;
     (fleet, processes)
 }
 
-/// Waits until the logs tell of `id` as expected; answers the story.
-async fn story(id: &str, processes: &[Spawned], expected: &str) -> String {
+/// Waits until the explanation of `id` from the logs contains `expected`, and returns it.
+async fn wait_for_explanation(id: &str, processes: &[SpawnedProcess], expected: &str) -> String {
     let logs: Vec<PathBuf> = processes
         .iter()
         .map(|process| process.log.clone())
         .collect();
-    let mut last = String::new();
+    let mut explanation = String::new();
     for _ in 0..200 {
-        last = explain::explain(id, &logs).unwrap_or_else(|e| e.to_string());
-        if last.contains(expected) {
-            return last;
+        explanation = explain::explain(id, &logs).unwrap_or_else(|e| e.to_string());
+        if explanation.contains(expected) {
+            return explanation;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    panic!("'{expected}' is not told of {id}:\n{last}");
+    panic!("'{expected}' is missing from the explanation of {id}:\n{explanation}");
 }
 
 #[actix_web::test]
-async fn a_request_refused_under_load() {
+async fn explains_a_request_refused_under_load() {
     let slow = Shape {
         id: "slow".to_owned(),
         slots: 8,
@@ -107,9 +114,10 @@
         events: 20,
         ..Shape::default()
     };
-    let (mut fleet, processes) = spawn("load", common::server_shapes(1), 0).await;
-    let front = processes[0].front();
-    // The probe of the start needs a quick server; the load meets the slow one.
+    let (mut fleet, processes) = spawn_fleet("load", common::server_shapes(1), 0).await;
+    let front = processes[0].caller_address();
+    // The fleet's start waits for a served request, which needs a fast server. The load is then
+    // sent to the slow server.
     fleet
         .register_server("server-0", fleet.servers[0].addr, "draining")
         .await;
@@ -119,57 +127,58 @@
         let id = format!("load-{at}");
         let mut connection = common::connect(front).await.expect("connected");
         let request = common::request(Method::POST, "/stream-once/a", &id, &[], "");
-        let answer = connection.send(request).await.expect("answered");
-        (id, answer.status())
+        let response = connection.send(request).await.expect("a response");
+        (id, response.status())
     });
-    let answers = futures::future::join_all(callers).await;
-    let refused = answers
+    let responses = futures::future::join_all(callers).await;
+    let refused = responses
         .iter()
         .find(|(_, status)| *status == StatusCode::SERVICE_UNAVAILABLE)
-        .unwrap_or_else(|| panic!("none refused: {answers:?}"));
-    let told = story(
+        .unwrap_or_else(|| panic!("none refused: {responses:?}"));
+    let explanation = wait_for_explanation(
         &refused.0,
         &processes,
         "cause: request failed: all servers full",
     )
     .await;
-    assert!(told.contains("may_have_run=false"), "{told}");
+    assert!(explanation.contains("may_have_run=false"), "{explanation}");
     fleet.cancel.cancel();
 }
 
 #[actix_web::test]
-async fn a_stream_broken_by_a_crashed_server() {
-    let (fleet, processes) = spawn("stream", common::server_shapes(1), 0).await;
+async fn explains_a_stream_cut_off_by_a_crashed_server() {
+    let (fleet, processes) = spawn_fleet("stream", common::server_shapes(1), 0).await;
     fleet.servers[0].script.extend([Fault::BreakAfter(2)]);
-    let front = processes[0].front();
-    let answer = call(front, Method::POST, "/stream-once/a", "broken", &[], "").await;
-    assert!(!answer.expect("answered").whole);
-    let told = story("broken", &processes, "cause: stream broken").await;
-    assert!(told.contains("(server server-0)"), "{told}");
+    let front = processes[0].caller_address();
+    let response = call(front, Method::POST, "/stream-once/a", "broken", &[], "").await;
+    assert!(!response.expect("a response").whole);
+    let explanation = wait_for_explanation("broken", &processes, "cause: stream broken").await;
+    assert!(explanation.contains("(server server-0)"), "{explanation}");
     fleet.cancel.cancel();
 }
 
 #[actix_web::test]
-async fn an_item_given_up_and_one_late_over_a_dead_worker() {
-    let steps = common::server_shapes(2).into_iter().map(|shape| Shape {
+async fn explains_an_item_given_up_and_a_job_adopted_from_a_killed_worker() {
+    let slow_shapes = common::server_shapes(2).into_iter().map(|shape| Shape {
         step: Duration::from_millis(150),
         ..shape
     });
-    let (fleet, mut processes) = spawn("item", steps.collect(), 2).await;
-    let front = processes[0].front();
+    let (fleet, mut processes) = spawn_fleet("item", slow_shapes.collect(), 2).await;
+    let front = processes[0].caller_address();
     for server in &fleet.servers {
         server.script.extend([Fault::Fail; 3]);
     }
-    submit(front, "failing", 1).await.expect("answered");
+    submit(front, "failing", 1).await.expect("a response");
     wait_for_results(front, "failing", 1).await;
-    let told = story("failing-item-0", &processes, "cause: item given up: Failed").await;
-    assert!(told.contains("failures=3"), "{told}");
+    let explanation =
+        wait_for_explanation("failing-item-0", &processes, "cause: item given up: Failed").await;
+    assert!(explanation.contains("failures=3"), "{explanation}");
 
-    // Both workers run jobs; the first is killed without a word.
+    // Both workers run jobs. The first one is killed without a graceful stop.
     for at in 0..6 {
         submit(front, &format!("late-{at}"), 4)
             .await
-            .expect("answered");
+            .expect("a response");
     }
     tokio::time::sleep(Duration::from_millis(400)).await;
     processes[1].child.kill().expect("killed");
@@ -177,15 +186,18 @@
     for at in 0..6 {
         let job = format!("late-{at}");
         wait_for_results(front, &job, 4).await;
-        let told = story(&job, &processes, "results stored").await;
-        let cause = told.lines().last().expect("a cause");
+        let explanation = wait_for_explanation(&job, &processes, "results stored").await;
+        let cause = explanation.lines().last().expect("a cause");
         assert_eq!(
-            told.contains("job adopted"),
+            explanation.contains("job adopted"),
             cause.contains("changed its worker"),
-            "{told}"
+            "{explanation}"
         );
-        adopted += usize::from(told.contains("job adopted"));
+        adopted += usize::from(explanation.contains("job adopted"));
     }
-    assert!(adopted > 0, "no job of the dead worker is told as adopted");
+    assert!(
+        adopted > 0,
+        "no job of the killed worker is explained as adopted"
+    );
     fleet.cancel.cancel();
 }
--- a/crates/foxwheel-node/tests/metrics_contract.rs
+++ b/crates/foxwheel-node/tests/metrics_contract.rs
@@ -1,4 +1,5 @@
-//! What the metrics say of requests, and the burn report made from them.
+//! The metrics of a front: names, counts per outcome and histograms, and the burn rates computed
+//! from them.
 
 mod common;
 
@@ -12,7 +13,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Every counter that a process may serve.
+/// Returns the counters whose names are checked.
 fn all_counters() -> Vec<Counter> {
     let mut counters = vec![
         Counter::AttemptFailed,
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn names_are_distinct_and_stand_in_the_operators_page() {
+fn names_are_distinct_and_documented_for_operators() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/OPERATIONS.md");
     let page = std::fs::read_to_string(path).expect("the page");
     let metrics = Metrics::default();
@@ -65,33 +66,34 @@
     let names = counters.iter().map(|counter| counter.name().into_owned());
     let timers = [Timer::FirstResponse, Timer::JobAccept].map(|timer| timer.name().to_owned());
     for name in names.chain(timers) {
-        // A name made of parts is listed by its first part and each of the others.
+        // A composed name is documented as its first part and each of the other parts.
         let mut parts = name.split('.');
         let first = parts.next().expect("a part");
         let by_parts = page.contains(&format!("`{first}."))
             && parts.all(|part| page.contains(&format!("`{part}`")));
-        let listed = by_parts || page.contains(&format!("`{name}`"));
-        assert!(listed, "{name} is not in docs/OPERATIONS.md");
+        let is_documented = by_parts || page.contains(&format!("`{name}`"));
+        assert!(is_documented, "{name} is not in docs/OPERATIONS.md");
     }
 }
 
-async fn fetch(front: &common::Process) -> String {
+async fn fetch_metrics(front: &common::Process) -> String {
     let settings = &front.settings;
     let port = settings.metrics_port.expect("metrics are served");
     let addr = std::net::SocketAddr::new(settings.ip, port);
-    let answer = call(addr, Method::GET, "/metrics", "m", &[], "").await;
-    answer.expect("an answer").text()
+    let response = call(addr, Method::GET, "/metrics", "m", &[], "").await;
+    response.expect("a response").text()
 }
 
-/// What `page` says of a counter; a counter that never rose is not there.
-fn count(page: &str, name: &str) -> u64 {
+/// Returns the value of a counter in `page`; 0 if it is missing, as counters are only listed once
+/// they were incremented.
+fn counter_value(page: &str, name: &str) -> u64 {
     let name = format!("{PREFIX}.{name} ");
     let line = page.lines().find_map(|line| line.strip_prefix(&name));
     line.map_or(0, |value| value.parse().expect("a number"))
 }
 
 #[actix_web::test]
-async fn each_request_is_counted_once_by_what_became_of_it() {
+async fn each_request_is_counted_once_by_its_outcome() {
     let mut fleet = Fleet::start(FleetPlan {
         servers: common::server_shapes(1),
         workers: 0,
@@ -99,25 +101,27 @@
     })
     .await;
     let front = fleet.fronts[0];
-    let before = fetch(&fleet.processes[0]).await;
+    let before = fetch_metrics(&fleet.processes[0]).await;
     let script = fleet.servers[0].script.clone();
     let send = |path: &'static str, id: &'static str| call(front, Method::POST, path, id, &[], "");
-    // Served, a server's own failure, a lost answer; then a stream that broke off.
+    // A success, a server's error response and a lost response; then a stream that is cut off.
     for (fault, status) in [
         (Fault::None, StatusCode::OK),
         (Fault::Fail, StatusCode::INTERNAL_SERVER_ERROR),
         (Fault::LoseAnswer, StatusCode::BAD_GATEWAY),
     ] {
         script.extend([fault]);
-        let answer = send("/once/a", "once").await.expect("an answer");
-        assert_eq!(answer.status, status, "{fault:?}");
+        let response = send("/once/a", "once").await.expect("a response");
+        assert_eq!(response.status, status, "{fault:?}");
     }
-    let whole = send("/stream-once/a", "whole").await.expect("an answer");
-    assert!(whole.whole);
+    let complete = send("/stream-once/a", "complete")
+        .await
+        .expect("a response");
+    assert!(complete.whole);
     script.extend([Fault::BreakAfter(1)]);
-    let broken = send("/stream-once/a", "broken").await.expect("an answer");
-    assert!(!broken.whole);
-    // Nothing is on time when the target is zero.
+    let cut_off = send("/stream-once/a", "cut-off").await.expect("a response");
+    assert!(!cut_off.whole);
+    // With a target latency of zero, every response is late.
     fleet
         .configure(2, |config| {
             let routes = config["routes"].as_array_mut().expect("routes");
@@ -128,26 +132,27 @@
     let mut late = StatusCode::NOT_FOUND;
     while late != StatusCode::OK {
         tokio::time::sleep(Duration::from_millis(10)).await;
-        late = send("/late/a", "late").await.expect("an answer").status;
+        late = send("/late/a", "late").await.expect("a response").status;
     }
-    // Without a server nothing runs.
-    let gone = fleet.servers.remove(0);
+    // Without an available server, requests are refused as not run.
+    let removed = fleet.servers.remove(0);
     fleet
-        .register_server("server-0", gone.addr, "draining")
+        .register_server("server-0", removed.addr, "draining")
         .await;
     let mut refused = StatusCode::OK;
     while refused != StatusCode::SERVICE_UNAVAILABLE {
         tokio::time::sleep(Duration::from_millis(10)).await;
-        refused = send("/once/a", "refused").await.expect("an answer").status;
+        refused = send("/once/a", "refused").await.expect("a response").status;
     }
-    let pages = [fetch(&fleet.processes[0]).await];
+    let pages = [fetch_metrics(&fleet.processes[0]).await];
     let once = burn::tally(RequestKind::NonIdempotent, &pages);
     assert_eq!((once.failed, once.refused), (2, 1), "{}", pages[0]);
     assert!(once.on_time + once.late >= 1);
     let streams = burn::tally(RequestKind::Stream, &pages);
     assert_eq!((streams.total(), streams.failed), (2, 1));
-    // Until a front has heard of servers it refuses too: that was before the first page.
-    let without_server = |page| count(page, "refused.no_server");
+    // A starting front also refuses requests until it has received the list of servers. These
+    // refusals are in the first page.
+    let without_server = |page| counter_value(page, "refused.no_server");
     assert_eq!(without_server(&pages[0]) - without_server(&before), 1);
     let plain_before = burn::tally(RequestKind::Idempotent, &[before]);
     let plain = burn::tally(RequestKind::Idempotent, &pages);
@@ -156,7 +161,7 @@
 }
 
 #[test]
-fn histograms_hold_what_was_recorded() {
+fn histograms_report_recorded_durations() {
     let metrics = Metrics::default();
     for at_ms in 1..=1_000 {
         metrics.time(Timer::FirstResponse, Duration::from_millis(at_ms));
@@ -175,7 +180,7 @@
 }
 
 #[test]
-fn burn_is_the_bad_share_over_the_budget_and_sums_processes() {
+fn burn_rate_is_the_bad_share_over_the_budget_of_all_processes() {
     let pages = [
         "foxwheel.request.stream.on_time 90\nfoxwheel.request.stream.late 4\n".to_owned(),
         "foxwheel.request.stream.refused 5\nfoxwheel.request.stream.failed 1\n".to_owned(),
--- a/crates/foxwheel-node/tests/online_contract.rs
+++ b/crates/foxwheel-node/tests/online_contract.rs
@@ -1,4 +1,5 @@
-//! Online requests against scripted backend servers: what callers see, and what ran.
+//! Online requests to backend servers with scripted faults. Checks the responses that callers get
+//! and how often each request ran.
 
 mod common;
 
@@ -11,54 +12,57 @@
 use hyper::header::RETRY_AFTER;
 use hyper::{Method, StatusCode};
 
-fn plain(count: usize) -> FleetPlan {
-    let plain = common::server_shapes(count).into_iter();
+fn plain_plan(count: usize) -> FleetPlan {
+    let shapes = common::server_shapes(count).into_iter();
     FleetPlan {
-        servers: plain.map(|shape| Shape { events: 0, ..shape }).collect(),
+        servers: shapes.map(|shape| Shape { events: 0, ..shape }).collect(),
         workers: 0,
         ..FleetPlan::default()
     }
 }
 
-/// The whole text of a stream of five events.
-fn whole_stream(id: &str) -> String {
+/// Returns the complete text of a stream of five events.
+fn complete_stream(id: &str) -> String {
     (1..=5).map(|event| event_text(id, event)).collect()
 }
 
-/// What one case expects of the answer and of the servers.
+/// One request and its expected response and runs.
 struct Case {
     name: &'static str,
     path: &'static str,
     faults: &'static [Fault],
     status: StatusCode,
-    /// Runs on all servers.
+    /// Number of runs at all servers.
     runs: usize,
 }
 
-fn check(case: &Case, answer: &Answer, runs: usize) {
+fn check_response(case: &Case, response: &Answer, runs: usize) {
     let name = case.name;
-    assert_eq!(answer.status, case.status, "{name}");
+    assert_eq!(response.status, case.status, "{name}");
     assert_eq!(runs, case.runs, "{name}: runs");
-    let promise = [
+    let not_run_statuses = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
     ];
-    if promise.contains(&answer.status) {
-        assert_eq!(runs, 0, "{name}: says that it was not run");
-        assert!(answer.headers.contains_key(RETRY_AFTER), "{name}");
+    if not_run_statuses.contains(&response.status) {
+        assert_eq!(
+            runs, 0,
+            "{name}: ran, but the response says that it was not run"
+        );
+        assert!(response.headers.contains_key(RETRY_AFTER), "{name}");
     }
-    assert!(!answer.headers.contains_key(&NOT_EXECUTED), "{name}");
-    let signed = answer.headers.contains_key(&SIGNATURE);
-    let of_server =
-        answer.status.is_success() || answer.status == StatusCode::INTERNAL_SERVER_ERROR;
+    assert!(!response.headers.contains_key(&NOT_EXECUTED), "{name}");
+    let is_signed = response.headers.contains_key(&SIGNATURE);
+    let is_from_server =
+        response.status.is_success() || response.status == StatusCode::INTERNAL_SERVER_ERROR;
     assert_eq!(
-        signed, of_server,
-        "{name}: only a server's own answer is signed"
+        is_signed, is_from_server,
+        "{name}: only a server's own response is signed"
     );
 }
 
 #[actix_web::test]
-async fn plain_requests_under_each_fault() {
+async fn plain_requests_with_each_fault() {
     use Fault::{Fail, ForeignId, LoseAnswer, Reject, Truncate, Unsigned};
     let ok = StatusCode::OK;
     let bad_gateway = StatusCode::BAD_GATEWAY;
@@ -74,13 +78,7 @@
     let cases = [
         case("served", "/plain/a", &[][..], ok, 1),
         case("rejected once", "/plain/a", &[Reject], ok, 1),
-        case(
-            "rejected everywhere",
-            "/plain/a",
-            &[Reject; 4],
-            unavailable,
-            0,
-        ),
+        case("always rejected", "/plain/a", &[Reject; 4], unavailable, 0),
         case("failed once", "/plain/a", &[Fail], ok, 2),
         case(
             "failed as often as allowed",
@@ -89,56 +87,74 @@
             failed,
             2,
         ),
-        case("answer lost", "/plain/a", &[LoseAnswer], ok, 2),
-        case("answers lost", "/plain/a", &[LoseAnswer; 2], bad_gateway, 2),
-        case("another request's answer", "/plain/a", &[ForeignId], ok, 2),
-        case("unsigned answer", "/plain/a", &[Unsigned], ok, 2),
-        case("short answer", "/plain/a", &[Truncate], ok, 2),
+        case("response lost", "/plain/a", &[LoseAnswer], ok, 2),
+        case(
+            "all responses lost",
+            "/plain/a",
+            &[LoseAnswer; 2],
+            bad_gateway,
+            2,
+        ),
+        case(
+            "response to another request",
+            "/plain/a",
+            &[ForeignId],
+            ok,
+            2,
+        ),
+        case("unsigned response", "/plain/a", &[Unsigned], ok, 2),
+        case("truncated response", "/plain/a", &[Truncate], ok, 2),
         case("once: rejected", "/once/a", &[Reject], ok, 1),
         case("once: failed", "/once/a", &[Fail], failed, 1),
         case(
-            "once: answer lost",
+            "once: response lost",
             "/once/a",
             &[LoseAnswer],
             bad_gateway,
             1,
         ),
         case(
-            "once: another request's answer",
+            "once: response to another request",
             "/once/a",
             &[ForeignId],
             bad_gateway,
             1,
         ),
         case(
-            "once: unsigned answer",
+            "once: unsigned response",
             "/once/a",
             &[Unsigned],
             bad_gateway,
             1,
         ),
-        case("once: short answer", "/once/a", &[Truncate], bad_gateway, 1),
+        case(
+            "once: truncated response",
+            "/once/a",
+            &[Truncate],
+            bad_gateway,
+            1,
+        ),
     ];
-    let fleet = Fleet::start(plain(1)).await;
+    let fleet = Fleet::start(plain_plan(1)).await;
     for (at, case) in cases.iter().enumerate() {
         let id = format!("request-{at}");
         fleet.servers[0].script.extend(case.faults.iter().copied());
-        let answer = call(fleet.fronts[0], Method::POST, case.path, &id, &[], "body").await;
-        let answer = answer.unwrap_or_else(|e| panic!("{}: {e}", case.name));
-        check(case, &answer, fleet.runs_of_request(&id).len());
+        let response = call(fleet.fronts[0], Method::POST, case.path, &id, &[], "body").await;
+        let response = response.unwrap_or_else(|e| panic!("{}: {e}", case.name));
+        check_response(case, &response, fleet.runs_of_request(&id).len());
         if case.status == ok {
-            assert_eq!(answer.text(), plain_body(&id), "{}", case.name);
+            assert_eq!(response.text(), plain_body(&id), "{}", case.name);
         }
     }
     fleet.cancel.cancel();
 }
 
 #[actix_web::test]
-async fn requests_reach_the_server_unchanged_with_the_time_that_is_left() {
-    let fleet = Fleet::start(plain(1)).await;
+async fn server_receives_the_unchanged_request_and_the_remaining_time() {
+    let fleet = Fleet::start(plain_plan(1)).await;
     let headers = [("x-deadline-ms", "1500"), ("x-model", "m")];
     let path = "/plain/a/b?c=d%20e&f";
-    let answer = call(
+    let response = call(
         fleet.fronts[0],
         Method::PUT,
         path,
@@ -147,38 +163,39 @@
         "the body",
     )
     .await;
-    assert_eq!(answer.expect("answered").status, StatusCode::OK);
+    assert_eq!(response.expect("a response").status, StatusCode::OK);
     let runs = fleet.runs_of_request("r");
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].target, format!("PUT {path}"));
     assert_eq!(runs[0].body, b"the body");
-    let left = runs[0]
+    let deadline_ms = runs[0]
         .deadline_ms
         .unwrap_or_else(|| panic!("no {DEADLINE_MS}"));
-    assert!(left > 0 && left <= 1_500, "{left}");
+    assert!(deadline_ms > 0 && deadline_ms <= 1_500, "{deadline_ms}");
     fleet.cancel.cancel();
 }
 
-/// A sliver of time cannot bring an answer back: the request is not sent at all, and its
-/// caller learns that it has not run.
+/// A response cannot arrive within a few milliseconds: a request with so little time left is not
+/// sent to any server, and its caller is told that it has not run.
 #[actix_web::test]
-async fn no_attempt_is_made_with_a_sliver_of_time() {
-    let fleet = Fleet::start(plain(1)).await;
+async fn request_with_too_little_time_left_is_not_sent() {
+    let fleet = Fleet::start(plain_plan(1)).await;
     for (at, path) in ["/plain/a", "/once/a", "/stream/a"].iter().enumerate() {
-        let id = format!("sliver-{at}");
+        let id = format!("short-{at}");
         let headers = [("x-deadline-ms", "8")];
-        let answer = call(fleet.fronts[0], Method::POST, path, &id, &headers, "").await;
-        let answer = answer.expect("answered");
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{path}");
-        assert!(answer.headers.contains_key(RETRY_AFTER), "{path}");
+        let response = call(fleet.fronts[0], Method::POST, path, &id, &headers, "").await;
+        let response = response.expect("a response");
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE, "{path}");
+        assert!(response.headers.contains_key(RETRY_AFTER), "{path}");
         assert!(fleet.runs_of_request(&id).is_empty(), "{path}");
     }
     fleet.cancel.cancel();
 }
 
-/// An answer that misses its target but not its caller's time is delivered whole.
+/// A response that misses the target latency, but not the caller's deadline, is delivered
+/// completely.
 #[actix_web::test]
-async fn late_answers_are_delivered_whole() {
+async fn late_responses_are_delivered_completely() {
     let slow = Shape {
         step: Duration::from_millis(450),
         ..Shape::default()
@@ -191,46 +208,46 @@
     let fleet = Fleet::start(plan).await;
     let headers = [("x-deadline-ms", "10000")];
     let front = fleet.fronts[0];
-    let answer = call(front, Method::POST, "/stream/a", "late", &headers, "").await;
-    let answer = answer.expect("answered");
-    assert!(answer.whole, "cut");
-    assert_eq!(answer.text(), whole_stream("late"));
+    let response = call(front, Method::POST, "/stream/a", "late", &headers, "").await;
+    let response = response.expect("a response");
+    assert!(response.whole, "cut off");
+    assert_eq!(response.text(), complete_stream("late"));
     assert_eq!(fleet.runs_of_request("late").len(), 1, "one run is enough");
     fleet.cancel.cancel();
 }
 
 #[actix_web::test]
-async fn what_no_route_takes_is_answered_at_once() {
-    let fleet = Fleet::start(plain(1)).await;
+async fn requests_without_a_route_get_an_error_status() {
+    let fleet = Fleet::start(plain_plan(1)).await;
     let front = fleet.fronts[0];
     for (path, status) in [
         ("/nowhere/a", StatusCode::NOT_FOUND),
         ("/plain", StatusCode::NOT_FOUND),
         ("/api/lots/unknown", StatusCode::NOT_FOUND),
     ] {
-        let answer = call(front, Method::GET, path, "r", &[], "")
+        let response = call(front, Method::GET, path, "r", &[], "")
             .await
-            .expect("answered");
-        assert_eq!(answer.status, status, "{path}");
+            .expect("a response");
+        assert_eq!(response.status, status, "{path}");
     }
     let long = "x".repeat(20_000);
     let headers = [("x-long", long.as_str())];
-    let answer = call(front, Method::GET, "/plain/a", "r", &headers, "").await;
-    let status = answer.expect("answered").status;
+    let response = call(front, Method::GET, "/plain/a", "r", &headers, "").await;
+    let status = response.expect("a response").status;
     assert_eq!(status, StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
     fleet.cancel.cancel();
 }
 
 #[actix_web::test]
-async fn a_resumable_stream_goes_on_at_another_server() {
+async fn resumable_stream_continues_at_another_server() {
     use Fault::{BreakAfter, BreakWithin, LoseAnswer, Reject, SilentAfter};
     let cases = [
-        ("whole", &[][..], 1),
-        ("broken before its head", &[LoseAnswer], 2),
+        ("complete", &[][..], 1),
+        ("cut off before its head", &[LoseAnswer], 2),
         ("rejected", &[Reject], 1),
-        ("broken before the first event", &[BreakAfter(0)], 2),
-        ("broken after two events", &[BreakAfter(2)], 2),
-        ("broken within an event", &[BreakWithin(2)], 2),
+        ("cut off before the first event", &[BreakAfter(0)], 2),
+        ("cut off after two events", &[BreakAfter(2)], 2),
+        ("cut off within an event", &[BreakWithin(2)], 2),
         ("silent after three events", &[SilentAfter(3)], 2),
     ];
     let fleet = Fleet::start(FleetPlan {
@@ -242,22 +259,22 @@
     for (at, (name, faults, runs)) in cases.iter().enumerate() {
         let id = format!("stream-{at}");
         fleet.servers[0].script.extend(faults.iter().copied());
-        let answer = call(fleet.fronts[0], Method::POST, "/stream/a", &id, &[], "").await;
-        let answer = answer.unwrap_or_else(|e| panic!("{name}: {e}"));
-        assert_eq!(answer.status, StatusCode::OK, "{name}");
-        assert!(answer.whole, "{name}");
-        assert_eq!(answer.text(), whole_stream(&id), "{name}");
+        let response = call(fleet.fronts[0], Method::POST, "/stream/a", &id, &[], "").await;
+        let response = response.unwrap_or_else(|e| panic!("{name}: {e}"));
+        assert_eq!(response.status, StatusCode::OK, "{name}");
+        assert!(response.whole, "{name}");
+        assert_eq!(response.text(), complete_stream(&id), "{name}");
         assert_eq!(fleet.runs_of_request(&id).len(), *runs, "{name}");
     }
     fleet.cancel.cancel();
 }
 
 #[actix_web::test]
-async fn a_caller_may_resume_its_stream() {
+async fn caller_resumes_its_stream_after_an_event() {
     let fleet = Fleet::start(FleetPlan::default()).await;
     let name = LAST_EVENT_ID;
     let headers = [(name.as_str(), "3")];
-    let answer = call(
+    let response = call(
         fleet.fronts[0],
         Method::POST,
         "/stream/a",
@@ -267,14 +284,14 @@
     )
     .await;
     let rest: String = (4..=5).map(|event| event_text("s", event)).collect();
-    assert_eq!(answer.expect("answered").text(), rest);
+    assert_eq!(response.expect("a response").text(), rest);
     assert_eq!(fleet.runs_of_request("s")[0].resumed_after, Some(3));
     fleet.cancel.cancel();
 }
 
-/// A stream that may not be resumed runs once; its break must be seen by the caller.
+/// A stream that must not be resumed runs once. If it is cut off, its caller must be able to tell.
 #[actix_web::test]
-async fn a_stream_that_runs_once_never_looks_whole_when_it_broke() {
+async fn cut_off_stream_that_runs_once_never_looks_complete() {
     use Fault::{BreakAfter, BreakWithin, LoseAnswer};
     let fleet = Fleet::start(FleetPlan {
         servers: common::server_shapes(1),
@@ -288,7 +305,7 @@
     {
         let id = format!("once-{at}");
         fleet.servers[0].script.extend([*fault]);
-        let answer = call(
+        let response = call(
             fleet.fronts[0],
             Method::POST,
             "/stream-once/a",
@@ -297,16 +314,17 @@
             "",
         )
         .await;
-        let looks_whole = answer.is_ok_and(|answer| answer.status.is_success() && answer.whole);
-        assert!(!looks_whole, "{fault:?}");
+        let looks_complete =
+            response.is_ok_and(|response| response.status.is_success() && response.whole);
+        assert!(!looks_complete, "{fault:?}");
         assert_eq!(fleet.runs_of_request(&id).len(), 1, "{fault:?}");
     }
     fleet.cancel.cancel();
 }
 
-/// A caller that hangs up ends the work for it, before and within the answer.
+/// A server cancels a request whose caller disconnects.
 #[actix_web::test]
-async fn work_for_a_caller_that_left_stops() {
+async fn request_of_a_disconnected_caller_is_cancelled() {
     let slow = Shape {
         step: Duration::from_secs(30),
         ..Shape::default()
@@ -316,7 +334,7 @@
         workers: 0,
         ..FleetPlan::default()
     };
-    // A probe of the fleet's start must be served at once, so the slow server comes later.
+    // The fleet's start waits for a served request, so that the slow server is added afterwards.
     let mut fleet = Fleet::start(fleet_plan(Shape::default())).await;
     fleet
         .register_server("server-0", fleet.servers[0].addr, "draining")
@@ -329,13 +347,13 @@
         .await;
     tokio::time::sleep(Duration::from_millis(200)).await;
     let mut connection = common::connect(fleet.fronts[0]).await.expect("connected");
-    let request = common::request(Method::POST, "/stream/a", "left", &[], "");
-    let sending = connection.send(request);
-    let waited = tokio::time::timeout(Duration::from_millis(300), sending).await;
-    assert!(waited.is_err(), "the server is still at work");
+    let request = common::request(Method::POST, "/stream/a", "disconnected", &[], "");
+    let response = connection.send(request);
+    let waited = tokio::time::timeout(Duration::from_millis(300), response).await;
+    assert!(waited.is_err(), "the server responded too early");
     drop(connection);
     for _ in 0..200 {
-        let runs = fleet.runs_of_request("left");
+        let runs = fleet.runs_of_request("disconnected");
         if runs.first().is_some_and(|run| run.finished == Some(false)) {
             fleet.cancel.cancel();
             return;
@@ -343,25 +361,25 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     panic!(
-        "the server still works: {:?}",
-        fleet.runs_of_request("left")
+        "the server still runs the request: {:?}",
+        fleet.runs_of_request("disconnected")
     );
 }
 
-/// Without a server the answer says at once that nothing ran and when to come back.
+/// Without an available server, a request is refused as not run, with a retry delay.
 #[actix_web::test]
-async fn without_a_server_the_refusal_is_immediate() {
-    let fleet = Fleet::start(plain(1)).await;
+async fn request_without_an_available_server_is_refused() {
+    let fleet = Fleet::start(plain_plan(1)).await;
     fleet
         .register_server("server-0", fleet.servers[0].addr, "draining")
         .await;
     let mut refused = 0;
     for attempt in 0..200 {
-        let id = format!("none-{attempt}");
-        let answer = call(fleet.fronts[0], Method::POST, "/once/a", &id, &[], "").await;
-        let answer = answer.expect("answered");
-        if answer.status == StatusCode::SERVICE_UNAVAILABLE {
-            assert!(answer.headers.contains_key(RETRY_AFTER));
+        let id = format!("refused-{attempt}");
+        let response = call(fleet.fronts[0], Method::POST, "/once/a", &id, &[], "").await;
+        let response = response.expect("a response");
+        if response.status == StatusCode::SERVICE_UNAVAILABLE {
+            assert!(response.headers.contains_key(RETRY_AFTER));
             assert!(fleet.runs_of_request(&id).is_empty());
             refused += 1;
         }
@@ -374,10 +392,10 @@
     panic!("a draining server still gets requests");
 }
 
-/// One of two servers fails every request although it looks healthy: requests that run once
-/// soon go to the other.
+/// One of two servers fails every request although it looks healthy. Requests that may run only
+/// once are soon sent to the other server.
 #[actix_web::test]
-async fn a_server_that_fails_its_requests_is_avoided() {
+async fn server_that_fails_its_requests_is_avoided() {
     let fleet = Fleet::start(FleetPlan {
         workers: 0,
         ..FleetPlan::default()
@@ -388,28 +406,28 @@
     let mut failed = 0;
     for at in 0..60 {
         let id = format!("once-{at}");
-        let answer = call(fleet.fronts[0], Method::POST, "/once/a", &id, &[], "x").await;
-        let status = answer.expect("an answer").status;
+        let response = call(fleet.fronts[0], Method::POST, "/once/a", &id, &[], "x").await;
+        let status = response.expect("a response").status;
         failed += usize::from(status == StatusCode::INTERNAL_SERVER_ERROR);
     }
-    assert!(failed >= 1, "the fault was never met");
+    assert!(failed >= 1, "no request reached the failing server");
     assert!(failed <= 15, "{failed} of 60 requests failed");
     fleet.cancel.cancel();
 }
 
-/// A caller may say that it waits for ever.
+/// Callers may send a deadline that is effectively unlimited.
 #[actix_web::test]
-async fn a_time_limit_of_any_size_is_taken() {
+async fn deadline_of_any_size_is_accepted() {
     let fleet = Fleet::start(FleetPlan {
         workers: 0,
         ..FleetPlan::default()
     })
     .await;
-    let forever = u64::MAX.to_string();
+    let unlimited = u64::MAX.to_string();
     let name = DEADLINE_MS;
-    let headers = [(name.as_str(), forever.as_str())];
+    let headers = [(name.as_str(), unlimited.as_str())];
     let front = fleet.fronts[0];
-    let answer = call(front, Method::POST, "/once/a", "patient", &headers, "x").await;
-    assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+    let response = call(front, Method::POST, "/once/a", "unlimited", &headers, "x").await;
+    assert_eq!(response.expect("a response").status, StatusCode::OK);
     fleet.cancel.cancel();
 }
--- a/crates/foxwheel-node/tests/untrusted_input.rs
+++ b/crates/foxwheel-node/tests/untrusted_input.rs
@@ -1,4 +1,4 @@
-//! Input that nobody vouches for, drawn at random: it is read or refused, never more.
+//! Untrusted input, generated at random: it is either parsed or refused, without a panic.
 
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
 use foxwheel_core::settings;
@@ -17,20 +17,20 @@
     "stop_grace_s": 8, "results_readable_s": 120.0
 }"#;
 
-/// Replaces, removes or adds something at one place of `value`.
-fn spoil(draw: &mut Unstructured<'_>, value: &mut Value) -> Drawn<()> {
-    let inner: Vec<&mut Value> = match value {
+/// Replaces a randomly chosen part of `value` by an unusual value.
+fn corrupt_part(source: &mut Unstructured<'_>, value: &mut Value) -> Drawn<()> {
+    let children: Vec<&mut Value> = match value {
         Value::Array(list) => list.iter_mut().collect(),
         Value::Object(fields) => fields.values_mut().collect(),
         _ => Vec::new(),
     };
-    let count = inner.len();
-    if count > 0 && draw.ratio(4, 5)? {
-        let at = draw.choose_index(count)?;
-        let chosen = inner.into_iter().nth(at);
-        return chosen.map_or(Ok(()), |chosen| spoil(draw, chosen));
+    let count = children.len();
+    if count > 0 && source.ratio(4, 5)? {
+        let at = source.choose_index(count)?;
+        let chosen = children.into_iter().nth(at);
+        return chosen.map_or(Ok(()), |chosen| corrupt_part(source, chosen));
     }
-    let odd = [
+    let unusual = [
         Value::Null,
         json!(-1),
         json!(0.5),
@@ -41,85 +41,86 @@
         json!([[]]),
         json!({"": {}}),
     ];
-    *value = draw.choose(&odd)?.clone();
+    *value = source.choose(&unusual)?.clone();
     Ok(())
 }
 
-fn spoiled(draw: &mut Unstructured<'_>, good: &Value) -> Drawn<Value> {
-    let mut value = good.clone();
-    for _ in 0..draw.int_in_range(1..=3)? {
-        spoil(draw, &mut value)?;
+fn corrupted(source: &mut Unstructured<'_>, valid: &Value) -> Drawn<Value> {
+    let mut value = valid.clone();
+    for _ in 0..source.int_in_range(1..=3)? {
+        corrupt_part(source, &mut value)?;
     }
     Ok(value)
 }
 
 #[test]
-fn settings_are_read_or_refused() {
-    let good: Value = serde_json::from_str(SETTINGS).expect("JSON");
-    arbtest::arbtest(|draw| {
-        let text = spoiled(draw, &good)?.to_string();
-        if let Ok(read) = settings::parse::<NodeSettings>("drawn", &text) {
-            assert!(!read.host.trim().is_empty() && !read.stop_grace.is_zero());
+fn settings_are_parsed_or_refused() {
+    let valid: Value = serde_json::from_str(SETTINGS).expect("JSON");
+    arbtest::arbtest(|source| {
+        let text = corrupted(source, &valid)?.to_string();
+        if let Ok(parsed) = settings::parse::<NodeSettings>("generated", &text) {
+            assert!(!parsed.host.trim().is_empty() && !parsed.stop_grace.is_zero());
         }
-        let cut = draw.choose_index(SETTINGS.len())?;
-        assert!(settings::parse::<NodeSettings>("cut", &SETTINGS[..cut]).is_err());
+        let length = source.choose_index(SETTINGS.len())?;
+        assert!(settings::parse::<NodeSettings>("truncated", &SETTINGS[..length]).is_err());
         Ok(())
     });
 }
 
-/// Whatever a configuration says, waiting for its times does not overflow.
+/// The route timeouts of any accepted configuration can be added to the current time without
+/// overflow.
 #[test]
-fn configurations_are_read_or_refused() {
-    let good = declarations::config(7);
-    arbtest::arbtest(|draw| {
-        let Ok((read, _)) = config::decode(&spoiled(draw, &good)?) else {
+fn configurations_are_parsed_or_refused() {
+    let valid = declarations::config(7);
+    arbtest::arbtest(|source| {
+        let Ok((config, _)) = config::decode(&corrupted(source, &valid)?) else {
             return Ok(());
         };
         let now = std::time::Instant::now();
-        for route in &read.routes {
+        for route in &config.routes {
             assert!(now.checked_add(route.timeout).is_some());
         }
-        let path: String = draw.arbitrary()?;
-        // Any answer will do.
-        let _ = read.match_route(declarations::HOST, &path);
+        let path: String = source.arbitrary()?;
+        // Any result is accepted: only a panic fails the test.
+        let _ = config.match_route(declarations::HOST, &path);
         Ok(())
     });
 }
 
 #[test]
-fn submissions_are_read_or_refused() {
+fn submissions_are_parsed_or_refused() {
     let text = caller::job_body("job", 3);
-    let good: Value = serde_json::from_str(&text).expect("JSON");
-    arbtest::arbtest(|draw| {
-        let drawn = spoiled(draw, &good)?.to_string();
-        if let Ok(items) = batch_api::decode_items(drawn.as_bytes()) {
+    let valid: Value = serde_json::from_str(&text).expect("JSON");
+    arbtest::arbtest(|source| {
+        let text = corrupted(source, &valid)?.to_string();
+        if let Ok(items) = batch_api::decode_items(text.as_bytes()) {
             assert!((1..=batch_api::MAX_ITEMS).contains(&items.len()));
         }
-        let bytes: Vec<u8> = draw.arbitrary()?;
-        // Any answer will do.
+        let bytes: Vec<u8> = source.arbitrary()?;
+        // Any result is accepted: only a panic fails the test.
         let _ = batch_api::decode_items(&bytes);
         Ok(())
     });
 }
 
 #[test]
-fn datagrams_are_read_or_refused() {
-    arbtest::arbtest(|draw| {
-        let bytes: Vec<u8> = draw.arbitrary()?;
-        // Any answer will do.
+fn datagrams_are_parsed_or_refused() {
+    arbtest::arbtest(|source| {
+        let bytes: Vec<u8> = source.arbitrary()?;
+        // Any result is accepted: only a panic fails the test.
         let _ = postcard::from_bytes::<PeerMessage>(&bytes);
         Ok(())
     });
 }
 
-fn events(splitter: &mut EventSplitter) -> Vec<Event> {
+fn drain_events(splitter: &mut EventSplitter) -> Vec<Event> {
     std::iter::from_fn(|| splitter.next_event()).collect()
 }
 
-/// However a stream is cut into pieces, its events are the same, and no byte is lost.
+/// The events of a stream do not depend on the pieces in which it arrives, and no byte is lost.
 #[test]
-fn events_do_not_depend_on_how_they_arrive() {
-    arbtest::arbtest(|draw| {
+fn events_do_not_depend_on_piece_boundaries() {
+    arbtest::arbtest(|source| {
         let parts: [&[u8]; 8] = [
             b"id: 1\n",
             b"data: a\n",
@@ -131,26 +132,26 @@
             b"\xff\xfe",
         ];
         let mut stream = Vec::new();
-        for _ in 0..draw.int_in_range(0..=20)? {
-            stream.extend_from_slice(draw.choose(&parts)?);
+        for _ in 0..source.int_in_range(0..=20)? {
+            stream.extend_from_slice(source.choose(&parts)?);
         }
         let mut at_once = EventSplitter::default();
         at_once.push(&stream);
-        let expected = events(&mut at_once);
+        let expected = drain_events(&mut at_once);
         let mut in_pieces = EventSplitter::default();
-        let mut got = Vec::new();
+        let mut events = Vec::new();
         let mut rest = stream.as_slice();
         while !rest.is_empty() {
-            let (piece, behind) = rest.split_at(draw.int_in_range(1..=rest.len())?);
+            let (piece, tail) = rest.split_at(source.int_in_range(1..=rest.len())?);
             in_pieces.push(piece);
-            got.extend(events(&mut in_pieces));
-            rest = behind;
+            events.extend(drain_events(&mut in_pieces));
+            rest = tail;
         }
-        assert_eq!(got, expected);
+        assert_eq!(events, expected);
         assert_eq!(in_pieces.has_partial_event(), at_once.has_partial_event());
-        let given_out: usize = got.iter().map(|event| event.bytes.len()).sum();
-        assert!(stream.len() >= given_out);
-        assert_eq!(stream.len() > given_out, at_once.has_partial_event());
+        let event_bytes: usize = events.iter().map(|event| event.bytes.len()).sum();
+        assert!(stream.len() >= event_bytes);
+        assert_eq!(stream.len() > event_bytes, at_once.has_partial_event());
         Ok(())
     });
 }
