--- a/crates/foxwheel-policy/src/quarantine.rs
+++ b/crates/foxwheel-policy/src/quarantine.rs
@@ -26,8 +26,9 @@
 /// times the one to which the request that causes the crashes was sent as well.
 pub const CRASHES_TO_QUARANTINE: usize = 3;
 
-/// Minimum time between two crashes that count as separate failures. The loss of many servers at
-/// once is observed by all processes within tens of milliseconds.
+/// Time between two crashes from which on they count as separate failures, even if the request was
+/// sent to both servers before the first one crashed. The loss of many servers at once is observed
+/// by all processes within tens of milliseconds.
 const MIN_CRASH_SEPARATION: Duration = Duration::from_millis(250);
 
 /// How long a content is quarantined after its last crash. After that it may run again, and the
@@ -86,7 +87,7 @@
 pub enum ContentStatus {
     /// No crash counts against the content.
     Clear,
-    /// Servers crashed while they ran it, but not enough of them to quarantine it.
+    /// Servers crashed while they ran it, but too few to quarantine it, or the quarantine is over.
     Suspect,
     /// The content must not run for this long.
     Quarantined(Duration),
