--- a/crates/foxwheel-node/src/batch_front.rs
+++ b/crates/foxwheel-node/src/batch_front.rs
@@ -45,7 +45,7 @@
 /// quota becomes free soon.
 const QUOTA_RETRY_AFTER: Duration = Duration::from_millis(800);
 
-/// Maximum number of workers that one read queries: the job's first choice, its owner, and
+/// Maximum number of workers that one read queries: the job's preferred worker, its owner, and
 /// one more in case the job is changing its owner.
 const MAX_WORKERS_QUERIED: u32 = 3;
 
@@ -114,7 +114,7 @@
                     .metrics
                     .time(Timer::JobAccept, received_at.elapsed());
                 if admission == Admission::Accepted {
-                    self.send_to_first_choice(job);
+                    self.send_to_preferred_worker(job);
                 }
                 responses::empty(StatusCode::ACCEPTED)
             }
@@ -189,16 +189,16 @@
         ledger_writer::change_ledger(&self.node, &self.store, None, change, deadline).await
     }
 
-    /// Sends the job to the worker that is its first choice. If the call fails, a worker
-    /// finds the job in the ledger.
-    fn send_to_first_choice(&self, job: JobSpec) {
+    /// Sends the job to its preferred worker. If the call fails, a worker finds the job in the
+    /// ledger.
+    fn send_to_preferred_worker(&self, job: JobSpec) {
         let now = Instant::now();
         let workers = self.node.peers.live_workers(now);
-        let Some(first) = ownership::preferred_worker(&job.id, &workers) else {
+        let Some(preferred) = ownership::preferred_worker(&job.id, &workers) else {
             log::warn!(request_id = job.id; "no live worker; the job stays in the ledger");
             return;
         };
-        let Some(addr) = self.worker_addr(&first.node, now) else {
+        let Some(addr) = self.worker_addr(&preferred.node, now) else {
             return;
         };
         let node = Arc::clone(&self.node);
@@ -210,7 +210,7 @@
         });
     }
 
-    /// Serves a call on an accepted job.
+    /// Serves a request on an accepted job.
     pub async fn serve_call(&self, call: JobCall) -> CallerResponse {
         match call {
             JobCall::Read { job, from, wait } => self.read_results(job, from, wait).await,
@@ -224,22 +224,22 @@
             return responses::empty(StatusCode::NOT_FOUND);
         }
         let workers = self.node.peers.live_workers(Instant::now());
-        let read = ResultsQuery {
+        let query = ResultsQuery {
             from,
             max_bytes: batch_api::MAX_READ_BYTES,
             known_parts: ownership::known_stored_parts(&job, &workers),
             wait: wait.min(MAX_READ_WAIT),
         };
-        let mut query = WorkerQuery::new(self.workers_to_query(&job));
-        while let Some(addr) = query.next_worker() {
+        let mut worker_query = WorkerQuery::new(self.workers_to_query(&job));
+        while let Some(addr) = worker_query.next_worker() {
             let response = self
                 .node
                 .peer_calls
-                .read_results(addr, job.clone(), read)
+                .read_results(addr, job.clone(), query)
                 .await;
-            query.record_response(response, ResultsResponse::next_peer, &job);
+            worker_query.record_response(response, ResultsResponse::next_peer, &job);
         }
-        let response = match query.result {
+        let response = match worker_query.result {
             Some(response) => response,
             None => self.read_from_store(&job, from).await,
         };
@@ -263,13 +263,13 @@
         if !is_valid_id(&job) {
             return responses::empty(StatusCode::NOT_FOUND);
         }
-        let mut query = WorkerQuery::new(self.workers_to_query(&job));
-        while let Some(addr) = query.next_worker() {
+        let mut worker_query = WorkerQuery::new(self.workers_to_query(&job));
+        while let Some(addr) = worker_query.next_worker() {
             let calls = &self.node.peer_calls;
             let response = calls.read_item_body(addr, job.clone(), item.clone()).await;
-            query.record_response(response, ItemBodyResponse::next_peer, &job);
+            worker_query.record_response(response, ItemBodyResponse::next_peer, &job);
         }
-        let response = match query.result {
+        let response = match worker_query.result {
             Some(response) => response,
             None => self.body_from_store(&job, &item).await,
         };
@@ -336,15 +336,15 @@
         }
     }
 
-    /// Returns the addresses of the workers to query about a job: its owners, then its first
-    /// choice.
+    /// Returns the addresses of the workers to query about a job: its owners, then its preferred
+    /// worker.
     fn workers_to_query(&self, job: &JobId) -> Vec<SocketAddr> {
         let now = Instant::now();
         let workers = self.node.peers.live_workers(now);
         let owners = workers.iter().filter(|worker| worker.owns(job));
         let mut hosts: Vec<&str> = owners.map(|worker| worker.node.as_str()).collect();
-        if let Some(first) = ownership::preferred_worker(job, &workers) {
-            hosts.push(&first.node);
+        if let Some(preferred) = ownership::preferred_worker(job, &workers) {
+            hosts.push(&preferred.node);
         }
         hosts.dedup();
         hosts
--- a/crates/foxwheel-node/src/job_store.rs
+++ b/crates/foxwheel-node/src/job_store.rs
@@ -228,7 +228,7 @@
             let jobs = group.join(",");
             let spec = format!("{{\"saved_unix_ms\":{saved_unix_ms},\"jobs\":[{jobs}]}}");
             bytes += spec.len();
-            self.put(CHECKPOINTS_KIND, name, spec).await?;
+            self.replace_or_create(CHECKPOINTS_KIND, name, spec).await?;
         }
         Ok(bytes)
     }
@@ -270,7 +270,12 @@
     }
 
     /// Writes an object unconditionally, replacing any existing one.
-    async fn put(&self, kind: &str, name: String, spec: EncodedJson) -> Result<(), StoreError> {
+    async fn replace_or_create(
+        &self,
+        kind: &str,
+        name: String,
+        spec: EncodedJson,
+    ) -> Result<(), StoreError> {
         let replace = Write::Replace {
             kind: kind.to_owned(),
             name: name.clone(),
--- a/crates/foxwheel-node/src/ledger_poll.rs
+++ b/crates/foxwheel-node/src/ledger_poll.rs
@@ -80,8 +80,8 @@
             continue;
         }
         log::warn!(job = job.id; "job was never stored; withdrawing it from the ledger");
-        let withdraw = LedgerChange::Withdraw { id: job.id.clone() };
-        if let Err(e) = jobs.change_ledger(withdraw, deadline).await {
+        let change = LedgerChange::Withdraw { id: job.id.clone() };
+        if let Err(e) = jobs.change_ledger(change, deadline).await {
             log::warn!(job = job.id, error:% = e; "could not withdraw the job from the ledger; the next poll retries");
         }
     }
@@ -94,7 +94,7 @@
 /// Removes expired closed jobs, checkpoints and quarantines from the store at an interval, so
 /// that the store stays small. Only the worker with the first host name does it, on behalf of
 /// all.
-pub async fn prune_stored(node: &Node, jobs: &WorkerJobs) {
+pub async fn prune_store(node: &Node, jobs: &WorkerJobs) {
     let retention = node.settings.results_readable + CLOSED_JOB_RETENTION;
     loop {
         tokio::time::sleep(CLOSED_JOB_RETENTION).await;
--- a/crates/foxwheel-node/src/worker/mod.rs
+++ b/crates/foxwheel-node/src/worker/mod.rs
@@ -38,6 +38,7 @@
 /// A run of an item that is in progress.
 struct Run {
     job: JobId,
+    /// Index of the item in its job.
     item: usize,
     server: ServerInstance,
     started_at: Instant,
@@ -50,7 +51,7 @@
     node: Arc<Node>,
     jobs: Arc<WorkerJobs>,
     runs: Vec<Run>,
-    ended: tokio::sync::mpsc::UnboundedSender<EndedRun>,
+    run_end_sender: tokio::sync::mpsc::UnboundedSender<EndedRun>,
     /// Estimate of how long items run.
     estimate: RunEstimate,
     checkpoints: Checkpoints,
@@ -58,7 +59,7 @@
     unowned: Vec<(JobId, Instant)>,
     /// Jobs that other workers reported in the last round; sorted.
     reported_by_others: Vec<JobId>,
-    /// Set while the process is leaving.
+    /// Set while the process is leaving: it is stopping, or its host is being retired.
     leaving: Option<Leaving>,
     started_at: Instant,
 }
@@ -74,8 +75,10 @@
     ReleasingJobs,
 }
 
+/// A run of an item that has ended.
 struct EndedRun {
     job: JobId,
+    /// Index of the item in its job.
     item: usize,
     end: RunEnd,
     output: SharedOutput,
@@ -87,12 +90,12 @@
 /// Runs batch jobs. Returns when cancelled, or when the process is stopping and all jobs have
 /// been handed over.
 pub async fn run(node: Arc<Node>, jobs: Arc<WorkerJobs>, cancel: CancellationToken) {
-    let (ended, mut ended_runs) = tokio::sync::mpsc::unbounded_channel();
+    let (run_end_sender, mut ended_runs) = tokio::sync::mpsc::unbounded_channel();
     let mut worker = Worker {
         node: Arc::clone(&node),
         jobs: Arc::clone(&jobs),
         runs: Vec::new(),
-        ended,
+        run_end_sender,
         estimate: RunEstimate::default(),
         checkpoints: Checkpoints::default(),
         unowned: Vec::new(),
@@ -179,7 +182,7 @@
             cancel: run.cancel.clone(),
         });
         let node = Arc::clone(&self.node);
-        let ended = self.ended.clone();
+        let run_end_sender = self.run_end_sender.clone();
         tokio::spawn(async move {
             let job = run.job.clone();
             let output = Arc::clone(&run.output);
@@ -189,7 +192,7 @@
             let started_at = Instant::now();
             let end = item_run::run_item(node, run).await;
             // Sending fails only when the process stops and the scheduler has been dropped.
-            let _ = ended.send(EndedRun {
+            let _ = run_end_sender.send(EndedRun {
                 job,
                 item,
                 end,
@@ -311,7 +314,7 @@
 /// requests and writing the ledger.
 async fn run_background(node: Arc<Node>, jobs: Arc<WorkerJobs>) {
     tokio::join!(
-        ledger_poll::prune_stored(&node, &jobs),
+        ledger_poll::prune_store(&node, &jobs),
         retirement_watch::run(&node),
         jobs.ledger_writer.run(&jobs.store),
     );
--- a/crates/foxwheel-node/src/worker/ownership.rs
+++ b/crates/foxwheel-node/src/worker/ownership.rs
@@ -75,10 +75,10 @@
             let known = previous.binary_search_by(|(id, _)| id.cmp(job));
             let since = known.map_or(now, |at| previous[at].1);
             self.unowned.push((job.clone(), since));
-            let is_first_choice =
-                ownership::preferred_worker(job, &workers).is_some_and(|w| w.node == own);
+            let is_preferred =
+                ownership::preferred_worker(job, &workers).is_some_and(|worker| worker.node == own);
             let should_take_over = ownership::should_take_over(job, &own, &workers, since, now)
-                && (is_first_choice || !self.jobs.was_recently_missing(job, now));
+                && (is_preferred || !self.jobs.was_recently_missing(job, now));
             if knows_workers && should_take_over && !self.node.is_leaving() {
                 let jobs = Arc::clone(&self.jobs);
                 let job = job.clone();
--- a/crates/foxwheel-node/src/worker_jobs.rs
+++ b/crates/foxwheel-node/src/worker_jobs.rs
@@ -32,8 +32,8 @@
 /// results have. This is several times the time after which a silent process counts as dead.
 const REPORT_CLOSED_DURATION: Duration = Duration::from_secs(10);
 
-/// How long a worker that is not a job's first choice does not try to take over a job that it
-/// did not find in the store. Each try of each worker is a call to the store.
+/// How long a worker that is not a job's preferred worker does not try to take over a job that
+/// it did not find in the store. Each try of each worker is a call to the store.
 const MISSING_JOB_RETRY_DELAY: Duration = Duration::from_secs(20);
 
 /// How long checkpoints that were read are reused. The jobs of a dead worker are taken over
@@ -62,8 +62,8 @@
     closed_at: Option<Instant>,
     /// Cancelled when the items of the job must stop running.
     pub cancel: CancellationToken,
-    /// Notified when more results become readable.
-    results_listed: Arc<Notify>,
+    /// Notified when more results of the job have been stored and can be read.
+    new_results: Arc<Notify>,
     /// When the store was last queried for more parts.
     refreshed_at: Instant,
     /// When the job was last read or changed.
@@ -113,7 +113,7 @@
             return;
         }
         log::info!(job = job.id, items = job.items.len(); "job taken");
-        self.insert(JobProgress::new(job), true);
+        self.insert_job(JobProgress::new(job), true);
     }
 
     /// Changes the ledger through [`ledger_writer::change_ledger`].
@@ -133,9 +133,9 @@
         match self.store.load_progress(id, deadline).await? {
             Some(mut progress) => {
                 let restored = self.restore_checkpoints(&mut progress).await;
-                let listed = progress.stored_results.len();
-                log::info!(job = id, listed, parts = progress.stored_parts, restored; "job adopted");
-                self.insert(progress, true);
+                let result_count = progress.stored_results.len();
+                log::info!(job = id, listed = result_count, parts = progress.stored_parts, restored; "job adopted");
+                self.insert_job(progress, true);
             }
             // The front has not confirmed the job, and its client may submit it again.
             None => self.record_missing(id, Instant::now()),
@@ -146,7 +146,7 @@
     /// Adds the progress saved by the job's earlier owners to `progress`. Returns the number
     /// of items with saved progress.
     async fn restore_checkpoints(&self, progress: &mut JobProgress) -> usize {
-        let saved = match self.saved_checkpoints().await {
+        let saved = match self.read_checkpoints().await {
             Ok(saved) => saved,
             Err(e) => {
                 log::info!(job = progress.spec.id, error:% = e; "could not read checkpoints; resuming without them");
@@ -166,7 +166,7 @@
 
     /// Returns the checkpoints of all workers. They are read once for all jobs that are taken
     /// over at the same time.
-    async fn saved_checkpoints(&self) -> Result<Arc<Vec<JobCheckpoint>>, JobStoreError> {
+    async fn read_checkpoints(&self) -> Result<Arc<Vec<JobCheckpoint>>, JobStoreError> {
         let mut cached = self.cached_checkpoints.lock().await;
         if let Some((read_at, saved)) = cached.as_ref() {
             if read_at.elapsed() < CHECKPOINT_CACHE_TTL {
@@ -195,7 +195,7 @@
         found.is_ok_and(|at| now.duration_since(missing[at].1) < MISSING_JOB_RETRY_DELAY)
     }
 
-    /// Ends a job and stops its items. The results listed so far stay readable. `by` names
+    /// Ends a job and stops its items. The results stored so far stay readable. `by` names
     /// what ended the job, for the log.
     pub fn end_job(&self, id: &str, by: &str) {
         let ended = self.with_entry(id, |entry| {
@@ -226,7 +226,7 @@
     /// memory.
     pub fn with_entry<T>(&self, id: &str, action: impl FnOnce(&mut JobEntry) -> T) -> Option<T> {
         let mut entries = self.entries.lock().expect("jobs lock");
-        let at = position(&entries, id).ok()?;
+        let at = find_entry(&entries, id).ok()?;
         Some(action(&mut entries[at]))
     }
 
@@ -244,7 +244,7 @@
         self.with_entry(id, |entry| {
             entry.progress.apply_part(number, results);
             entry.used_at = Instant::now();
-            entry.results_listed.notify_waiters();
+            entry.new_results.notify_waiters();
         });
         self.publish_claims();
     }
@@ -295,10 +295,10 @@
 
     /// Reads results of a job for a caller. If there are none yet, waits for the first result
     /// up to the wait time of the query.
-    pub async fn read_results(&self, id: &JobId, read: ResultsQuery) -> ResultsResponse {
-        let deadline = Instant::now() + read.wait;
+    pub async fn read_results(&self, id: &JobId, query: ResultsQuery) -> ResultsResponse {
+        let deadline = Instant::now() + query.wait;
         loop {
-            match self.ensure_loaded(id, read.known_parts).await {
+            match self.ensure_loaded(id, query.known_parts).await {
                 Ok(true) => {}
                 Ok(false) => return ResultsResponse::NoSuchJob,
                 Err(e) => {
@@ -306,20 +306,21 @@
                     return ResultsResponse::Unsure;
                 }
             }
-            let Some((response, results_listed)) = self.with_entry(id, |entry| entry.read(read))
+            let Some((response, new_results)) =
+                self.with_entry(id, |entry| entry.read_results(query))
             else {
                 return ResultsResponse::Unsure;
             };
             let now = Instant::now();
-            let empty =
+            let is_empty =
                 matches!(&response, ResultsResponse::Results { results, .. } if results.is_empty());
-            if !empty || now >= deadline {
+            if !is_empty || now >= deadline {
                 return response;
             }
             let timeout = (deadline - now).min(REFRESH_INTERVAL);
             // A notification between the read above and this wait is missed and costs one
             // timeout.
-            let _ = tokio::time::timeout(timeout, results_listed.notified()).await;
+            let _ = tokio::time::timeout(timeout, new_results.notified()).await;
         }
     }
 
@@ -366,7 +367,7 @@
         }
         match self.store.load_progress(id, deadline).await? {
             Some(progress) => {
-                self.insert(progress, false);
+                self.insert_job(progress, false);
                 Ok(true)
             }
             None => Ok(false),
@@ -385,10 +386,11 @@
         Ok(())
     }
 
-    fn insert(&self, progress: JobProgress, owned: bool) {
+    /// Adds a job, or updates it if it is in memory already.
+    fn insert_job(&self, progress: JobProgress, owned: bool) {
         {
             let mut entries = self.entries.lock().expect("jobs lock");
-            match position(&entries, &progress.spec.id) {
+            match find_entry(&entries, &progress.spec.id) {
                 Ok(at) => entries[at].update(progress, owned),
                 Err(at) => entries.insert(at, JobEntry::new(progress, owned)),
             }
@@ -399,11 +401,12 @@
         }
     }
 
+    /// Reports the owned and recently closed jobs to the other processes.
     fn publish_claims(&self) {
         let now = Instant::now();
         let claims = {
             let entries = self.entries.lock().expect("jobs lock");
-            let claims = entries.iter().filter_map(|entry| entry.claim(now));
+            let claims = entries.iter().filter_map(|entry| entry.current_claim(now));
             claims.collect()
         };
         self.node.set_claims(claims);
@@ -420,7 +423,7 @@
             storing: false,
             closed_at: None,
             cancel: CancellationToken::new(),
-            results_listed: Arc::new(Notify::new()),
+            new_results: Arc::new(Notify::new()),
             refreshed_at: now,
             used_at: now,
         }
@@ -441,7 +444,7 @@
 
     /// Returns what this worker reports of the job to other processes, or `None` if it neither
     /// owns the job nor closed it recently.
-    fn claim(&self, now: Instant) -> Option<JobClaim> {
+    fn current_claim(&self, now: Instant) -> Option<JobClaim> {
         let standing = if self.owned {
             ClaimStatus::Held
         } else {
@@ -456,20 +459,22 @@
         })
     }
 
-    fn read(&mut self, read: ResultsQuery) -> (ResultsResponse, Arc<Notify>) {
+    /// Returns the results that `query` asks for as far as they are stored, at least one if there
+    /// is any, and the notification of new results.
+    fn read_results(&mut self, query: ResultsQuery) -> (ResultsResponse, Arc<Notify>) {
         self.used_at = Instant::now();
         let mut bytes = 0;
-        let listed = self.progress.stored_results.iter().skip(read.from);
-        let results = listed.take_while(|result| {
+        let available = self.progress.stored_results.iter().skip(query.from);
+        let results = available.take_while(|result| {
             let is_first = bytes == 0;
             bytes += result.output.len();
-            is_first || bytes <= read.max_bytes
+            is_first || bytes <= query.max_bytes
         });
         let response = ResultsResponse::Results {
             item_count: self.progress.spec.items.len(),
             results: results.cloned().collect(),
         };
-        (response, Arc::clone(&self.results_listed))
+        (response, Arc::clone(&self.new_results))
     }
 
     /// Returns whether the store may hold parts that are not in memory: other workers report
@@ -483,12 +488,13 @@
         is_stale || self.progress.stored_parts < known_parts
     }
 
-    /// Returns the number of the next part to load, or `None` if every result is listed.
+    /// Returns the number of the next part to load, or `None` if all results are stored.
     fn next_part(&self) -> Option<u32> {
         (!self.progress.is_fully_stored()).then_some(self.progress.stored_parts)
     }
 }
 
-fn position(entries: &[JobEntry], id: &str) -> Result<usize, usize> {
+/// Returns the index of the job `id`, or the index at which to insert it.
+fn find_entry(entries: &[JobEntry], id: &str) -> Result<usize, usize> {
     entries.binary_search_by(|entry| entry.progress.spec.id.as_str().cmp(id))
 }
