--- a/crates/foxwheel-node/src/heartbeat.rs
+++ b/crates/foxwheel-node/src/heartbeat.rs
@@ -125,14 +125,14 @@
         }
         PeerMessage::Introduction(received) => node.peers.apply_introduction(&received, own, now),
     }
-    node.peer_update.notify_waiters();
+    node.peers_changed.notify_waiters();
 }
 
 fn apply_heartbeat(node: &Node, heartbeat: Heartbeat, own: SocketAddr, now: Instant) {
     let host = heartbeat.host.clone();
     let (incarnation, leaving) = (heartbeat.incarnation, heartbeat.leaving);
     if heartbeat.follows && heartbeat.knows.is_newer_than(node.state_version()) {
-        node.watcher_update.notify_one();
+        node.newer_state_reported.notify_one();
     }
     request_crash_sync_if_different(node, heartbeat.quarantine);
     if node.peers.apply_heartbeat(heartbeat, own, now) {
@@ -144,7 +144,7 @@
 /// its set of them differs from that of this process.
 fn request_crash_sync_if_different(node: &Node, reported: QuarantineDigest) {
     if reported != 0 && reported != node.quarantine_digest() {
-        node.quarantine_update.notify_one();
+        node.other_crashes_reported.notify_one();
     }
 }
 
--- a/crates/foxwheel-node/src/node.rs
+++ b/crates/foxwheel-node/src/node.rs
@@ -74,15 +74,15 @@
     /// Whether this process watches the server list in the store and the store responds.
     pub servers_are_current: AtomicBool,
     /// Notified when a heartbeat of a store watcher shows that it has newer state.
-    pub watcher_update: Notify,
+    pub newer_state_reported: Notify,
     /// Requests during which servers crashed.
     pub quarantine: Mutex<Quarantine>,
     /// Notified when a message shows that another process knows other server crashes.
-    pub quarantine_update: Notify,
+    pub other_crashes_reported: Notify,
     /// Notified when this process learns of more server crashes.
     pub crashes_changed: Notify,
     /// Notified after every received message that may change the view of the other processes.
-    pub peer_update: Notify,
+    pub peers_changed: Notify,
     /// Client for calls to the other processes.
     pub peer_calls: PeerCalls,
     /// Access to the platform's store.
@@ -120,11 +120,11 @@
             peer_state_current_at: Mutex::default(),
             config_is_current: AtomicBool::new(false),
             servers_are_current: AtomicBool::new(false),
-            watcher_update: Notify::new(),
+            newer_state_reported: Notify::new(),
             quarantine: Mutex::default(),
-            quarantine_update: Notify::new(),
+            other_crashes_reported: Notify::new(),
             crashes_changed: Notify::new(),
-            peer_update: Notify::new(),
+            peers_changed: Notify::new(),
             peer_calls: PeerCalls::default(),
             store: StoreAccess::new(settings.store_address, metrics.clone()),
             pool: Pool::new(SERVER_CONNECT_OPTIONS),
@@ -343,7 +343,7 @@
             .peers
             .own_zone_peers(now)
             .into_iter()
-            .map(|peer| peer.member)
+            .map(|peer| peer.process)
             .collect();
         processes.push(ZoneProcess {
             host: self.settings.host.clone(),
--- a/crates/foxwheel-node/src/online_request.rs
+++ b/crates/foxwheel-node/src/online_request.rs
@@ -220,7 +220,7 @@
             let capacity_changed = async {
                 tokio::select! {
                     () = node.loads.slot_freed.notified() => {}
-                    () = node.peer_update.notified() => {}
+                    () = node.peers_changed.notified() => {}
                 }
             };
             let until = tokio::time::Instant::from_std(wait_until);
--- a/crates/foxwheel-node/src/peer_calls.rs
+++ b/crates/foxwheel-node/src/peer_calls.rs
@@ -19,8 +19,8 @@
 use tarpc::{client, context, serde_transport};
 
 /// Timeout for a connection to a peer. The peer's kernel accepts the connection, so this equals
-/// many round trips within a region. A front that waited this long for the ledger writer across
-/// a cut path, at each job, accepted each job 8 ms after its target of 400 ms.
+/// many round trips within a region. When a front behind a cut path waited this long for the
+/// ledger writer at each job, it accepted each job 8 ms after its target of 400 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// How long a peer is avoided after a failed call, if there is another way to get the same
@@ -94,7 +94,7 @@
     Elsewhere(SocketAddr),
     /// No job with this id was ever accepted.
     NoSuchJob,
-    /// This process cannot tell at present.
+    /// The process that was asked does not know at present.
     Unsure,
 }
 
@@ -107,7 +107,7 @@
     Elsewhere(SocketAddr),
     /// There is no such job or item.
     NoSuchItem,
-    /// This process cannot tell at present.
+    /// The process that was asked does not know at present.
     Unsure,
 }
 
--- a/crates/foxwheel-node/src/peer_messages.rs
+++ b/crates/foxwheel-node/src/peer_messages.rs
@@ -21,7 +21,7 @@
 pub struct Heartbeat {
     /// The sender's host.
     pub host: NodeId,
-    /// When the sender started, in milliseconds since the Unix epoch. Tells restarts apart.
+    /// When the sender started, in milliseconds since the Unix epoch. Distinguishes restarts.
     pub incarnation: Incarnation,
     /// Increases with each message that the sender sends within an incarnation.
     pub sequence: u64,
--- a/crates/foxwheel-node/src/peers.rs
+++ b/crates/foxwheel-node/src/peers.rs
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Returns whether a heartbeat must be answered with an introduction. Processes of different
+    /// Returns whether the response to a heartbeat must be an introduction. Processes of different
     /// zones exchange no heartbeats unless both are workers, so any other heartbeat from another
     /// zone shows that its sender does not know who receives it.
     pub fn should_introduce(&self, heartbeat: &Heartbeat) -> bool {
--- a/crates/foxwheel-node/src/peers/views.rs
+++ b/crates/foxwheel-node/src/peers/views.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone)]
 pub struct ZonePeer {
     /// The process, as an input to the selection of representatives.
-    pub member: ZoneProcess,
+    pub process: ZoneProcess,
     /// The address at which the process receives messages.
     pub addr: SocketAddr,
     /// The representatives that the process selected, primary first.
@@ -57,7 +57,7 @@
         let live = state.peers.iter().filter(|peer| peer.is_live(now));
         let local = live.filter(|peer| peer.heartbeat.zone == self.own_zone);
         let peers = local.map(|peer| ZonePeer {
-            member: ZoneProcess {
+            process: ZoneProcess {
                 host: peer.heartbeat.host.clone(),
                 is_worker: peer.heartbeat.role == Role::Worker,
                 leaving: peer.heartbeat.leaving,
--- a/crates/foxwheel-node/src/request_quarantine.rs
+++ b/crates/foxwheel-node/src/request_quarantine.rs
@@ -111,8 +111,11 @@
     let mut fetched: Vec<(SocketAddr, QuarantineDigest)> = Vec::new();
     loop {
         // A timeout is as good as a notification: both may come with changed digests.
-        let _ =
-            tokio::time::timeout(DIGEST_CHECK_INTERVAL, node.quarantine_update.notified()).await;
+        let _ = tokio::time::timeout(
+            DIGEST_CHECK_INTERVAL,
+            node.other_crashes_reported.notified(),
+        )
+        .await;
         for (addr, digest) in node.peers.quarantine_states(Instant::now()) {
             let at = fetched.partition_point(|(known, _)| *known < addr);
             let is_fetched = fetched.get(at) == Some(&(addr, digest));
--- a/crates/foxwheel-node/src/state_sync.rs
+++ b/crates/foxwheel-node/src/state_sync.rs
@@ -28,7 +28,8 @@
 pub async fn sync_from_watchers(node: &Node) {
     loop {
         // After a timeout, newer state is looked for in the same way as after a notification.
-        let _ = tokio::time::timeout(SYNC_CHECK_INTERVAL, node.watcher_update.notified()).await;
+        let _ =
+            tokio::time::timeout(SYNC_CHECK_INTERVAL, node.newer_state_reported.notified()).await;
         let now = Instant::now();
         let known = node.state_version();
         for watcher in node.peers.store_watchers(now) {
--- a/crates/foxwheel-node/src/worker/mod.rs
+++ b/crates/foxwheel-node/src/worker/mod.rs
@@ -108,8 +108,8 @@
     let ledger_polling = tokio::spawn(ledger_poll::poll_ledger(Arc::clone(&jobs), ledger_sender));
     let mut last_round_at = Instant::now();
     loop {
-        let peer_update = async {
-            node.peer_update.notified().await;
+        let peers_changed = async {
+            node.peers_changed.notified().await;
             tokio::time::sleep_until((last_round_at + PEER_UPDATE_INTERVAL).into()).await;
         };
         tokio::select! {
@@ -117,7 +117,7 @@
             Some(ended) = ended_runs.recv() => worker.record_run_end(ended),
             Some(open) = ledger_updates.recv() => worker.take_over_unowned(&open),
             () = node.loads.slot_freed.notified() => {}
-            () = peer_update => {}
+            () = peers_changed => {}
             () = jobs.wake.notified() => {}
             () = tokio::time::sleep(SCHEDULE_INTERVAL) => {}
         }
--- a/crates/foxwheel-node/src/zone_representative.rs
+++ b/crates/foxwheel-node/src/zone_representative.rs
@@ -94,13 +94,13 @@
     let settings = &node.settings;
     let local = node.peers.own_zone_peers(now);
     let own_front = usize::from(settings.role == Role::Front);
-    let fronts = local.iter().filter(|peer| !peer.member.is_worker).count() + own_front;
+    let fronts = local.iter().filter(|peer| !peer.process.is_worker).count() + own_front;
     let own = settings.peer_address();
     let addr_of = |host: &NodeId| match *host == settings.host {
         true => Some(own),
         false => local
             .iter()
-            .find(|peer| peer.member.host == *host)
+            .find(|peer| peer.process.host == *host)
             .map(|peer| peer.addr),
     };
     let mut representatives: Vec<SocketAddr> =
--- a/crates/foxwheel-node/tests/peers.rs
+++ b/crates/foxwheel-node/tests/peers.rs
@@ -103,11 +103,11 @@
     let later = start + DEAD_TIMEOUT + Duration::from_millis(1);
     peers.apply_heartbeat(heartbeat(3, 1, &[2]), addr(1), later);
     let workers = peers.live_workers(later);
-    let heard: Vec<(&str, bool)> = workers
+    let has_current_claims: Vec<(&str, bool)> = workers
         .iter()
         .map(|w| (w.node.as_str(), w.has_current_claims))
         .collect();
-    assert_eq!(heard, [("host-2", false), ("host-3", true)]);
+    assert_eq!(has_current_claims, [("host-2", false), ("host-3", true)]);
     assert_eq!(
         peers.in_flight(&server(1), later),
         (3, 1),
@@ -150,8 +150,8 @@
         large
     );
     assert_eq!(load_reports::min_delay_after(1_000), Duration::ZERO);
-    let pause = load_reports::min_delay_after(bytes.len());
-    let bytes_per_s = bytes.len() as f64 / pause.as_secs_f64();
+    let delay = load_reports::min_delay_after(bytes.len());
+    let bytes_per_s = bytes.len() as f64 / delay.as_secs_f64();
     assert!(bytes_per_s < 80_000.0, "{bytes_per_s}");
 }
 
