--- a/crates/foxwheel-policy/tests/batch_job.rs
+++ b/crates/foxwheel-policy/tests/batch_job.rs
@@ -1,4 +1,5 @@
-//! A job's items and results: single steps, and workers that take turns in any order.
+//! Tests the progress of a job's items and the storing of results, with one worker and with
+//! several workers that run the same job in any order of steps.
 
 mod common;
 
@@ -10,29 +11,29 @@
 
 const MAX_FAILURES: u32 = 3;
 
-fn output(events: &[(u64, &str)]) -> PartialOutput {
-    let mut partial = PartialOutput::default();
+fn partial_output(events: &[(u64, &str)]) -> PartialOutput {
+    let mut output = PartialOutput::default();
     for (id, data) in events {
-        assert!(partial.push_event(*id, data));
+        assert!(output.push_event(*id, data));
     }
-    partial
+    output
 }
 
-fn results(progress: &JobProgress) -> Vec<ItemResult> {
+fn unstored_results(progress: &JobProgress) -> Vec<ItemResult> {
     progress.unstored_results().cloned().collect()
 }
 
 #[test]
-fn an_output_takes_each_event_once_and_in_order() {
-    let mut partial = output(&[(1, "a"), (2, "b")]);
-    assert!(!partial.push_event(2, "b"), "an event twice");
-    assert!(!partial.push_event(4, "d"), "an event missing");
-    assert!(partial.push_event(3, "c"));
-    assert_eq!(partial.text, "a\nb\nc");
+fn events_out_of_order_are_not_appended() {
+    let mut output = partial_output(&[(1, "a"), (2, "b")]);
+    assert!(!output.push_event(2, "b"), "repeated event");
+    assert!(!output.push_event(4, "d"), "missing event");
+    assert!(output.push_event(3, "c"));
+    assert_eq!(output.text, "a\nb\nc");
 }
 
 #[test]
-fn what_the_end_of_a_run_means() {
+fn run_end_finishes_the_item_or_lets_it_run_again() {
     let cases = [
         (RunEnd::Whole, Some(ItemOutcome::Completed)),
         (RunEnd::Impossible, Some(ItemOutcome::GivenUp)),
@@ -45,12 +46,18 @@
         let now = Instant::now();
         let mut progress = JobProgress::new(common::job_with_items(1));
         progress.start_item(0);
-        progress.record_run_end(0, end, output(&[(1, "a")]), MAX_FAILURES, now);
-        let ending = results(&progress).first().map(|result| result.ending);
+        progress.record_run_end(0, end, partial_output(&[(1, "a")]), MAX_FAILURES, now);
+        let ending = unstored_results(&progress)
+            .first()
+            .map(|result| result.ending);
         assert_eq!(ending, expected, "{end:?}");
         if expected.is_none() {
-            let later = now + Duration::from_secs(1);
-            assert_eq!(progress.next_item(later), Some(0), "{end:?} runs again");
+            let after_delay = now + Duration::from_secs(1);
+            assert_eq!(
+                progress.next_item(after_delay),
+                Some(0),
+                "{end:?} runs again"
+            );
             assert_eq!(
                 progress.items[0].partial_output.last_event_id,
                 Some(1),
@@ -61,7 +68,7 @@
 }
 
 #[test]
-fn an_item_is_given_up_after_its_failures_and_not_for_broken_runs() {
+fn item_is_given_up_after_max_failures_but_not_for_broken_runs() {
     let now = Instant::now();
     let mut progress = JobProgress::new(common::job_with_items(1));
     for _ in 0..20 {
@@ -91,7 +98,7 @@
 }
 
 #[test]
-fn a_part_holds_at_least_one_result_and_no_more_than_fit() {
+fn part_has_at_least_one_result_and_no_more_than_fit() {
     let now = Instant::now();
     let mut progress = JobProgress::new(common::job_with_items(4));
     for item in 0..4 {
@@ -99,7 +106,7 @@
         progress.record_run_end(
             item,
             RunEnd::Whole,
-            output(&[(1, &"x".repeat(1_000))]),
+            partial_output(&[(1, &"x".repeat(1_000))]),
             1,
             now,
         );
@@ -110,27 +117,27 @@
 }
 
 #[test]
-fn an_ended_job_runs_nothing_and_keeps_what_is_listed() {
+fn ended_job_starts_no_item_and_keeps_stored_results() {
     let mut progress = JobProgress::new(common::job_with_items(2));
-    let listed = ItemResult {
+    let stored = ItemResult {
         id: "item-1".to_owned(),
         ending: ItemOutcome::Completed,
         output: "a".to_owned(),
     };
-    assert!(progress.apply_part(0, vec![listed.clone()]));
+    assert!(progress.apply_part(0, vec![stored.clone()]));
     progress.ended = true;
     assert_eq!(progress.next_item(Instant::now()), None);
-    assert_eq!(progress.stored_results, vec![listed]);
+    assert_eq!(progress.stored_results, vec![stored]);
 }
 
-/// The store as workers see it: parts that can each be created once.
+/// Stand-in for the store: each part can be created only once.
 #[derive(Default)]
-struct Parts(Vec<Vec<ItemResult>>);
+struct PartStore(Vec<Vec<ItemResult>>);
 
-impl Parts {
+impl PartStore {
     fn create(&mut self, number: u32, results: Vec<ItemResult>) -> Result<(), Vec<ItemResult>> {
         match self.0.get(number as usize) {
-            Some(taken) => Err(taken.clone()),
+            Some(existing) => Err(existing.clone()),
             None => {
                 assert_eq!(self.0.len(), number as usize, "parts are created in order");
                 self.0.push(results);
@@ -139,7 +146,7 @@
         }
     }
 
-    fn listed(&self) -> Vec<&str> {
+    fn stored_ids(&self) -> Vec<&str> {
         self.0
             .iter()
             .flatten()
@@ -148,42 +155,50 @@
     }
 }
 
-/// Three workers run one job in any order of steps: each may run items, store parts, lose
-/// its memory and load the job again, or sleep through all of it. Every item is listed
-/// once, positions never change, and a failing item fails a bounded number of times per
-/// loaded copy.
+/// Three workers run the same job in any order of steps. Each may run items, store parts, load
+/// the job again after a restart, or do nothing for a long time. No item is stored twice, and
+/// the order of the stored results never changes. A failing item fails at most `MAX_FAILURES`
+/// times for each load of the job.
 #[test]
-fn workers_that_take_turns_list_every_item_once() {
+fn concurrent_workers_store_no_item_twice() {
     const STEPS: usize = 10_000;
     common::run_seeded_cases(8, 120000, |u| {
         let items = 6;
-        let mut parts = Parts::default();
+        let mut parts = PartStore::default();
         let mut workers = vec![JobProgress::new(common::job_with_items(items)); 3];
-        let mut seen: Vec<String> = Vec::new();
+        let mut ids_before: Vec<String> = Vec::new();
         let now = Instant::now() + Duration::from_secs(3_600);
         for _ in 0..STEPS {
             if u.is_empty() {
                 break;
             }
-            let at = u.choose_index(workers.len())?;
-            step(u, &mut workers[at], &mut parts, items, now)?;
-            let listed = parts.listed();
-            assert!(listed.len() >= seen.len());
-            assert!(seen.iter().zip(&listed).all(|(before, now)| before == now));
-            seen = listed.into_iter().map(str::to_owned).collect();
-            let mut unique = seen.clone();
+            let index = u.choose_index(workers.len())?;
+            step(u, &mut workers[index], &mut parts, items, now)?;
+            let stored_ids = parts.stored_ids();
+            assert!(stored_ids.len() >= ids_before.len());
+            assert!(ids_before
+                .iter()
+                .zip(&stored_ids)
+                .all(|(before, now)| before == now));
+            ids_before = stored_ids.into_iter().map(str::to_owned).collect();
+            let mut unique = ids_before.clone();
             unique.sort();
             unique.dedup();
-            assert_eq!(unique.len(), seen.len(), "an item stands twice: {seen:?}");
+            assert_eq!(
+                unique.len(),
+                ids_before.len(),
+                "an item is stored twice: {ids_before:?}"
+            );
         }
         Ok(())
     });
 }
 
+/// Makes one random step of `worker`.
 fn step(
     u: &mut arbtest::arbitrary::Unstructured<'_>,
     worker: &mut JobProgress,
-    parts: &mut Parts,
+    parts: &mut PartStore,
     items: usize,
     now: Instant,
 ) -> arbtest::arbitrary::Result<()> {
@@ -201,7 +216,7 @@
                 worker.record_run_end(
                     item,
                     end,
-                    output(&[(1, "x")]),
+                    partial_output(&[(1, "x")]),
                     MAX_FAILURES,
                     now - Duration::from_secs(60),
                 );
@@ -211,11 +226,11 @@
             let results = worker.next_part(u.int_in_range(1..=400)?);
             if !results.is_empty() {
                 let number = worker.stored_parts;
-                let stands = match parts.create(number, results.clone()) {
+                let stored = match parts.create(number, results.clone()) {
                     Ok(()) => results,
-                    Err(taken) => taken,
+                    Err(existing) => existing,
                 };
-                assert!(worker.apply_part(number, stands));
+                assert!(worker.apply_part(number, stored));
             }
         }
         8 => {
@@ -225,7 +240,7 @@
             }
         }
         _ => {
-            // A late answer tells of a part again, or of one that comes too early.
+            // A late response contains a part again, or one whose predecessor is missing.
             let number = u.int_in_range(0..=8)?;
             if number != worker.stored_parts {
                 assert!(!worker.apply_part(number, Vec::new()));
@@ -235,37 +250,41 @@
     Ok(())
 }
 
-/// One write stores several results; one that was given up is not kept back, or a worker
-/// that takes over would let the item fail as often again.
+/// Finished results wait so that one write stores several of them. The result of a given-up item
+/// is stored sooner: otherwise a worker that takes over the job would run the item and let it
+/// fail as many times again.
 #[test]
-fn results_are_stored_together_and_give_ups_soon() {
+fn results_are_stored_together_and_given_up_items_soon() {
     let start = Instant::now();
-    let at = |ms| start + Duration::from_millis(ms);
+    let after_ms = |ms| start + Duration::from_millis(ms);
     let mut progress = JobProgress::new(common::job_with_items(3));
-    assert!(!progress.should_store(at(60_000), true), "nothing to store");
+    assert!(
+        !progress.should_store(after_ms(60_000), true),
+        "nothing to store"
+    );
     progress.start_item(0);
-    progress.record_run_end(0, RunEnd::Whole, output(&[(1, "a")]), 1, start);
-    assert!(!progress.should_store(at(2_400), false));
-    assert!(progress.should_store(at(2_500), false));
+    progress.record_run_end(0, RunEnd::Whole, partial_output(&[(1, "a")]), 1, start);
+    assert!(!progress.should_store(after_ms(2_400), false));
+    assert!(progress.should_store(after_ms(2_500), false));
     assert!(
-        progress.should_store(at(0), true),
-        "a leaving worker stores at once"
+        progress.should_store(after_ms(0), true),
+        "a worker that shuts down stores at once"
     );
     progress.start_item(1);
     progress.record_run_end(1, RunEnd::Impossible, PartialOutput::default(), 1, start);
-    assert!(progress.should_store(at(200), false));
+    assert!(progress.should_store(after_ms(200), false));
     progress.start_item(2);
-    progress.record_run_end(2, RunEnd::Whole, output(&[(1, "a")]), 1, start);
+    progress.record_run_end(2, RunEnd::Whole, partial_output(&[(1, "a")]), 1, start);
     assert!(
         progress.should_store(start, false),
-        "nothing else is to come"
+        "all items are finished"
     );
 }
 
-/// A result that waits for others is stored before its job is due, so that a reader finds
-/// it in time; behind that there is no hurry any more.
+/// A finished result that waits for others is stored shortly before the job is due, so that a
+/// reader finds it in time. After the due time it may wait again.
 #[test]
-fn results_are_stored_before_their_job_is_due() {
+fn results_are_stored_before_the_job_is_due() {
     let now = Instant::now();
     let seconds = Duration::from_secs_f64;
     let mut progress = JobProgress::new(common::job_with_items(2));
@@ -274,16 +293,16 @@
         "nothing to store"
     );
     progress.start_item(0);
-    progress.record_run_end(0, RunEnd::Whole, output(&[(1, "a")]), 1, now);
+    progress.record_run_end(0, RunEnd::Whole, partial_output(&[(1, "a")]), 1, now);
     assert!(!progress.should_store_before_due(seconds(2.0)));
     assert!(progress.should_store_before_due(seconds(0.5)));
     assert!(!progress.should_store_before_due(Duration::ZERO));
 }
 
 #[test]
-fn a_job_is_overdue_after_its_retention_or_without_its_route() {
+fn job_is_given_up_after_its_retention_or_without_a_route() {
     let seconds = Duration::from_secs;
-    let retention = |retention| Route {
+    let route_with_retention = |retention| Route {
         name: "batch".to_owned(),
         host: "host.example".to_owned(),
         path_prefix: "/batch/".to_owned(),
@@ -298,61 +317,64 @@
         retention,
         quota_tokens: 0,
     };
-    let (kept, unlimited) = (retention(seconds(60)), retention(Duration::ZERO));
+    let (limited, unlimited) = (
+        route_with_retention(seconds(60)),
+        route_with_retention(Duration::ZERO),
+    );
     let cases = [
-        ("within its retention", Some(&kept), 60, 600, false),
-        ("past its retention", Some(&kept), 61, 600, true),
+        ("within its retention", Some(&limited), 60, 600, false),
+        ("past its retention", Some(&limited), 61, 600, true),
         ("no retention", Some(&unlimited), 100_000, 600, false),
-        ("route gone", None, 10, 10, true),
-        ("route not yet known", None, 100, 2, false),
+        ("route missing", None, 10, 10, true),
+        ("configuration known for a short time", None, 100, 2, false),
         ("just submitted", None, 2, 600, false),
     ];
-    for (name, route, age_s, known_s, overdue) in cases {
-        let should_give_up = job::should_give_up(route, seconds(age_s), seconds(known_s));
-        assert_eq!(should_give_up, overdue, "{name}");
+    for (name, route, age_s, known_s, expected) in cases {
+        let gives_up = job::should_give_up(route, seconds(age_s), seconds(known_s));
+        assert_eq!(gives_up, expected, "{name}");
     }
 }
 
-/// The end of a job against results on their way: from the moment a worker learns of the
-/// end it starts nothing, whatever runs end then, and parts stored meanwhile by any worker
-/// are still taken, once.
+/// A job is ended while its items run and results are being stored. A worker that knows of the
+/// end starts no item any more, but still applies each part that any worker stored meanwhile
+/// exactly once.
 #[test]
-fn an_end_races_results_and_loses_none() {
+fn ending_a_job_loses_no_stored_result() {
     common::run_seeded_cases(200, 2_000, |u| {
         let items = 5;
-        let mut parts = Parts::default();
+        let mut parts = PartStore::default();
         let mut workers = vec![JobProgress::new(common::job_with_items(items)); 2];
         let now = Instant::now() + Duration::from_secs(3_600);
         for _ in 0..60 {
-            let at = u.choose_index(workers.len())?;
+            let index = u.choose_index(workers.len())?;
             if u.ratio(1, 20)? {
-                workers[at].ended = true;
+                workers[index].ended = true;
             }
-            let listed_before = parts.listed().len();
-            let runnable = workers[at].next_item(now);
+            let stored_before = parts.stored_ids().len();
+            let next_item = workers[index].next_item(now);
             assert!(
-                runnable.is_none() || !workers[at].ended,
-                "an ended job runs {runnable:?}"
+                next_item.is_none() || !workers[index].ended,
+                "an ended job runs {next_item:?}"
             );
-            step(u, &mut workers[at], &mut parts, items, now)?;
+            step(u, &mut workers[index], &mut parts, items, now)?;
             assert!(
-                parts.listed().len() >= listed_before,
-                "a listed result is gone"
+                parts.stored_ids().len() >= stored_before,
+                "a stored result is missing"
             );
         }
         for worker in &mut workers {
             while let Some(results) = parts.0.get(worker.stored_parts as usize) {
                 assert!(worker.apply_part(worker.stored_parts, results.clone()));
             }
-            let listed: Vec<&str> = worker
+            let stored_ids: Vec<&str> = worker
                 .stored_results
                 .iter()
                 .map(|r| r.id.as_str())
                 .collect();
             assert_eq!(
-                listed,
-                parts.listed(),
-                "both list the same at the same positions"
+                stored_ids,
+                parts.stored_ids(),
+                "the worker has all results in the stored order"
             );
         }
         Ok(())
--- a/crates/foxwheel-policy/tests/checkpoint.rs
+++ b/crates/foxwheel-policy/tests/checkpoint.rs
@@ -1,4 +1,5 @@
-//! Workers that die with items under way, and those that take their jobs over.
+//! Tests checkpoints: workers die while items of their jobs run, and other workers take the jobs
+//! over.
 
 mod common;
 
@@ -8,8 +9,8 @@
 use foxwheel_policy::batch::item::{ItemOutcome, ItemState, PartialOutput, RunEnd};
 use foxwheel_policy::batch::job::JobProgress;
 
-/// The output of an item up to event `last`.
-fn output(last: u64) -> PartialOutput {
+/// Returns the output of an item up to event `last`.
+fn output_up_to(last: u64) -> PartialOutput {
     let mut output = PartialOutput::default();
     for event in 1..=last {
         assert!(output.push_event(event, &format!("event {event}")));
@@ -17,15 +18,17 @@
     output
 }
 
-fn run(progress: &mut JobProgress, at: usize, end: RunEnd, events: u64) {
-    progress.start_item(at);
-    progress.record_run_end(at, end, output(events), 3, Instant::now());
+/// Runs the item at `index` until it has `events` events and the run ends with `end`.
+fn run_item(progress: &mut JobProgress, index: usize, end: RunEnd, events: u64) {
+    progress.start_item(index);
+    progress.record_run_end(index, end, output_up_to(events), 3, Instant::now());
 }
 
-/// Killed with one item running, one finished and not stored, one failed twice, one given up
-/// and one untouched: the next worker goes on with exactly that.
+/// A worker dies while one item runs, one is completed but not stored, one has failed twice, one
+/// is given up and one has not run. The worker that takes the job over must restore exactly
+/// that.
 #[test]
-fn a_job_goes_on_where_its_dead_worker_stopped() {
+fn job_resumes_from_the_checkpoint_of_a_dead_worker() {
     let now = Instant::now();
     let mut progress = JobProgress::new(common::job_with_items(5));
     assert_eq!(
@@ -34,100 +37,103 @@
         "nothing to save"
     );
     progress.start_item(0);
-    progress.record_output(0, &output(40));
-    run(&mut progress, 1, RunEnd::Whole, 9);
-    run(&mut progress, 2, RunEnd::Failed, 0);
-    run(&mut progress, 2, RunEnd::Failed, 0);
-    run(&mut progress, 3, RunEnd::Impossible, 0);
+    progress.record_output(0, &output_up_to(40));
+    run_item(&mut progress, 1, RunEnd::Whole, 9);
+    run_item(&mut progress, 2, RunEnd::Failed, 0);
+    run_item(&mut progress, 2, RunEnd::Failed, 0);
+    run_item(&mut progress, 3, RunEnd::Impossible, 0);
     let saved = JobCheckpoint::from_progress(&progress).expect("progress");
 
-    let mut adopted = JobProgress::new(common::job_with_items(5));
-    saved.restore(&mut adopted, now);
-    assert_eq!(adopted.items[0].partial_output, output(40));
-    assert_eq!(adopted.items[2].failures, 2);
-    let endings: Vec<(&str, ItemOutcome, &str)> = adopted
+    let mut restored = JobProgress::new(common::job_with_items(5));
+    saved.restore(&mut restored, now);
+    assert_eq!(restored.items[0].partial_output, output_up_to(40));
+    assert_eq!(restored.items[2].failures, 2);
+    let results: Vec<(&str, ItemOutcome, &str)> = restored
         .unstored_results()
         .map(|result| (result.id.as_str(), result.ending, result.output.as_str()))
         .collect();
-    let whole = output(9).text;
+    let full_output = output_up_to(9).text;
     assert_eq!(
-        endings,
+        results,
         [
-            ("item-1", ItemOutcome::Completed, whole.as_str()),
+            ("item-1", ItemOutcome::Completed, full_output.as_str()),
             ("item-3", ItemOutcome::GivenUp, ""),
         ]
     );
-    let waiting: Vec<usize> = adopted.waiting_items(now).collect();
+    let waiting: Vec<usize> = restored.waiting_items(now).collect();
     assert_eq!(waiting, [0, 2, 4]);
-    run(&mut adopted, 2, RunEnd::Failed, 0);
+    run_item(&mut restored, 2, RunEnd::Failed, 0);
     assert!(
-        matches!(&adopted.items[2].state, ItemState::Finished(_)),
-        "given up"
+        matches!(&restored.items[2].state, ItemState::Finished(_)),
+        "given up after the third failure"
     );
 }
 
-/// The checkpoint is older than the results that were stored since, or another worker's.
+/// A checkpoint may be older than the stored results or than the checkpoint of another worker. It
+/// must not replace either.
 #[test]
-fn what_is_stored_or_further_stays() {
+fn old_checkpoint_replaces_neither_stored_results_nor_newer_progress() {
     let now = Instant::now();
     let mut progress = JobProgress::new(common::job_with_items(3));
-    run(&mut progress, 0, RunEnd::Whole, 5);
+    run_item(&mut progress, 0, RunEnd::Whole, 5);
     progress.start_item(1);
-    progress.record_output(1, &output(7));
+    progress.record_output(1, &output_up_to(7));
     let older = JobCheckpoint::from_progress(&progress).expect("progress");
-    progress.record_output(1, &output(30));
+    progress.record_output(1, &output_up_to(30));
     let newer = JobCheckpoint::from_progress(&progress).expect("progress");
     let stored = progress.next_part(10_000);
 
-    let mut adopted = JobProgress::new(common::job_with_items(3));
-    adopted.apply_part(0, stored);
+    let mut restored = JobProgress::new(common::job_with_items(3));
+    restored.apply_part(0, stored);
     for saved in [&newer, &older] {
-        saved.restore(&mut adopted, now);
+        saved.restore(&mut restored, now);
     }
-    assert!(matches!(adopted.items[0].state, ItemState::Stored));
+    assert!(matches!(restored.items[0].state, ItemState::Stored));
     assert_eq!(
-        adopted.unstored_results().count(),
+        restored.unstored_results().count(),
         0,
-        "no result stands twice"
+        "no result is stored twice"
     );
-    assert_eq!(adopted.items[1].partial_output, output(30));
+    assert_eq!(restored.items[1].partial_output, output_up_to(30));
 }
 
-/// Workers die in any order at any moment, each after a checkpoint of any age: every item is
-/// listed once, with its whole output, and no event is generated again that was saved.
+/// Workers die at any moment, each after a checkpoint of any age. Every item must be stored once,
+/// with its complete output. Each worker resumes items after the last saved event, so that no
+/// saved event is generated again.
 #[test]
-fn jobs_that_change_hands_list_every_item_once() {
-    let mut finished = 0;
+fn jobs_taken_over_repeatedly_store_every_item_once() {
+    let mut finished_jobs = 0;
     common::run_seeded_cases(60, 4_096, |u| {
         let count = u.int_in_range(1..=6)?;
-        let (mut stored, mut saved): (Vec<_>, Vec<JobCheckpoint>) = (Vec::new(), Vec::new());
+        let (mut stored_parts, mut checkpoints): (Vec<_>, Vec<JobCheckpoint>) =
+            (Vec::new(), Vec::new());
         loop {
             let now = Instant::now();
             let mut progress = JobProgress::new(common::job_with_items(count));
-            for (number, part) in stored.iter().enumerate() {
+            for (number, part) in stored_parts.iter().enumerate() {
                 assert!(progress.apply_part(number as u32, Vec::clone(part)));
             }
-            for checkpoint in &saved {
+            for checkpoint in &checkpoints {
                 checkpoint.restore(&mut progress, now);
             }
             for _ in 0..u.int_in_range(1..=12)? {
-                let at = u.choose_index(count)?;
-                if matches!(progress.items[at].state, ItemState::Waiting { .. }) {
-                    let events =
-                        progress.items[at].partial_output.event_count() + u.int_in_range(1..=6)?;
+                let index = u.choose_index(count)?;
+                if matches!(progress.items[index].state, ItemState::Waiting { .. }) {
+                    let events = progress.items[index].partial_output.event_count()
+                        + u.int_in_range(1..=6)?;
                     let end = match events >= 10 {
                         true => RunEnd::Whole,
                         false => RunEnd::Preempted,
                     };
-                    run(&mut progress, at, end, events.min(10));
+                    run_item(&mut progress, index, end, events.min(10));
                 }
                 match u.int_in_range(0..=3)? {
-                    0 => saved.extend(JobCheckpoint::from_progress(&progress)),
+                    0 => checkpoints.extend(JobCheckpoint::from_progress(&progress)),
                     1 => {
                         let part = progress.next_part(10_000);
                         if !part.is_empty() {
                             assert!(progress.apply_part(progress.stored_parts, part.clone()));
-                            stored.push(part);
+                            stored_parts.push(part);
                         }
                     }
                     _ => {}
@@ -137,31 +143,33 @@
                 break;
             }
             if u.is_empty() {
-                // Nothing is drawn any more: the run ends with items left.
+                // No random bytes are left; this case ends with unfinished items.
                 return Ok(());
             }
         }
-        let listed: Vec<_> = stored.iter().flatten().collect();
-        let mut ids: Vec<&String> = listed.iter().map(|result| &result.id).collect();
+        let results: Vec<_> = stored_parts.iter().flatten().collect();
+        let mut ids: Vec<&String> = results.iter().map(|result| &result.id).collect();
         ids.sort_unstable();
         ids.dedup();
-        assert_eq!((ids.len(), listed.len()), (count, count));
-        assert!(listed.iter().all(|result| result.output == output(10).text));
-        finished += 1;
+        assert_eq!((ids.len(), results.len()), (count, count));
+        assert!(results
+            .iter()
+            .all(|result| result.output == output_up_to(10).text));
+        finished_jobs += 1;
         Ok(())
     });
-    assert!(finished > 50, "only {finished} jobs came to their end");
+    assert!(finished_jobs > 50, "only {finished_jobs} jobs finished");
 }
 
 #[test]
-fn large_checkpoints_come_more_rarely() {
+fn large_checkpoints_are_saved_less_often() {
     let now = Instant::now();
-    let mut clock = CheckpointTimer::default();
-    assert!(clock.is_due(now));
-    clock.record_checkpoint(100_000, now);
-    assert!(!clock.is_due(now + Duration::from_millis(1_900)));
-    assert!(clock.is_due(now + Duration::from_millis(2_000)));
-    clock.record_checkpoint(7_500_000, now);
-    assert!(!clock.is_due(now + Duration::from_millis(9_900)));
-    assert!(clock.is_due(now + Duration::from_secs(10)));
+    let mut timer = CheckpointTimer::default();
+    assert!(timer.is_due(now));
+    timer.record_checkpoint(100_000, now);
+    assert!(!timer.is_due(now + Duration::from_millis(1_900)));
+    assert!(timer.is_due(now + Duration::from_millis(2_000)));
+    timer.record_checkpoint(7_500_000, now);
+    assert!(!timer.is_due(now + Duration::from_millis(9_900)));
+    assert!(timer.is_due(now + Duration::from_secs(10)));
 }
--- a/crates/foxwheel-policy/tests/ledger.rs
+++ b/crates/foxwheel-policy/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of accepted jobs: quota and repeats, also when fronts race each other.
+//! Tests the job ledger: quota, repeated submissions, and concurrent updates by several fronts.
 
 mod common;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_job_is_accepted_once_also_after_it_was_closed() {
+fn repeated_submission_is_recognised_also_after_the_job_was_closed() {
     let mut ledger = Ledger::default();
     assert_eq!(admit(&mut ledger, "a", 10, 0), Admission::Accepted);
     assert_eq!(admit(&mut ledger, "a", 10, 0), Admission::Repeat);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_quota_counts_waiting_tokens_of_the_route_only() {
+fn quota_counts_only_unfinished_tokens_of_the_route() {
     let mut ledger = Ledger::default();
     assert_eq!(admit(&mut ledger, "a", 60, 100), Admission::Accepted);
     assert_eq!(admit(&mut ledger, "b", 41, 100), Admission::OverQuota);
@@ -38,7 +38,7 @@
     assert!(ledger.lower_unfinished_tokens("a", 20));
     assert!(
         !ledger.lower_unfinished_tokens("a", 30),
-        "waiting tokens never grow"
+        "unfinished tokens never grow"
     );
     assert_eq!(admit(&mut ledger, "b", 41, 100), Admission::Accepted);
     ledger.close("a", NOW);
@@ -46,20 +46,20 @@
 }
 
 #[test]
-fn closed_jobs_are_forgotten_after_a_while_and_open_ones_never() {
+fn closed_jobs_are_removed_after_the_retention_and_open_jobs_never() {
     let mut ledger = Ledger::default();
     admit(&mut ledger, "a", 1, 0);
     admit(&mut ledger, "b", 1, 0);
     ledger.close("a", NOW);
-    let keep = Duration::from_secs(60);
-    assert!(!ledger.prune_closed(NOW + Duration::from_secs(59), keep));
-    assert!(ledger.prune_closed(NOW + Duration::from_secs(60), keep));
+    let retention = Duration::from_secs(60);
+    assert!(!ledger.prune_closed(NOW + Duration::from_secs(59), retention));
+    assert!(ledger.prune_closed(NOW + Duration::from_secs(60), retention));
     assert_eq!(ledger.job_status("a"), JobStatus::Unknown);
     assert_eq!(ledger.job_status("b"), JobStatus::Open);
 }
 
 #[test]
-fn the_ledger_survives_its_stored_form() {
+fn stored_ledger_decodes_to_the_same_ledger() {
     let mut ledger = Ledger::default();
     admit(&mut ledger, "a", 7, 0);
     admit(&mut ledger, "b", 8, 0);
@@ -69,15 +69,15 @@
     assert_eq!(read, ledger);
 }
 
-/// The store's object: replaced only at the revision it was read at. A write may be done
-/// and its answer lost, or done late if its revision still holds.
+/// Stand-in for the ledger's object in the store, which is replaced only at the revision at which
+/// it was read.
 #[derive(Default)]
-struct Object {
+struct StoredLedger {
     revision: u64,
     ledger: Ledger,
 }
 
-impl Object {
+impl StoredLedger {
     fn replace(&mut self, revision: u64, ledger: &Ledger) -> bool {
         if revision != self.revision {
             return false;
@@ -88,17 +88,18 @@
     }
 }
 
-/// Four fronts submit and end jobs with ledgers they read earlier, in any order of steps,
-/// with answers lost and writes done late: the quota is never exceeded and a closed job
-/// never opens again.
+/// Four fronts submit and end jobs, in any order of steps, based on ledgers that they read
+/// earlier. Some responses are lost, and some writes reach the store late, where they succeed
+/// only if the revision still matches. The quota must never be exceeded and a closed job never be
+/// open again.
 #[test]
-fn racing_fronts_never_exceed_the_quota_nor_reopen_a_job() {
+fn concurrent_fronts_neither_exceed_the_quota_nor_reopen_a_job() {
     const STEPS: usize = 10_000;
     const QUOTA: u64 = 100;
     common::run_seeded_cases(8, 120000, |u| {
-        let mut object = Object::default();
+        let mut stored = StoredLedger::default();
         let mut cached: Vec<(u64, Ledger)> = vec![Default::default(); 4];
-        let mut late: Vec<(u64, Ledger)> = Vec::new();
+        let mut late_writes: Vec<(u64, Ledger)> = Vec::new();
         let mut closed: Vec<String> = Vec::new();
         for _ in 0..STEPS {
             if u.is_empty() {
@@ -115,30 +116,30 @@
                     ledger.close(&id, NOW);
                 }
                 3 => {
-                    if let Some((revision, ledger)) = late.pop() {
-                        object.replace(revision, &ledger);
+                    if let Some((revision, ledger)) = late_writes.pop() {
+                        stored.replace(revision, &ledger);
                     }
                     continue;
                 }
                 _ => {
-                    cached[front] = (object.revision, object.ledger.clone());
+                    cached[front] = (stored.revision, stored.ledger.clone());
                     continue;
                 }
             }
             if u.ratio(1, 5)? {
-                late.push((revision, ledger));
-            } else if object.replace(revision, &ledger) && u.ratio(4, 5)? {
-                cached[front] = (object.revision, object.ledger.clone());
+                late_writes.push((revision, ledger));
+            } else if stored.replace(revision, &ledger) && u.ratio(4, 5)? {
+                cached[front] = (stored.revision, stored.ledger.clone());
             }
-            assert!(object.ledger.unfinished_tokens("route") <= QUOTA);
+            assert!(stored.ledger.unfinished_tokens("route") <= QUOTA);
             for id in &closed {
                 assert_ne!(
-                    object.ledger.job_status(id),
+                    stored.ledger.job_status(id),
                     JobStatus::Open,
                     "{id} is open again"
                 );
             }
-            closed = object
+            closed = stored
                 .ledger
                 .closed
                 .iter()
@@ -149,9 +150,10 @@
     });
 }
 
-/// Repeating any change after a lost answer alters nothing more.
+/// A process repeats a change if the response is lost. The repeated change must alter nothing and
+/// return the same result.
 #[test]
-fn changes_are_idempotent() {
+fn ledger_changes_are_idempotent() {
     let admit = |id: &str| LedgerChange::Admit {
         id: id.to_owned(),
         route: "route".to_owned(),
@@ -164,8 +166,8 @@
         ledger.apply(&admit("a")),
         LedgerResponse::Admission(Admission::Accepted)
     );
-    let over = LedgerResponse::Admission(Admission::OverQuota);
-    assert_eq!(ledger.apply(&admit("b")), over);
+    let over_quota = LedgerResponse::Admission(Admission::OverQuota);
+    assert_eq!(ledger.apply(&admit("b")), over_quota);
     let changes = [
         (admit("a"), LedgerResponse::Admission(Admission::Repeat)),
         (
@@ -186,19 +188,19 @@
     ];
     for (change, expected) in changes {
         assert_eq!(ledger.apply(&change), expected, "{change:?}");
-        let once = ledger.clone();
+        let applied_once = ledger.clone();
         assert_eq!(ledger.apply(&change), expected, "{change:?} again");
-        assert_eq!(ledger, once, "{change:?} again");
+        assert_eq!(ledger, applied_once, "{change:?} again");
     }
 }
 
-/// A submission while the ledger's keeper is dead: after waiting for it there is time for a read
-/// and a write of the ledger within the shortest target for an acceptance (400 ms).
+/// A job is submitted while the ledger writer is dead. After the timeout there must be time for a
+/// read and a write of the ledger within the shortest target for an acceptance (400 ms).
 #[test]
-fn a_dead_keeper_does_not_make_an_acceptance_late() {
-    const TARGET: Duration = Duration::from_millis(400);
-    const STORE_CALL: Duration = Duration::from_millis(4);
-    assert!(ledger::LEDGER_WRITER_TIMEOUT + 4 * STORE_CALL < TARGET);
-    // While each call takes 240 ms the keeper is still waited for.
+fn dead_ledger_writer_does_not_make_an_acceptance_late() {
+    const ACCEPTANCE_TARGET: Duration = Duration::from_millis(400);
+    const STORE_CALL_TIME: Duration = Duration::from_millis(4);
+    assert!(ledger::LEDGER_WRITER_TIMEOUT + 4 * STORE_CALL_TIME < ACCEPTANCE_TARGET);
+    // The ledger writer must not time out while each call to the store takes 240 ms.
     assert!(ledger::LEDGER_WRITER_TIMEOUT > Duration::from_millis(250));
 }
--- a/crates/foxwheel-policy/tests/ownership.rs
+++ b/crates/foxwheel-policy/tests/ownership.rs
@@ -1,4 +1,5 @@
-//! Which worker runs a job, as heartbeats arrive late and workers die and wake.
+//! Tests job ownership and slot management when heartbeats arrive late or not at all, and when
+//! workers start, die and shut down.
 
 mod common;
 
@@ -9,8 +10,9 @@
 
 const JOB: &str = "7c41e09b52d6a3f8";
 
-fn worker(node: &str, held_parts: Option<u32>) -> Worker {
-    let claim = held_parts.map(|parts| JobClaim {
+/// Returns a worker that owns `JOB` with `owned_parts` stored parts, or no job if that is `None`.
+fn worker(node: &str, owned_parts: Option<u32>) -> Worker {
+    let claim = owned_parts.map(|parts| JobClaim {
         job: JOB.to_owned(),
         parts,
         standing: ClaimStatus::Held,
@@ -30,68 +32,71 @@
 }
 
 #[test]
-fn the_first_choice_takes_an_unheld_job_at_once_and_no_other_does() {
+fn only_the_preferred_worker_takes_over_a_job_at_once() {
     let workers = idle_workers();
     let now = Instant::now();
-    let taking = workers
+    let taking_over = workers
         .iter()
         .filter(|worker| ownership::should_take_over(JOB, &worker.node, &workers, now, now))
         .count();
-    assert_eq!(taking, 1);
+    assert_eq!(taking_over, 1);
 }
 
-/// All processes were stopped and start again: each worker first hears of those of its own
-/// zone, of others within two heartbeats between zones, one of which may be lost. Until then
-/// it must not take jobs that others run, and from then on jobs must not stand still.
+/// After a start of the whole fleet each worker first receives heartbeats from its own zone, and
+/// from other zones within two heartbeats between zones, one of which may be lost. Before that a
+/// worker must not take over jobs that others own; after it jobs must not stand still.
 #[test]
-fn jobs_are_taken_after_a_start_of_the_whole_fleet_once_the_others_were_heard() {
+fn jobs_are_taken_over_only_after_the_heartbeats_of_all_workers() {
     let started_at = Instant::now();
-    let between_zones =
+    let zone_heartbeat_interval =
         load_reports::HEARTBEAT_INTERVAL * load_reports::REPORTS_PER_REMOTE_REPORT as u32;
-    let told_and_one_lost = started_at + between_zones * 3;
+    let after_three_heartbeats = started_at + zone_heartbeat_interval * 3;
     assert!(!ownership::has_received_all_heartbeats(
         started_at,
-        told_and_one_lost
+        after_three_heartbeats
+    ));
+    let after_four_heartbeats = started_at + zone_heartbeat_interval * 4;
+    assert!(ownership::has_received_all_heartbeats(
+        started_at,
+        after_four_heartbeats
     ));
-    let after = started_at + between_zones * 4;
-    assert!(ownership::has_received_all_heartbeats(started_at, after));
 }
 
-/// A worker gives a job back; the first choice and another see it unheld in ledger reads
-/// that are 2 s apart, and claims take up to 0.4 s to be heard. The other must not take it
-/// before the first choice's claim can have reached it.
+/// A worker releases a job. The preferred worker and another one see in the ledger that it has no
+/// owner, in polls that are up to 2 s apart, and claims take up to 0.4 s to arrive. The other
+/// worker must not take the job over before the preferred worker's claim can have arrived.
 #[test]
-fn a_second_worker_waits_for_the_first_choices_claim() {
+fn other_workers_wait_for_the_claim_of_the_preferred_worker() {
     let workers = idle_workers();
-    let first = ownership::preferred_worker(JOB, &workers)
-        .expect("none leaves")
+    let preferred = ownership::preferred_worker(JOB, &workers)
+        .expect("no worker shuts down")
         .node
         .clone();
     let other = workers
         .iter()
-        .find(|w| w.node != first)
+        .find(|w| w.node != preferred)
         .expect("three workers");
-    let seen_unheld = Instant::now();
-    let next_read = seen_unheld + Duration::from_millis(2_400);
+    let seen_unowned = Instant::now();
+    let claim_arrival = seen_unowned + Duration::from_millis(2_400);
     assert!(!ownership::should_take_over(
         JOB,
         &other.node,
         &workers,
-        seen_unheld,
-        next_read
+        seen_unowned,
+        claim_arrival
     ));
-    let later = seen_unheld + Duration::from_secs(4);
+    let after_grace = seen_unowned + Duration::from_secs(4);
     assert!(ownership::should_take_over(
         JOB,
         &other.node,
         &workers,
-        seen_unheld,
-        later
+        seen_unowned,
+        after_grace
     ));
 }
 
 #[test]
-fn a_job_that_any_worker_tells_of_is_not_taken() {
+fn job_that_any_worker_reports_is_not_taken_over() {
     for status in [ClaimStatus::Held, ClaimStatus::Closed] {
         let mut workers = idle_workers();
         workers[0].claims.push(JobClaim {
@@ -100,38 +105,38 @@
             standing: status,
         });
         let start = Instant::now();
-        let later = start + Duration::from_secs(60);
+        let much_later = start + Duration::from_secs(60);
         for worker in &workers {
             assert!(!ownership::should_take_over(
                 JOB,
                 &worker.node,
                 &workers,
                 start,
-                later
+                much_later
             ));
         }
     }
 }
 
 #[test]
-fn a_leaving_worker_is_no_first_choice_and_gets_no_job_by_yield() {
+fn worker_that_shuts_down_is_not_preferred_and_gets_no_released_job() {
     let mut workers = idle_workers();
-    let first = ownership::preferred_worker(JOB, &workers)
-        .expect("none leaves")
+    let preferred = ownership::preferred_worker(JOB, &workers)
+        .expect("no worker shuts down")
         .node
         .clone();
-    let at = workers
+    let index = workers
         .iter()
-        .position(|w| w.node == first)
-        .expect("it is one of them");
-    workers[at].leaving = true;
+        .position(|w| w.node == preferred)
+        .expect("the preferred worker is one of them");
+    workers[index].leaving = true;
     assert_ne!(
         ownership::preferred_worker(JOB, &workers)
-            .expect("two stay")
+            .expect("two workers remain")
             .node,
-        first
+        preferred
     );
-    workers[at].claims.push(JobClaim {
+    workers[index].claims.push(JobClaim {
         job: JOB.to_owned(),
         parts: 9,
         standing: ClaimStatus::Held,
@@ -140,7 +145,7 @@
 }
 
 #[test]
-fn a_reader_is_told_of_the_most_parts_that_any_worker_knows() {
+fn known_stored_parts_is_the_maximum_over_all_workers() {
     let mut workers = vec![
         worker("a", Some(1)),
         worker("b", Some(3)),
@@ -151,50 +156,50 @@
     assert_eq!(ownership::known_stored_parts("unknown", &workers), 0);
 }
 
-/// Two workers run one job and hear old claims of each other. In any order and age of the
-/// claims at most one yields, and once both hear the newest claims exactly one does.
+/// Two workers own the same job and have received claims of any age from each other. At most one
+/// of them releases the job, and exactly one does once both have received the newest claims.
 #[test]
-fn of_two_holders_exactly_one_yields() {
+fn exactly_one_of_two_owners_releases_the_job() {
     common::run_seeded_cases(500, 64, |u| {
         let parts_a: u32 = u.int_in_range(0..=5)?;
         let parts_b: u32 = u.int_in_range(0..=5)?;
-        let heard_a: u32 = u.int_in_range(0..=parts_a)?;
-        let heard_b: u32 = u.int_in_range(0..=parts_b)?;
+        let received_a: u32 = u.int_in_range(0..=parts_a)?;
+        let received_b: u32 = u.int_in_range(0..=parts_b)?;
         let job = format!("job-{}", u.int_in_range(0..=50)?);
         let claim = |node: &str, parts| {
             let mut worker = worker(node, Some(parts));
             worker.claims[0].job.clone_from(&job);
             worker
         };
-        let a_yields = ownership::should_release(&job, "a", parts_a, &[claim("b", heard_b)]);
-        let b_yields = ownership::should_release(&job, "b", parts_b, &[claim("a", heard_a)]);
-        assert!(!(a_yields && b_yields));
-        let a_yields = ownership::should_release(&job, "a", parts_a, &[claim("b", parts_b)]);
-        let b_yields = ownership::should_release(&job, "b", parts_b, &[claim("a", parts_a)]);
-        assert!(a_yields != b_yields);
+        let a_releases = ownership::should_release(&job, "a", parts_a, &[claim("b", received_b)]);
+        let b_releases = ownership::should_release(&job, "b", parts_b, &[claim("a", received_a)]);
+        assert!(!(a_releases && b_releases));
+        let a_releases = ownership::should_release(&job, "a", parts_a, &[claim("b", parts_b)]);
+        let b_releases = ownership::should_release(&job, "b", parts_b, &[claim("a", parts_a)]);
+        assert!(a_releases != b_releases);
         Ok(())
     });
 }
 
-/// Each server has one worker that gives out its batch slots: one of its own zone while any
-/// lives there, and not one that leaves.
+/// Each server has one worker as slot manager. It is a worker of the server's zone as long as there
+/// is one, and never a worker that shuts down.
 #[test]
-fn one_worker_keeps_the_batch_slots_of_a_server() {
+fn each_server_has_one_slot_manager_in_its_zone() {
     let mut workers = idle_workers();
     workers[2].zone = "far".to_owned();
     for server in 0..20 {
         let id = format!("server-{server}");
-        let keeper = ownership::slot_manager(&id, "hall", &workers).expect("one keeps it");
-        assert_eq!(keeper.zone, "hall");
-        let far = ownership::slot_manager(&id, "far", &workers).expect("one keeps it");
+        let manager = ownership::slot_manager(&id, "hall", &workers).expect("a slot manager");
+        assert_eq!(manager.zone, "hall");
+        let far = ownership::slot_manager(&id, "far", &workers).expect("a slot manager");
         assert_eq!(far.node, "c");
-        let none = ownership::slot_manager(&id, "elsewhere", &workers);
-        assert!(none.is_some(), "a zone without a worker");
+        let other_zone = ownership::slot_manager(&id, "elsewhere", &workers);
+        assert!(other_zone.is_some(), "a zone without a worker");
     }
     workers[2].leaving = true;
-    let keeper = ownership::slot_manager("server-0", "far", &workers).expect("one keeps it");
-    assert_ne!(keeper.node, "c");
-    let kept = |node: &str| {
+    let manager = ownership::slot_manager("server-0", "far", &workers).expect("a slot manager");
+    assert_ne!(manager.node, "c");
+    let managed_servers = |node: &str| {
         let ids = (0..200).map(|server| format!("server-{server}"));
         ids.filter(|id| {
             ownership::slot_manager(id, "hall", &workers).is_some_and(|w| w.node == node)
@@ -202,71 +207,72 @@
         .count()
     };
     assert!(
-        kept("a") > 50 && kept("b") > 50,
-        "the servers are shared out"
+        managed_servers("a") > 50 && managed_servers("b") > 50,
+        "the servers are spread over the workers"
     );
 }
 
-/// One worker was given more than its share of the jobs; the others have none left. The slots
-/// that those give out would stay half empty.
+/// One worker has more than its share of the jobs and the others have no items left. If these were
+/// slot managers, half of their slots would stay empty.
 #[test]
-fn slots_are_given_out_by_workers_whose_items_wait() {
+fn slot_managers_are_workers_with_waiting_items() {
     let mut workers = idle_workers();
     for (worker, zone) in workers.iter_mut().zip(["hall", "far", "areal"]) {
         worker.zone = zone.to_owned();
     }
     workers[0].waiting_items = 12;
-    let keeper = |zone, workers: &[Worker]| {
+    let manager = |zone, workers: &[Worker]| {
         ownership::slot_manager("server-0", zone, workers).map(|worker| worker.node.clone())
     };
     for zone in ["hall", "far", "areal"] {
-        assert_eq!(keeper(zone, &workers).as_deref(), Some("a"), "{zone}");
+        assert_eq!(manager(zone, &workers).as_deref(), Some("a"), "{zone}");
     }
-    // The zone's own worker keeps its slots again as soon as items of its own wait.
+    // A worker of the zone is the slot manager again as soon as it has waiting items.
     workers[1].waiting_items = 1;
-    assert_eq!(keeper("far", &workers).as_deref(), Some("b"));
-    assert_eq!(keeper("hall", &workers).as_deref(), Some("a"));
-    // Of a worker that is not heard it is not known what waits.
+    assert_eq!(manager("far", &workers).as_deref(), Some("b"));
+    assert_eq!(manager("hall", &workers).as_deref(), Some("a"));
+    // A worker whose heartbeats do not arrive here may have waiting items.
     workers[1].waiting_items = 0;
     workers[1].has_current_claims = false;
-    assert_eq!(keeper("far", &workers).as_deref(), Some("b"));
-    // A worker that leaves keeps nothing.
+    assert_eq!(manager("far", &workers).as_deref(), Some("b"));
+    // A worker that shuts down is never a slot manager.
     workers[0].leaving = true;
     workers[1].has_current_claims = true;
-    assert_ne!(keeper("hall", &workers).as_deref(), Some("a"));
+    assert_ne!(manager("hall", &workers).as_deref(), Some("a"));
 }
 
-/// The path between two workers is cut one way for 5 s: the one that hears nothing must not
-/// take what the other, alive for everybody else, probably runs.
+/// The network path between two workers is interrupted in one direction for 5 s. The worker that
+/// receives nothing must not take over jobs that the other one, whose heartbeats all other
+/// processes receive, probably owns.
 #[test]
-fn jobs_of_a_worker_that_only_others_hear_are_left_to_it() {
+fn jobs_of_an_unreachable_live_worker_are_not_taken_over() {
     let mut workers = idle_workers();
-    let first = ownership::preferred_worker(JOB, &workers)
-        .expect("none leaves")
+    let preferred = ownership::preferred_worker(JOB, &workers)
+        .expect("no worker shuts down")
         .node
         .clone();
     for worker in &mut workers {
-        worker.has_current_claims = worker.node != first;
+        worker.has_current_claims = worker.node != preferred;
     }
     let other = workers
         .iter()
-        .find(|w| w.node != first)
+        .find(|w| w.node != preferred)
         .expect("three workers");
-    let unheld = Instant::now();
-    let in_the_cut = unheld + Duration::from_secs(5);
+    let unowned_since = Instant::now();
+    let during_interruption = unowned_since + Duration::from_secs(5);
     assert!(!ownership::should_take_over(
         JOB,
         &other.node,
         &workers,
-        unheld,
-        in_the_cut
+        unowned_since,
+        during_interruption
     ));
-    let much_later = unheld + Duration::from_secs(10);
+    let after_grace = unowned_since + Duration::from_secs(10);
     assert!(ownership::should_take_over(
         JOB,
         &other.node,
         &workers,
-        unheld,
-        much_later
+        unowned_since,
+        after_grace
     ));
 }
--- a/crates/foxwheel-policy/tests/schedule.rs
+++ b/crates/foxwheel-policy/tests/schedule.rs
@@ -1,38 +1,38 @@
-//! The order of batch items when more is due than the slots can carry.
+//! Tests the order in which batch items get slots when more items are due than the slots can run.
 
 use std::time::Duration;
 
 use foxwheel_policy::batch::schedule::{self, RunEstimate, WaitingItem};
 
 const SLOTS: usize = 30;
-const DUE: Duration = Duration::from_secs(18);
-const RUN: Duration = Duration::from_secs(5);
+const TIME_TO_DUE: Duration = Duration::from_secs(18);
+const RUN_TIME: Duration = Duration::from_secs(5);
 const TICK: Duration = Duration::from_millis(100);
 
-/// Items submitted at a steady rate for 34 s, two thirds above what the slots carry (30 slots
-/// of 5 s runs carry 6 items a second).
+/// Items are submitted at a constant rate for 34 s. The rate is two thirds higher than the slots
+/// can run: 30 slots with runs of 5 s finish 6 items per second.
 const ITEMS_PER_S: usize = 10;
-const SUBMITTING: Duration = Duration::from_secs(34);
+const SUBMISSION_TIME: Duration = Duration::from_secs(34);
 
-/// Plays the load; answers how many items were in time and how many were finished at all
-/// within 20 s of the last submission.
-fn play(order: impl Fn(&mut [WaitingItem], Duration)) -> (usize, usize) {
+/// Simulates the load with items in the order that `order` gives. Returns how many items
+/// finished in time and how many finished at all within 20 s of the last submission.
+fn simulate_load(order: impl Fn(&mut [WaitingItem], Duration)) -> (usize, usize) {
     let mut waiting: Vec<WaitingItem> = Vec::new();
     let mut running: Vec<(Duration, WaitingItem)> = Vec::new();
     let (mut in_time, mut finished) = (0, 0);
-    let mut submitted = 0;
+    let mut submitted_items = 0;
     let mut now = Duration::ZERO;
-    while now < SUBMITTING + Duration::from_secs(20) {
-        let due = ITEMS_PER_S * now.min(SUBMITTING).as_millis() as usize / 1_000;
-        for item in submitted..due {
+    while now < SUBMISSION_TIME + Duration::from_secs(20) {
+        let submitted_now = ITEMS_PER_S * now.min(SUBMISSION_TIME).as_millis() as usize / 1_000;
+        for item in submitted_items..submitted_now {
             waiting.push(WaitingItem {
                 job: item / 10,
                 item: item % 10,
-                due_unix: now + DUE,
-                remaining_run_time: RUN,
+                due_unix: now + TIME_TO_DUE,
+                remaining_run_time: RUN_TIME,
             });
         }
-        submitted = due;
+        submitted_items = submitted_now;
         running.retain(|(ends_at, item)| {
             let ended = *ends_at <= now;
             finished += usize::from(ended);
@@ -41,7 +41,7 @@
         });
         order(&mut waiting, now);
         while running.len() < SLOTS && !waiting.is_empty() {
-            running.push((now + RUN, waiting.remove(0)));
+            running.push((now + RUN_TIME, waiting.remove(0)));
         }
         now += TICK;
     }
@@ -49,19 +49,24 @@
 }
 
 #[test]
-fn an_overload_makes_some_items_late_and_not_all() {
-    let by_submission = play(|items, _| items.sort_by_key(|item| (item.due_unix, item.item)));
-    let scheduled = play(schedule::sort_waiting_items);
-    // 34 s of submissions and 13 s behind them, at 6 a second.
+fn overload_makes_only_some_items_late() {
+    let by_submission =
+        simulate_load(|items, _| items.sort_by_key(|item| (item.due_unix, item.item)));
+    let scheduled = simulate_load(schedule::sort_waiting_items);
+    // The slots have 34 s of submissions and 13 s after them to finish items in time, at 6 items
+    // per second.
     assert!(
         scheduled.0 >= by_submission.0 + 50,
-        "{scheduled:?} in time and finished, by submission {by_submission:?}"
+        "(in time, finished): {scheduled:?}, in the order of submission {by_submission:?}"
+    );
+    assert_eq!(
+        scheduled.1, by_submission.1,
+        "the slots are used equally well"
     );
-    assert_eq!(scheduled.1, by_submission.1, "the slots are used as well");
 }
 
 #[test]
-fn items_that_can_be_in_time_go_first_by_due_time_then_by_what_is_left() {
+fn items_that_can_finish_in_time_come_first_by_due_time_then_remaining_run_time() {
     let now_unix = Duration::from_secs(100);
     let item = |job, due_s, remaining_s| WaitingItem {
         job,
@@ -82,7 +87,7 @@
 }
 
 #[test]
-fn the_estimate_follows_the_runs_and_is_zero_before_the_first() {
+fn estimate_follows_the_runs_and_is_zero_before_the_first() {
     let mut estimate = RunEstimate::default();
     assert_eq!(estimate.remaining_run_time(0), Duration::ZERO);
     for _ in 0..60 {
@@ -97,7 +102,7 @@
     }
     let slower = estimate.remaining_run_time(0).as_millis();
     assert!((11_800..12_000).contains(&slower), "{slower}");
-    // Too few events tell of the prompt, not of the steps.
+    // With few events the prompt would dominate the time per event, so the run is ignored.
     estimate.record_run(2, Duration::from_secs(60));
     assert_eq!(estimate.remaining_run_time(0).as_millis(), slower);
 }
