--- a/crates/foxwheel-node/src/worker/checkpointing.rs
+++ b/crates/foxwheel-node/src/worker/checkpointing.rs
@@ -13,7 +13,7 @@
 /// State of the checkpoints of one worker.
 #[derive(Debug, Default)]
 pub(super) struct Checkpoints {
-    clock: CheckpointTimer,
+    timer: CheckpointTimer,
     /// Whether a checkpoint is being written to the store.
     saving: Arc<AtomicBool>,
     /// Fingerprint of the last checkpoint, to skip checkpoints without changes.
@@ -26,18 +26,18 @@
     pub(super) fn save_progress(&mut self) {
         let now = Instant::now();
         let checkpoints = &self.checkpoints;
-        if !checkpoints.clock.is_due(now) || self.is_saving() {
+        if !checkpoints.timer.is_due(now) || self.is_saving() {
             return;
         }
-        let jobs = self.job_checkpoints();
+        let jobs = self.collect_checkpoints();
         let bytes = jobs.iter().map(output_bytes).sum();
         let checkpoints = &mut self.checkpoints;
-        checkpoints.clock.record_checkpoint(bytes, now);
-        let current = fingerprint(&jobs);
-        if jobs.is_empty() || current == checkpoints.last_fingerprint {
+        checkpoints.timer.record_checkpoint(bytes, now);
+        let current_fingerprint = fingerprint(&jobs);
+        if jobs.is_empty() || current_fingerprint == checkpoints.last_fingerprint {
             return;
         }
-        checkpoints.last_fingerprint = current;
+        checkpoints.last_fingerprint = current_fingerprint;
         checkpoints.saving.store(true, Ordering::Relaxed);
         let saving = Arc::clone(&checkpoints.saving);
         let worker_jobs = Arc::clone(&self.jobs);
@@ -56,7 +56,7 @@
     /// Starts to save the progress even if no checkpoint is due. The returned flag is set once
     /// the attempt has finished, whether or not it succeeded.
     pub(super) fn save_progress_now(&mut self) -> Arc<AtomicBool> {
-        let jobs = self.job_checkpoints();
+        let jobs = self.collect_checkpoints();
         let finished = Arc::new(AtomicBool::new(jobs.is_empty()));
         let (flag, worker_jobs) = (Arc::clone(&finished), Arc::clone(&self.jobs));
         tokio::spawn(async move {
@@ -69,7 +69,7 @@
         finished
     }
 
-    fn job_checkpoints(&mut self) -> Vec<JobCheckpoint> {
+    fn collect_checkpoints(&mut self) -> Vec<JobCheckpoint> {
         for run in &self.runs {
             let output = run.output.lock().expect("output lock");
             self.jobs.with_entry(&run.job, |entry| {
--- a/crates/foxwheel-node/src/worker/mod.rs
+++ b/crates/foxwheel-node/src/worker/mod.rs
@@ -213,8 +213,8 @@
         self.jobs.for_each_owned(|entry| {
             let mut nearly_due = false;
             if let Some(config) = &config {
-                let known_for = now.duration_since(self.started_at);
-                give_up_overdue(entry, config, known_for, now);
+                let uptime = now.duration_since(self.started_at);
+                give_up_expired_job(entry, config, uptime, now);
                 let due_in = due_unix(entry, config).saturating_sub(ledger_poll::unix_now());
                 nearly_due = entry.progress.should_store_before_due(due_in);
             }
@@ -296,16 +296,16 @@
     spec.submitted_unix + target.unwrap_or_default()
 }
 
-/// Gives up the unfinished items of a job if the job is overdue. `known_for` is how long this
-/// worker has been running.
-fn give_up_overdue(entry: &mut JobEntry, config: &Config, known_for: Duration, now: Instant) {
+/// Gives up the unfinished items of a job if the retention time of its route has passed or its
+/// route no longer exists. `uptime` is how long this worker has been running.
+fn give_up_expired_job(entry: &mut JobEntry, config: &Config, uptime: Duration, now: Instant) {
     let spec = &entry.progress.spec;
     let age = ledger_poll::unix_now().saturating_sub(spec.submitted_unix);
     let route = batch_route(config, &spec.host, &spec.path);
-    if !job::should_give_up(route, age, known_for) || entry.progress.is_finished() {
+    if !job::should_give_up(route, age, uptime) || entry.progress.is_finished() {
         return;
     }
-    log::warn!(job = spec.id, age_ms = age.as_millis() as u64, routed = route.is_some(); "job is overdue; giving up its unfinished items");
+    log::warn!(job = spec.id, age_ms = age.as_millis() as u64, routed = route.is_some(); "giving up the unfinished items of the job");
     entry.progress.give_up_unfinished(now);
     entry.cancel.cancel();
 }
