--- a/crates/foxwheel-node/tests/abandoned_requests.rs
+++ b/crates/foxwheel-node/tests/abandoned_requests.rs
@@ -7,9 +7,9 @@
 
 use std::time::Duration;
 
-use common::{call, caller, connect, request, submit, Fleet, FleetPlan};
+use common::{build_request, call, connect, front_client, submit_job, Fleet, FleetPlan};
 use foxwheel_server_emu::server::{self, Shape};
-use foxwheel_soak::proxy::{Path, PathFault};
+use foxwheel_soak::proxy::{FaultProxy, PathFault};
 use hyper::{Method, StatusCode};
 
 /// Within this time a front has received a change of the list of servers.
@@ -21,7 +21,7 @@
 
 /// Starts a front and a worker with one server behind a path that can be interrupted. Returns with
 /// pooled connections to the server, left over from earlier requests.
-async fn fleet_behind_path() -> (Fleet, Path) {
+async fn fleet_behind_path() -> (Fleet, FaultProxy) {
     let mut fleet = Fleet::start(FleetPlan {
         servers: common::server_shapes(1),
         ..FleetPlan::default()
@@ -35,7 +35,7 @@
     let far = server::start(localhost, shape, fleet.cancel.clone()).await;
     let far = far.expect("server starts");
     let any = std::net::SocketAddr::new(localhost, 0);
-    let path = Path::open(any, far.addr, fleet.cancel.clone()).await;
+    let path = FaultProxy::open(any, far.addr, fleet.cancel.clone()).await;
     let path = path.expect("a path");
     let near = fleet.servers[0].addr;
     fleet.register_server("server-0", near, "draining").await;
@@ -48,10 +48,10 @@
 
 /// Drains the server behind the path, then restores the path and waits until the bytes that it
 /// delayed have arrived.
-async fn drain_and_restore_path(fleet: &Fleet, path: &Path) {
+async fn drain_and_restore_path(fleet: &Fleet, path: &FaultProxy) {
     fleet.register_server("far", path.addr, "draining").await;
     tokio::time::sleep(LIST_CHANGE_DELAY).await;
-    path.heal();
+    path.clear_fault();
     tokio::time::sleep(DELIVERY_DELAY).await;
 }
 
@@ -68,7 +68,7 @@
     for route in ["/plain/a", "/stream/a", "/once/a"] {
         fleet.register_server("far", path.addr, "ready").await;
         common::wait_for_status(fleet.fronts[0], "/plain/again", StatusCode::OK).await;
-        path.set(PathFault::Silence);
+        path.set_fault(PathFault::Silence);
         let id = format!("given-up{route}");
         let response = call(fleet.fronts[0], Method::POST, route, &id, &[], "").await;
         let status = response.expect("a response").status;
@@ -82,10 +82,10 @@
 #[actix_web::test]
 async fn request_of_a_disconnected_caller_never_reaches_a_server() {
     let (fleet, path) = fleet_behind_path().await;
-    path.set(PathFault::Silence);
+    path.set_fault(PathFault::Silence);
     for route in ["/plain/a", "/stream/a", "/once/a"] {
         let mut caller = connect(fleet.fronts[0]).await.expect("connected");
-        let sent = request(
+        let sent = build_request(
             Method::POST,
             route,
             &format!("disconnected{route}"),
@@ -108,16 +108,16 @@
 #[actix_web::test]
 async fn item_of_a_job_ended_by_its_caller_never_reaches_a_server() {
     let (fleet, path) = fleet_behind_path().await;
-    path.set(PathFault::Silence);
-    let accepted = submit(fleet.fronts[0], "ended", 1)
+    path.set_fault(PathFault::Silence);
+    let accepted = submit_job(fleet.fronts[0], "ended", 1)
         .await
         .expect("a response");
     assert_eq!(accepted.status, StatusCode::ACCEPTED);
     // By then the item's run has been sent.
     tokio::time::sleep(Duration::from_millis(600)).await;
-    let ended = caller::end(fleet.fronts[0], "ended").await;
+    let ended = front_client::end_job(fleet.fronts[0], "ended").await;
     assert_eq!(ended.expect("a response").status, StatusCode::OK);
     drain_and_restore_path(&fleet, &path).await;
-    assert!(!has_arrived(&fleet, &caller::item_id("ended", 0)));
+    assert!(!has_arrived(&fleet, &front_client::item_id("ended", 0)));
     fleet.cancel.cancel();
 }
--- a/crates/foxwheel-node/tests/attempt.rs
+++ b/crates/foxwheel-node/tests/attempt.rs
@@ -14,7 +14,7 @@
 use foxwheel_policy::membership::{BackendServer, ServerState};
 use foxwheel_policy::retry::AttemptOutcome;
 use foxwheel_server_emu::server::{self, Shape};
-use foxwheel_soak::caller;
+use foxwheel_soak::front_client;
 use hyper::Method;
 use tokio_util::sync::CancellationToken;
 
@@ -26,7 +26,7 @@
         incarnation: 1,
         service: "model".to_owned(),
         addr,
-        zone: common::zone(0),
+        zone: common::zone_name(0),
         slots: 8,
         state,
     };
@@ -56,7 +56,7 @@
         deadline: Instant::now() + Duration::from_secs(5),
         head_deadline: None,
     };
-    let request = caller::request(Method::POST, "/plain/a", "request", &[], "");
+    let request = front_client::build_request(Method::POST, "/plain/a", "request", &[], "");
     let (sent, _) = tokio::join!(attempt::send(&node, target, request), async {
         register_server(&node, server.addr, ServerState::Draining)
     });
--- a/crates/foxwheel-node/tests/batch_contract.rs
+++ b/crates/foxwheel-node/tests/batch_contract.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    call, item_ids, read_results, result_ids, submit, wait_for_results, Fleet, FleetPlan,
+    call, item_ids, read_results, result_ids, submit_job, wait_for_results, Fleet, FleetPlan,
 };
 use foxwheel_node::settings::Role;
 use foxwheel_server_emu::faults::Fault;
@@ -48,7 +48,7 @@
     let fleet = Fleet::start(FleetPlan::default()).await;
     let front = fleet.fronts[0];
     for _ in 0..2 {
-        let response = submit(front, "job", 7).await.expect("a response");
+        let response = submit_job(front, "job", 7).await.expect("a response");
         assert_eq!(response.status, StatusCode::ACCEPTED);
     }
     let results = wait_for_results(front, "job", 7).await;
@@ -74,7 +74,7 @@
         assert_eq!(end_job(&fleet, "job").await, StatusCode::OK);
     }
     assert_eq!(end_job(&fleet, "unknown").await, StatusCode::NOT_FOUND);
-    let repeat = submit(front, "job", 7).await.expect("a response");
+    let repeat = submit_job(front, "job", 7).await.expect("a response");
     assert_eq!(repeat.status, StatusCode::ACCEPTED);
     let runs = fleet
         .servers
@@ -172,7 +172,9 @@
     for (index, (name, faults, state, runs)) in cases.iter().enumerate() {
         let job = format!("job-{index}");
         script.extend(faults.iter().copied());
-        submit(fleet.fronts[0], &job, 1).await.expect("a response");
+        submit_job(fleet.fronts[0], &job, 1)
+            .await
+            .expect("a response");
         let results = wait_for_results(fleet.fronts[0], &job, 1).await;
         assert_eq!(results[0]["state"], *state, "{name}");
         let item = format!("{job}-item-0");
@@ -207,7 +209,7 @@
     let submissions = (0..12).map(|number| {
         let front = fleet.fronts[number % 3];
         async move {
-            submit(front, &format!("job-{number}"), 2)
+            submit_job(front, &format!("job-{number}"), 2)
                 .await
                 .expect("a response")
                 .status
@@ -228,7 +230,7 @@
         ..FleetPlan::default()
     })
     .await;
-    submit(fleet.fronts[0], "job", 30)
+    submit_job(fleet.fronts[0], "job", 30)
         .await
         .expect("a response");
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -279,18 +281,18 @@
     .await;
     for (index, (name, faults)) in cases.into_iter().enumerate() {
         let (before, during) = (format!("before-{index}"), format!("during-{index}"));
-        let accepted = submit(fleet.fronts[0], &before, 4)
+        let accepted = submit_job(fleet.fronts[0], &before, 4)
             .await
             .expect("a response");
         assert_eq!(accepted.status, StatusCode::ACCEPTED, "{name}");
         fleet.set_store_faults(faults).await;
-        let submitted = submit(fleet.fronts[0], &during, 4)
+        let submitted = submit_job(fleet.fronts[0], &during, 4)
             .await
             .expect("a response");
         tokio::time::sleep(Duration::from_millis(300)).await;
         fleet.set_store_faults(Faults::default()).await;
         if submitted.status != StatusCode::ACCEPTED {
-            let repeated = submit(fleet.fronts[0], &during, 4)
+            let repeated = submit_job(fleet.fronts[0], &during, 4)
                 .await
                 .expect("a response");
             assert_eq!(
@@ -319,7 +321,9 @@
     .await;
     let jobs = ["a", "b", "c", "d"];
     for job in jobs {
-        submit(fleet.fronts[0], job, 6).await.expect("a response");
+        submit_job(fleet.fronts[0], job, 6)
+            .await
+            .expect("a response");
     }
     tokio::time::sleep(Duration::from_millis(700)).await;
     fleet.processes[1].kill();
@@ -341,7 +345,9 @@
     })
     .await;
     for job in ["a", "b"] {
-        submit(fleet.fronts[0], job, 20).await.expect("a response");
+        submit_job(fleet.fronts[0], job, 20)
+            .await
+            .expect("a response");
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
     let stopped_at = Instant::now();
@@ -370,7 +376,9 @@
         ..FleetPlan::default()
     })
     .await;
-    submit(fleet.fronts[0], "a", 12).await.expect("a response");
+    submit_job(fleet.fronts[0], "a", 12)
+        .await
+        .expect("a response");
     let host = fleet.processes[1].settings.host.clone();
     let key = format!("retirements/{host}");
     let requested = fleet
@@ -407,7 +415,7 @@
     })
     .await;
     let front = fleet.fronts[0];
-    let accepted = submit(front, "job", 3).await.expect("a response");
+    let accepted = submit_job(front, "job", 3).await.expect("a response");
     assert_eq!(accepted.status, StatusCode::ACCEPTED);
     let read = read_results(front, "job", 0).await.expect("readable");
     assert_eq!(read["total"], 3);
@@ -441,16 +449,18 @@
     // Processes 0 and 1 are fronts, processes 2 and 3 are workers.
     for (name, cut) in [("front", &[0][..]), ("workers", &[2, 3]), ("both", &[0, 2])] {
         for index in cut {
-            fleet.processes[*index].store_path.cut();
+            fleet.processes[*index].store_path.reset_connections();
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
-        let accepted = submit(fleet.fronts[0], name, 4).await.expect("a response");
+        let accepted = submit_job(fleet.fronts[0], name, 4)
+            .await
+            .expect("a response");
         assert_eq!(accepted.status, StatusCode::ACCEPTED, "{name}");
         let results = wait_for_results(fleet.fronts[0], name, 4).await;
         assert_all_completed(&results, name, 4);
         assert_eq!(end_job(&fleet, name).await, StatusCode::OK, "{name}");
         for index in cut {
-            fleet.processes[*index].store_path.heal();
+            fleet.processes[*index].store_path.clear_fault();
         }
         tokio::time::sleep(Duration::from_millis(700)).await;
     }
@@ -462,7 +472,7 @@
     let before = fleet.store.stats().await.expect("stats").writes;
     for (index, front) in fleet.fronts.iter().enumerate() {
         let job = format!("{name}-{index}");
-        let accepted = submit(*front, &job, 1).await.expect("a response");
+        let accepted = submit_job(*front, &job, 1).await.expect("a response");
         assert_eq!(accepted.status, StatusCode::ACCEPTED, "{job}");
     }
     fleet.store.stats().await.expect("stats").writes - before
--- a/crates/foxwheel-node/tests/checkpoints.rs
+++ b/crates/foxwheel-node/tests/checkpoints.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use common::{submit, wait_for_results, Fleet, FleetPlan};
+use common::{submit_job, wait_for_results, Fleet, FleetPlan};
 use foxwheel_server_emu::runs::Run;
 use foxwheel_server_emu::server::{self, Shape};
 use serde_json::json;
@@ -78,7 +78,9 @@
     let fleet = start_fleet(2).await;
     let jobs = ["a", "b", "c"];
     for job in jobs {
-        submit(fleet.fronts[0], job, 3).await.expect("a response");
+        submit_job(fleet.fronts[0], job, 3)
+            .await
+            .expect("a response");
     }
     tokio::time::sleep(RUN_TIME_BEFORE_KILL).await;
     for worker in [1, 2] {
@@ -99,12 +101,16 @@
 #[actix_web::test]
 async fn items_resume_after_all_processes_were_killed() {
     let mut fleet = start_fleet(2).await;
-    submit(fleet.fronts[0], "a", 6).await.expect("a response");
+    submit_job(fleet.fronts[0], "a", 6)
+        .await
+        .expect("a response");
     tokio::time::sleep(RUN_TIME_BEFORE_KILL).await;
     fleet.restart_all_processes().await;
     fleet.wait_until_serving(fleet.fronts[0]).await;
     // Gives the restarted workers new work, so that they save checkpoints at once.
-    submit(fleet.fronts[0], "b", 2).await.expect("a response");
+    submit_job(fleet.fronts[0], "b", 2)
+        .await
+        .expect("a response");
     assert_resumed(&fleet, "a", 6).await;
     fleet.cancel.cancel();
 }
@@ -116,7 +122,9 @@
     let fleet = start_fleet(2).await;
     let jobs = ["a", "b", "c"];
     for job in jobs {
-        submit(fleet.fronts[0], job, 3).await.expect("a response");
+        submit_job(fleet.fronts[0], job, 3)
+            .await
+            .expect("a response");
     }
     // About half of the items' events are still to come.
     tokio::time::sleep(Duration::from_millis(3_000)).await;
--- a/crates/foxwheel-node/tests/common/mod.rs
+++ b/crates/foxwheel-node/tests/common/mod.rs
@@ -9,9 +9,11 @@
 
 pub mod crashing_servers;
 
-pub use foxwheel_soak::caller::{self, Answer};
-pub use foxwheel_soak::caller::{call, connect, job_body, read, read_results, request, submit};
-pub use foxwheel_soak::declarations::{self, zone, HOST};
+pub use foxwheel_soak::front_client::{self, ReceivedResponse};
+pub use foxwheel_soak::front_client::{
+    build_request, call, connect, job_body, read_response, read_results, submit_job,
+};
+pub use foxwheel_soak::store_entries::{self, zone_name, HOST};
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -23,7 +25,7 @@
 use foxwheel_platform_emu::settings::PlatformSettings;
 use foxwheel_server_emu::server::{self, Server, Shape};
 use foxwheel_soak::network::{self, Network};
-use foxwheel_soak::proxy::Path;
+use foxwheel_soak::proxy::FaultProxy;
 use foxwheel_store::api::Faults;
 use foxwheel_store::client::{StoreClient, StoreError};
 use hyper::{Method, StatusCode};
@@ -53,7 +55,7 @@
     /// Settings of the process.
     pub settings: NodeSettings,
     /// Proxy through which the process reaches the store.
-    pub store_path: Path,
+    pub store_path: FaultProxy,
     /// Cancelled to stop the process gracefully.
     pub stop: CancellationToken,
     kill: CancellationToken,
@@ -61,7 +63,7 @@
 }
 
 impl Process {
-    fn start(settings: NodeSettings, store_path: Path, cancel: &CancellationToken) -> Self {
+    fn start(settings: NodeSettings, store_path: FaultProxy, cancel: &CancellationToken) -> Self {
         let stop = CancellationToken::new();
         let kill = cancel.child_token();
         let (stopped, killed, own_settings) = (stop.clone(), kill.clone(), settings.clone());
@@ -154,7 +156,7 @@
             cancel,
             host_count: 0,
             zone_count: plan.zones,
-            network: Network::take().expect("a free network"),
+            network: Network::claim().expect("a free network"),
             store_addr,
         };
         fleet.configure(1, |_| {}).await;
@@ -215,7 +217,7 @@
 
     /// Writes the default configuration as changed by `alter`.
     pub async fn configure(&self, version: u64, alter: impl FnOnce(&mut Value)) {
-        let mut config = declarations::config(version);
+        let mut config = store_entries::config(version);
         alter(&mut config);
         self.write_object("config/main", &config).await;
     }
@@ -234,7 +236,7 @@
     /// Starts a front or worker on a new host. The address of a front is appended to `fronts`.
     pub async fn add_process(&mut self, role: Role) {
         let any_port = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-        let store_path = Path::open(any_port, self.store_addr, self.cancel.clone()).await;
+        let store_path = FaultProxy::open(any_port, self.store_addr, self.cancel.clone()).await;
         let store_path = store_path.expect("a path to the store");
         self.host_count += 1;
         let mut settings = self.process_settings(self.host_count, role);
@@ -278,7 +280,7 @@
         NodeSettings {
             host: format!("host-{number}"),
             role,
-            availability_zone: zone(number % self.zone_count),
+            availability_zone: zone_name(number % self.zone_count),
             ip,
             bind_ip: None,
             peer_ports: (network::PEER_PORT, network::PEER_PORT),
@@ -309,7 +311,7 @@
     /// Registers a backend server of the service `model` in the zone `number`.
     pub async fn register_server_in_zone(&self, number: u32, id: &str, addr: SocketAddr) {
         let mut entry = server_entry(addr, "ready");
-        entry["zone"] = json!(zone(number));
+        entry["zone"] = json!(zone_name(number));
         self.write_server_entry(id, &entry).await;
     }
 
@@ -352,7 +354,7 @@
     NodeSettings {
         host: "host-1".to_owned(),
         role,
-        availability_zone: zone(0),
+        availability_zone: zone_name(0),
         ip: IpAddr::V4(Ipv4Addr::LOCALHOST),
         bind_ip: None,
         peer_ports: (7_660, 7_660),
@@ -369,7 +371,7 @@
 
 /// Returns the entry of a backend server of the service `model`.
 pub fn server_entry(addr: SocketAddr, state: &str) -> Value {
-    declarations::server_entry(addr, state)
+    store_entries::server_entry(addr, state)
 }
 
 /// Time limit for conditions that are normally met within milliseconds.
@@ -431,7 +433,9 @@
 
 /// Returns the ids of the items of a job as submitted, sorted.
 pub fn item_ids(job: &str, count: usize) -> Vec<String> {
-    let mut ids: Vec<String> = (0..count).map(|at| caller::item_id(job, at)).collect();
+    let mut ids: Vec<String> = (0..count)
+        .map(|at| front_client::item_id(job, at))
+        .collect();
     ids.sort();
     ids
 }
--- a/crates/foxwheel-node/tests/crashing_requests.rs
+++ b/crates/foxwheel-node/tests/crashing_requests.rs
@@ -16,7 +16,7 @@
 use common::crashing_servers::{
     self, CRASHES_TO_QUARANTINE, CRASHING_BODY, MAX_RUNS_IN_QUARANTINE, PROPAGATION_TIME,
 };
-use common::{call, job_body, server_shapes, wait_for_results, Answer, Fleet, FleetPlan};
+use common::{call, job_body, server_shapes, wait_for_results, Fleet, FleetPlan, ReceivedResponse};
 use foxwheel_node::settings::Role;
 use foxwheel_server_emu::server::Shape;
 use foxwheel_store::api::Faults;
@@ -54,7 +54,11 @@
 }
 
 /// Sends the crashing request to `path` under a new id, at each front in turn.
-async fn send_crashing_request(fleet: &Fleet, path: &str, number: usize) -> Option<Answer> {
+async fn send_crashing_request(
+    fleet: &Fleet,
+    path: &str,
+    number: usize,
+) -> Option<ReceivedResponse> {
     let front = fleet.fronts[number % fleet.fronts.len()];
     let id = format!("crash-{path}-{number}");
     let sent = call(front, Method::POST, path, &id, &[], CRASHING_BODY).await;
@@ -165,7 +169,7 @@
         let response = call(*front, Method::POST, "/stream/a", &id, &[], &body).await;
         let response = response.expect("a response");
         assert_eq!(response.status, StatusCode::OK, "{id}");
-        assert!(response.whole, "{id}");
+        assert!(response.is_complete, "{id}");
     }
     fleet.cancel.cancel();
 }
@@ -202,7 +206,7 @@
         let (response, ()) = tokio::join!(request, end_server);
         let response = response.expect("a response");
         assert_eq!(response.status, StatusCode::OK, "{id}");
-        assert!(response.whole, "{id} was not resumed to its end");
+        assert!(response.is_complete, "{id} was not resumed to its end");
     }
     assert_eq!(ended_servers(&fleet), 6);
     fleet.cancel.cancel();
@@ -296,7 +300,7 @@
         let response = call(front, Method::GET, "/stream/popular", "again", &[], "").await;
         let response = response.expect("a response");
         assert_eq!(response.status, StatusCode::OK);
-        assert!(response.whole);
+        assert!(response.is_complete);
     }
     fleet.cancel.cancel();
 }
--- a/crates/foxwheel-node/tests/explain_failures.rs
+++ b/crates/foxwheel-node/tests/explain_failures.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use common::{call, submit, wait_for_results, Fleet, FleetPlan};
+use common::{call, submit_job, wait_for_results, Fleet, FleetPlan};
 use foxwheel_ctl::explain;
 use foxwheel_node::settings::{NodeSettings, Role};
 use foxwheel_server_emu::faults::Fault;
@@ -126,7 +126,7 @@
     let callers = (0..30).map(|at| async move {
         let id = format!("load-{at}");
         let mut connection = common::connect(front).await.expect("connected");
-        let request = common::request(Method::POST, "/stream-once/a", &id, &[], "");
+        let request = common::build_request(Method::POST, "/stream-once/a", &id, &[], "");
         let response = connection.send(request).await.expect("a response");
         (id, response.status())
     });
@@ -151,7 +151,7 @@
     fleet.servers[0].script.extend([Fault::BreakAfter(2)]);
     let front = processes[0].caller_address();
     let response = call(front, Method::POST, "/stream-once/a", "broken", &[], "").await;
-    assert!(!response.expect("a response").whole);
+    assert!(!response.expect("a response").is_complete);
     let explanation = wait_for_explanation("broken", &processes, "cause: stream broken").await;
     assert!(explanation.contains("(server server-0)"), "{explanation}");
     fleet.cancel.cancel();
@@ -168,7 +168,7 @@
     for server in &fleet.servers {
         server.script.extend([Fault::Fail; 3]);
     }
-    submit(front, "failing", 1).await.expect("a response");
+    submit_job(front, "failing", 1).await.expect("a response");
     wait_for_results(front, "failing", 1).await;
     let explanation =
         wait_for_explanation("failing-item-0", &processes, "cause: item given up: Failed").await;
@@ -176,7 +176,7 @@
 
     // Both workers run jobs. The first one is killed without a graceful stop.
     for at in 0..6 {
-        submit(front, &format!("late-{at}"), 4)
+        submit_job(front, &format!("late-{at}"), 4)
             .await
             .expect("a response");
     }
--- a/crates/foxwheel-node/tests/herd_restart.rs
+++ b/crates/foxwheel-node/tests/herd_restart.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{call, submit, wait_for_results, Fleet, FleetPlan};
+use common::{call, submit_job, wait_for_results, Fleet, FleetPlan};
 use foxwheel_store::api::{CallCounts, Faults, Refusal};
 use hyper::{Method, StatusCode};
 use serde_json::json;
@@ -81,7 +81,7 @@
 async fn accepted_jobs_survive_a_restart_of_all_processes_within_the_call_limit() {
     let mut fleet = start_fleet().await;
     for (at, job) in ["job-a", "job-b"].iter().enumerate() {
-        let accepted = submit(fleet.fronts[at], job, ITEMS)
+        let accepted = submit_job(fleet.fronts[at], job, ITEMS)
             .await
             .expect("a response");
         assert_eq!(accepted.status, StatusCode::ACCEPTED);
@@ -108,7 +108,7 @@
 #[actix_web::test]
 async fn processes_that_restart_during_a_store_outage_back_off() {
     let mut fleet = start_fleet().await;
-    let accepted = submit(fleet.fronts[0], "job-c", ITEMS)
+    let accepted = submit_job(fleet.fronts[0], "job-c", ITEMS)
         .await
         .expect("a response");
     assert_eq!(accepted.status, StatusCode::ACCEPTED);
--- a/crates/foxwheel-node/tests/membership_contract.rs
+++ b/crates/foxwheel-node/tests/membership_contract.rs
@@ -73,11 +73,11 @@
         ..FleetPlan::default()
     })
     .await;
-    fleet.processes[0].store_path.cut();
+    fleet.processes[0].store_path.reset_connections();
     fleet.configure(4, move_plain_route).await;
     wait_for_status(fleet.fronts[1], "/moved/a", StatusCode::OK).await;
     wait_for_status(fleet.fronts[0], "/moved/a", StatusCode::OK).await;
-    fleet.processes[0].store_path.heal();
+    fleet.processes[0].store_path.clear_fault();
     fleet.configure(6, |_| {}).await;
     wait_for_status(fleet.fronts[0], "/plain/a", StatusCode::OK).await;
     fleet.cancel.cancel();
@@ -90,7 +90,7 @@
     let mut fleet = Fleet::start(FleetPlan::default()).await;
     fleet.add_process(Role::Front).await;
     let front = fleet.fronts[1];
-    fleet.processes[2].store_path.cut();
+    fleet.processes[2].store_path.reset_connections();
     let mut refused = 0;
     for _ in 0..500 {
         match get_status(front, "/plain/a").await {
@@ -119,7 +119,7 @@
     })
     .await;
     let front = fleet.fronts[0];
-    fleet.processes[0].store_path.cut();
+    fleet.processes[0].store_path.reset_connections();
     tokio::time::sleep(Duration::from_millis(300)).await;
     for id in ["server-0", "server-1"] {
         fleet
@@ -128,7 +128,7 @@
             .await
             .expect("removed");
     }
-    fleet.processes[0].store_path.heal();
+    fleet.processes[0].store_path.clear_fault();
     for at in 0..20 {
         if at == 15 {
             for (id, server) in ["server-0", "server-1"].iter().zip(&fleet.servers) {
@@ -156,7 +156,7 @@
         ..Faults::default()
     };
     fleet.set_store_faults(outage).await;
-    let refused = common::submit(front, "job-in-an-outage", 1).await;
+    let refused = common::submit_job(front, "job-in-an-outage", 1).await;
     assert_ne!(refused.expect("a response").status, StatusCode::ACCEPTED);
     fleet.set_store_faults(Faults::default()).await;
     for id in ["server-0", "server-1"] {
@@ -245,7 +245,7 @@
         };
         match response.status {
             StatusCode::OK => {
-                assert!(response.whole, "{id} was cut off");
+                assert!(response.is_complete, "{id} was cut off");
                 served += 1;
             }
             StatusCode::SERVICE_UNAVAILABLE => assert!(fleet.runs_of_request(&id).is_empty()),
@@ -270,14 +270,14 @@
     // The front closes idle connections only after half of its time to stop (2.75 s).
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let mut streaming = common::connect(front).await.expect("connected");
-    let request = common::request(Method::POST, "/stream-once/a", "last", &[], "");
+    let request = common::build_request(Method::POST, "/stream-once/a", "last", &[], "");
     let stream = streaming.send(request).await.expect("a response");
     let mut refused = 0;
     while refused < 20 {
         let mut connection = common::connect(front).await.expect("connected");
         tokio::time::sleep(Duration::from_millis(20)).await;
         let id = format!("late-{refused}");
-        let request = common::request(Method::POST, "/once/a", &id, &[], "");
+        let request = common::build_request(Method::POST, "/once/a", &id, &[], "");
         let sent = tokio::time::timeout(Duration::from_millis(50), connection.send(request));
         // Before the front refuses requests, it sends them to the slow server.
         let Ok(response) = sent.await else { continue };
@@ -306,14 +306,14 @@
             ..Faults::default()
         })
         .await;
-    fleet.processes[0].store_path.cut();
+    fleet.processes[0].store_path.reset_connections();
     fleet.set_store_faults(Faults::default()).await;
     fleet
         .register_server("server-0", fleet.servers[0].addr, "draining")
         .await;
     let is_dropped = post_drop_history(&format!("{store_url}/drop-history")).await;
     assert!(is_dropped, "history dropped");
-    fleet.processes[0].store_path.heal();
+    fleet.processes[0].store_path.clear_fault();
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     for at in 0..10 {
         let id = format!("after-{at}");
--- a/crates/foxwheel-node/tests/metrics_contract.rs
+++ b/crates/foxwheel-node/tests/metrics_contract.rs
@@ -117,10 +117,10 @@
     let complete = send("/stream-once/a", "complete")
         .await
         .expect("a response");
-    assert!(complete.whole);
+    assert!(complete.is_complete);
     script.extend([Fault::BreakAfter(1)]);
     let cut_off = send("/stream-once/a", "cut-off").await.expect("a response");
-    assert!(!cut_off.whole);
+    assert!(!cut_off.is_complete);
     // With a target latency of zero, every response is late.
     fleet
         .configure(2, |config| {
--- a/crates/foxwheel-node/tests/moving_route.rs
+++ b/crates/foxwheel-node/tests/moving_route.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use common::{call, Answer, Fleet, FleetPlan};
+use common::{call, Fleet, FleetPlan, ReceivedResponse};
 use foxwheel_server_emu::server::{self, Server, Shape};
 use hyper::{Method, StatusCode};
 use rand::rngs::StdRng;
@@ -71,7 +71,11 @@
     panic!("version {version} never came into force");
 }
 
-async fn send_request(front: std::net::SocketAddr, path: &str, id: String) -> (String, Answer) {
+async fn send_request(
+    front: std::net::SocketAddr,
+    path: &str,
+    id: String,
+) -> (String, ReceivedResponse) {
     let path = format!("{path}{id}");
     let response = call(front, Method::POST, &path, &id, &[], "timber").await;
     (id, response.expect("a response"))
--- a/crates/foxwheel-node/tests/online_contract.rs
+++ b/crates/foxwheel-node/tests/online_contract.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use common::{call, Answer, Fleet, FleetPlan};
+use common::{call, Fleet, FleetPlan, ReceivedResponse};
 use foxwheel_platform::online::{DEADLINE_MS, LAST_EVENT_ID, NOT_EXECUTED, SIGNATURE};
 use foxwheel_server_emu::faults::Fault;
 use foxwheel_server_emu::server::{event_text, plain_body, Shape};
@@ -36,7 +36,7 @@
     runs: usize,
 }
 
-fn check_response(case: &Case, response: &Answer, runs: usize) {
+fn check_response(case: &Case, response: &ReceivedResponse, runs: usize) {
     let name = case.name;
     assert_eq!(response.status, case.status, "{name}");
     assert_eq!(runs, case.runs, "{name}: runs");
@@ -210,7 +210,7 @@
     let front = fleet.fronts[0];
     let response = call(front, Method::POST, "/stream/a", "late", &headers, "").await;
     let response = response.expect("a response");
-    assert!(response.whole, "cut off");
+    assert!(response.is_complete, "cut off");
     assert_eq!(response.text(), complete_stream("late"));
     assert_eq!(fleet.runs_of_request("late").len(), 1, "one run is enough");
     fleet.cancel.cancel();
@@ -262,7 +262,7 @@
         let response = call(fleet.fronts[0], Method::POST, "/stream/a", &id, &[], "").await;
         let response = response.unwrap_or_else(|e| panic!("{name}: {e}"));
         assert_eq!(response.status, StatusCode::OK, "{name}");
-        assert!(response.whole, "{name}");
+        assert!(response.is_complete, "{name}");
         assert_eq!(response.text(), complete_stream(&id), "{name}");
         assert_eq!(fleet.runs_of_request(&id).len(), *runs, "{name}");
     }
@@ -315,7 +315,7 @@
         )
         .await;
         let looks_complete =
-            response.is_ok_and(|response| response.status.is_success() && response.whole);
+            response.is_ok_and(|response| response.status.is_success() && response.is_complete);
         assert!(!looks_complete, "{fault:?}");
         assert_eq!(fleet.runs_of_request(&id).len(), 1, "{fault:?}");
     }
@@ -347,7 +347,7 @@
         .await;
     tokio::time::sleep(Duration::from_millis(200)).await;
     let mut connection = common::connect(fleet.fronts[0]).await.expect("connected");
-    let request = common::request(Method::POST, "/stream/a", "disconnected", &[], "");
+    let request = common::build_request(Method::POST, "/stream/a", "disconnected", &[], "");
     let response = connection.send(request);
     let waited = tokio::time::timeout(Duration::from_millis(300), response).await;
     assert!(waited.is_err(), "the server responded too early");
--- a/crates/foxwheel-node/tests/soak.rs
+++ b/crates/foxwheel-node/tests/soak.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use foxwheel_soak::args;
-use foxwheel_soak::plan::{Plan, Size};
+use foxwheel_soak::plan::{FleetSize, Plan};
 use foxwheel_soak::run::{self, Folders};
 
 async fn run_soak(seed: u64) {
-    let size = Size {
+    let size = FleetSize {
         callers: 4,
-        faults_for: Duration::from_secs(8),
-        ..args::small_size()
+        injection_duration: Duration::from_secs(8),
+        ..args::default_size()
     };
     let program = Path::new(env!("CARGO_BIN_EXE_foxwheel-front"));
     let folders = Folders {
--- a/crates/foxwheel-node/tests/store_access.rs
+++ b/crates/foxwheel-node/tests/store_access.rs
@@ -7,7 +7,7 @@
 use foxwheel_node::store_access::StoreAccess;
 use foxwheel_platform::store::Write;
 use foxwheel_platform_emu::settings::PlatformSettings;
-use foxwheel_soak::proxy::{Path, PathFault};
+use foxwheel_soak::proxy::{FaultProxy, PathFault};
 use foxwheel_store::api::{Faults, Refusal};
 use foxwheel_store::client::StoreClient;
 use tokio_util::sync::CancellationToken;
@@ -73,18 +73,18 @@
         foxwheel_platform_emu::server::start(&settings, cancel.clone()).expect("store starts");
     actix_web::rt::spawn(server);
     let any_port = "127.0.0.1:0".parse().expect("an address");
-    let path = Path::open(any_port, addr, cancel.clone())
+    let path = FaultProxy::open(any_port, addr, cancel.clone())
         .await
         .expect("a path");
     let store = StoreAccess::new(path.addr, Metrics::default());
-    path.set(PathFault::Silence);
+    path.set_fault(PathFault::Silence);
     let write = Write::Create {
         kind: "results".to_owned(),
         name: "late".to_owned(),
         spec: "1".to_owned(),
     };
     store.write(&write).await.expect_err("no answer");
-    path.heal();
+    path.clear_fault();
     // By then, the data that the path held back has arrived.
     tokio::time::sleep(Duration::from_millis(700)).await;
     let found = store.get("results", "late").await.expect("a response");
--- a/crates/foxwheel-node/tests/untrusted_frames.rs
+++ b/crates/foxwheel-node/tests/untrusted_frames.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use common::{submit, wait_for_results, Fleet, FleetPlan};
+use common::{submit_job, wait_for_results, Fleet, FleetPlan};
 use foxwheel_node::peer_calls::{PeerCalls, StoreStateVersion};
 use hyper::StatusCode;
 use rand::rngs::StdRng;
@@ -69,7 +69,7 @@
         assert!(!process.has_ended());
     }
     // The front informs the worker of the job by a call.
-    let accepted = submit(fleet.fronts[0], "after", 2)
+    let accepted = submit_job(fleet.fronts[0], "after", 2)
         .await
         .expect("a response");
     assert_eq!(accepted.status, StatusCode::ACCEPTED);
--- a/crates/foxwheel-node/tests/untrusted_input.rs
+++ b/crates/foxwheel-node/tests/untrusted_input.rs
@@ -6,7 +6,7 @@
 use foxwheel_node::peer_messages::PeerMessage;
 use foxwheel_node::settings::NodeSettings;
 use foxwheel_platform::{batch_api, config};
-use foxwheel_soak::{caller, declarations};
+use foxwheel_soak::{front_client, store_entries};
 use serde_json::{json, Value};
 
 const SETTINGS: &str = r#"{
@@ -71,7 +71,7 @@
 /// overflow.
 #[test]
 fn configurations_are_parsed_or_refused() {
-    let valid = declarations::config(7);
+    let valid = store_entries::config(7);
     arbtest::arbtest(|source| {
         let Ok((config, _)) = config::decode(&corrupted(source, &valid)?) else {
             return Ok(());
@@ -82,14 +82,14 @@
         }
         let path: String = source.arbitrary()?;
         // Any result is accepted: only a panic fails the test.
-        let _ = config.match_route(declarations::HOST, &path);
+        let _ = config.match_route(store_entries::HOST, &path);
         Ok(())
     });
 }
 
 #[test]
 fn submissions_are_parsed_or_refused() {
-    let text = caller::job_body("job", 3);
+    let text = front_client::job_body("job", 3);
     let valid: Value = serde_json::from_str(&text).expect("JSON");
     arbtest::arbtest(|source| {
         let text = corrupted(source, &valid)?.to_string();
--- a/crates/foxwheel-node/tests/zones.rs
+++ b/crates/foxwheel-node/tests/zones.rs
@@ -81,8 +81,8 @@
 #[actix_web::test]
 async fn other_processes_watch_the_store_after_the_store_watchers_lose_it() {
     let fleet = start_one_zone().await;
-    fleet.processes[5].store_path.cut();
-    fleet.processes[0].store_path.cut();
+    fleet.processes[5].store_path.reset_connections();
+    fleet.processes[0].store_path.reset_connections();
     fleet.configure(2, move_plain_route).await;
     for front in &fleet.fronts {
         wait_for_status(*front, "/moved/a", StatusCode::OK).await;
@@ -114,7 +114,7 @@
 async fn a_job_is_run_by_the_worker_of_another_zone() {
     let fleet = start_two_zones().await;
     let front = fleet.fronts[0];
-    let accepted = common::submit(front, "job-from-afar", 3).await;
+    let accepted = common::submit_job(front, "job-from-afar", 3).await;
     assert_eq!(accepted.expect("a response").status, StatusCode::ACCEPTED);
     let results = common::wait_for_results(front, "job-from-afar", 3).await;
     assert_eq!(
@@ -132,10 +132,10 @@
     let fleet = start_one_zone().await;
     end_early_watches(&fleet).await;
     let rejected = &fleet.processes[2];
-    rejected.store_path.cut();
-    let accepted = common::submit(fleet.fronts[2], "job-by-way-of-a-peer", 1).await;
+    rejected.store_path.reset_connections();
+    let accepted = common::submit_job(fleet.fronts[2], "job-by-way-of-a-peer", 1).await;
     assert_eq!(accepted.expect("a response").status, StatusCode::ACCEPTED);
-    rejected.store_path.heal();
+    rejected.store_path.clear_fault();
     let probing = async {
         while fleet
             .read_counter(rejected, "foxwheel.store.probe.ok")
--- a/crates/foxwheel-soak/src/args.rs
+++ b/crates/foxwheel-soak/src/args.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use crate::plan::Size;
+use crate::plan::FleetSize;
 
 /// The usage text.
 pub const USAGE: &str = "usage: foxwheel-soak --out FOLDER [OPTION ...]
@@ -44,7 +44,7 @@
     /// How many seeds.
     pub seeds: u64,
     /// The fleet.
-    pub size: Size,
+    pub size: FleetSize,
     /// A plan's file.
     pub plan: Option<PathBuf>,
     /// Whether to look for a smaller plan.
@@ -52,14 +52,14 @@
 }
 
 /// The fleet of short runs.
-pub fn small_size() -> Size {
-    Size {
+pub fn default_size() -> FleetSize {
+    FleetSize {
         zones: 2,
         fronts: 3,
         workers: 2,
         servers: 4,
         callers: 6,
-        faults_for: Duration::from_secs(10),
+        injection_duration: Duration::from_secs(10),
     }
 }
 
@@ -74,7 +74,7 @@
         out: PathBuf::new(),
         seed: 1,
         seeds: 1,
-        size: small_size(),
+        size: default_size(),
         plan: None,
         shrink: false,
     };
@@ -84,7 +84,7 @@
             Long("seed") => options.seed = parser.value()?.parse()?,
             Long("seeds") => options.seeds = parser.value()?.parse()?,
             Long("seconds") => {
-                options.size.faults_for = Duration::from_secs(parser.value()?.parse()?);
+                options.size.injection_duration = Duration::from_secs(parser.value()?.parse()?);
             }
             Long("fronts") => options.size.fronts = parser.value()?.parse()?,
             Long("workers") => options.size.workers = parser.value()?.parse()?,
--- a/crates/foxwheel-soak/src/jobs.rs
+++ b/crates/foxwheel-soak/src/batch_client.rs
@@ -10,8 +10,8 @@
 use serde_json::Value;
 use tokio_util::sync::CancellationToken;
 
-use crate::caller;
 use crate::evidence::{Job, Record};
+use crate::front_client;
 
 /// Items of a job.
 const ITEMS: std::ops::Range<usize> = 3..20;
@@ -81,12 +81,12 @@
         stop: &CancellationToken,
     ) -> Option<Instant> {
         while !stop.is_cancelled() {
-            let submitted = caller::submit(self.front(rng), id, count);
+            let submitted = front_client::submit_job(self.front(rng), id, count);
             if status_of(submitted).await == Some(StatusCode::ACCEPTED) {
                 let accepted_at = Instant::now();
                 if rng.random_bool(0.3) {
                     // Whatever becomes of the repeat, the job stands.
-                    let _ = status_of(caller::submit(self.front(rng), id, count)).await;
+                    let _ = status_of(front_client::submit_job(self.front(rng), id, count)).await;
                 }
                 return Some(accepted_at);
             }
@@ -103,7 +103,7 @@
         give_up: &CancellationToken,
     ) -> Option<Instant> {
         while !give_up.is_cancelled() {
-            let ended = status_of(caller::end(self.front(rng), job)).await;
+            let ended = status_of(front_client::end_job(self.front(rng), job)).await;
             if ended == Some(StatusCode::OK) {
                 return Some(Instant::now());
             }
@@ -120,7 +120,7 @@
     ) -> Vec<Value> {
         let mut results = Vec::new();
         while results.len() < job.count && !give_up.is_cancelled() {
-            let read = caller::read_results(self.front(rng), &job.id, results.len());
+            let read = front_client::read_results(self.front(rng), &job.id, results.len());
             if let Ok(Some(page)) = tokio::time::timeout(PATIENCE, read).await {
                 results.extend(page["results"].as_array().cloned().unwrap_or_default());
             }
@@ -135,7 +135,7 @@
 }
 
 async fn status_of<E>(
-    answer: impl std::future::Future<Output = Result<caller::Answer, E>>,
+    answer: impl std::future::Future<Output = Result<front_client::ReceivedResponse, E>>,
 ) -> Option<StatusCode> {
     let answer = tokio::time::timeout(PATIENCE, answer).await.ok()?.ok()?;
     Some(answer.status)
--- a/crates/foxwheel-soak/src/checks.rs
+++ b/crates/foxwheel-soak/src/checks.rs
@@ -6,8 +6,8 @@
 use foxwheel_server_emu::server::{event_data, event_text};
 use serde_json::Value;
 
-use crate::caller;
 use crate::evidence::{Call, CallEnd, Evidence, Job, Kind, ServerRun};
+use crate::front_client;
 use crate::process::Ended;
 
 /// After the last fault everything is served again within this.
@@ -250,7 +250,7 @@
     let mut ids: Vec<String> = job.results.iter().map(id_of).collect();
     ids.sort();
     let mut expected: Vec<String> = (0..job.count)
-        .map(|at| caller::item_id(&job.id, at))
+        .map(|at| front_client::item_id(&job.id, at))
         .collect();
     expected.sort();
     if ids != expected {
@@ -274,7 +274,7 @@
     }
     let Some(ended_at) = job.ended_at else { return };
     let by = evidence.settled_by(ended_at, JOB_ENDED_WITHIN);
-    let prefix = caller::item_id(&job.id, 0);
+    let prefix = front_client::item_id(&job.id, 0);
     let prefix = prefix.trim_end_matches('0');
     let of_job = |seen: &&ServerRun| seen.run.request_id.starts_with(prefix);
     let late = evidence.runs.iter().filter(of_job);
@@ -301,9 +301,10 @@
         .jobs
         .iter()
         .filter(|other| other.accepted_at < job.submitted_at && !was_ended(other));
-    let items = before.flat_map(|other| (0..other.count).map(|at| caller::item_id(&other.id, at)));
+    let items =
+        before.flat_map(|other| (0..other.count).map(|at| front_client::item_id(&other.id, at)));
     let waiting = items.filter(|item| waited_throughout(item)).count() + job.count;
-    let waiting_tokens = waiting as u64 * caller::ITEM_TOKENS;
+    let waiting_tokens = waiting as u64 * front_client::ITEM_TOKENS;
     if evidence.quota_tokens > 0 && waiting_tokens > evidence.quota_tokens {
         let seen = format!("{waiting_tokens} tokens waited when it was accepted");
         found.breach(Promise::Quota, &job.id, seen);
--- a/crates/foxwheel-soak/src/faults.rs
+++ b/crates/foxwheel-soak/src/faults.rs
@@ -12,13 +12,13 @@
 use serde_json::json;
 use tokio_util::sync::CancellationToken;
 
-use crate::caller;
-use crate::callers::Caller;
 use crate::evidence::{ConfigWrite, Cuts, Disturbance, Record, Stop};
 use crate::fleet::{self, task_error, Fleet, Operator, SoakError, FIRST_VERSION, STOP_GRACE};
+use crate::front_client;
+use crate::online_caller::Caller;
 use crate::plan::{Act, Fault, Route, ServerFault, Step, StoreFault, Target};
 use crate::process::Ended;
-use crate::proxy::{Path, PathFault};
+use crate::proxy::{FaultProxy, PathFault};
 
 /// Requests that one fault of a server meets.
 const FAULTY_RUNS: usize = 3;
@@ -119,7 +119,10 @@
                 }
             }
         };
-        let set = |fault| path.as_ref().inspect(|path: &&Path| path.set(fault));
+        let set = |fault| {
+            path.as_ref()
+                .inspect(|path: &&FaultProxy| path.set_fault(fault))
+        };
         set(fault);
         tokio::time::sleep(lasts).await;
         set(PathFault::None);
@@ -270,7 +273,7 @@
         };
         let mut watches = Vec::new();
         for (at, addr) in metrics.into_iter().enumerate() {
-            let page = caller::call(addr, Method::GET, "/metrics", "metrics", &[], "");
+            let page = front_client::call(addr, Method::GET, "/metrics", "metrics", &[], "");
             let page = tokio::time::timeout(Duration::from_millis(300), page).await;
             if let Ok(Ok(page)) = page {
                 watches.push((count(&page.text(), "foxwheel.store.watch.ok"), at));
--- a/crates/foxwheel-soak/src/fleet.rs
+++ b/crates/foxwheel-soak/src/fleet.rs
@@ -13,13 +13,13 @@
 use serde_json::json;
 use tokio_util::sync::CancellationToken;
 
-use crate::caller;
-use crate::declarations;
 use crate::evidence::{ServerArrival, ServerRun};
+use crate::front_client;
 use crate::network::{self, Network};
-use crate::plan::{Plan, Size};
+use crate::plan::{FleetSize, Plan};
 use crate::process::{Process, ProcessError, Role, Spec};
-use crate::proxy::Path;
+use crate::proxy::FaultProxy;
+use crate::store_entries;
 
 /// Body of the requests that crash servers.
 pub const CRASHING_BODY: &str = "crash";
@@ -103,11 +103,11 @@
     /// The process.
     pub process: Process,
     /// From it to the store.
-    pub store: Path,
+    pub store: FaultProxy,
     /// From other processes to it.
-    pub peers: Path,
+    pub peers: FaultProxy,
     /// From callers to it; a front's only.
-    pub callers: Option<Path>,
+    pub callers: Option<FaultProxy>,
     /// Where it listens once it has started.
     pub listens: SocketAddr,
     /// Whether it is being stopped, killed or paused: such acts come one after the other.
@@ -122,7 +122,7 @@
     /// The stand-in.
     pub server: Server,
     /// From the processes to it.
-    pub path: Path,
+    pub path: FaultProxy,
     /// Whether its end was seen, so that another is on its way.
     pub end_seen: bool,
 }
@@ -140,8 +140,8 @@
     /// Writes version `version` of the configuration: the usual routes and one that no other
     /// version has.
     pub async fn configure(&self, version: u64) -> Result<(), SoakError> {
-        let mut config = declarations::config(version);
-        let own = declarations::route(&version_name(version), "idempotent", json!({}));
+        let mut config = store_entries::config(version);
+        let own = store_entries::route(&version_name(version), "idempotent", json!({}));
         if let Some(routes) = config["routes"].as_array_mut() {
             for route in routes.iter_mut().filter(|route| route["kind"] == "batch") {
                 route["cap"] = QUOTA_TOKENS.into();
@@ -164,7 +164,7 @@
         let ip = IpAddr::V4(Ipv4Addr::LOCALHOST);
         let server = server::start(ip, shape, self.cancel.clone()).await;
         let server = server.map_err(io_error("start a server"))?;
-        let path = Path::open(SocketAddr::new(ip, 0), server.addr, server.ended()).await;
+        let path = FaultProxy::open(SocketAddr::new(ip, 0), server.addr, server.ended()).await;
         let path = path.map_err(io_error("open the path to a server"))?;
         let place = Place {
             id,
@@ -178,7 +178,7 @@
 
     /// Writes a server's entry.
     pub async fn list(&self, id: &str, addr: SocketAddr, state: &str) -> Result<(), SoakError> {
-        let entry = declarations::server_entry(addr, state);
+        let entry = store_entries::server_entry(addr, state);
         self.write("list a server", &server_key(id), &entry).await
     }
 
@@ -269,7 +269,7 @@
             nodes: Vec::new(),
             places: Vec::new(),
             former: Vec::new(),
-            network: Network::take().ok_or(SoakError::NoNetwork)?,
+            network: Network::claim().ok_or(SoakError::NoNetwork)?,
             servers_started: 0,
         };
         fleet.operator.configure(FIRST_VERSION).await?;
@@ -352,7 +352,7 @@
     async fn start_node(
         &self,
         at: usize,
-        size: &Size,
+        size: &FleetSize,
         store_addr: SocketAddr,
         programs: &FilePath,
         folder: &FilePath,
@@ -364,7 +364,7 @@
         let reached = self.network.host(at as u8 + 1);
         let bound = self.network.host(at as u8 + FIRST_BOUND_HOST);
         let cancel = &self.operator.cancel;
-        let open = |from, to| Path::open(from, to, cancel.clone());
+        let open = |from, to| FaultProxy::open(from, to, cancel.clone());
         let any = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
         let store = open(any, store_addr).await;
         let store = store.map_err(io_error("open the path to the store"))?;
@@ -385,7 +385,7 @@
         let host = format!("host-{at}");
         let settings = json!({
             "host": host, "role": role.name(),
-            "availability_zone": declarations::zone(at as u32 % size.zones),
+            "availability_zone": store_entries::zone_name(at as u32 % size.zones),
             "ip": reached, "bind_ip": bound,
             "peer_ports": [network::PEER_PORT, network::PEER_PORT],
             "seeds": [peer(self.network.host(1)), peer(self.network.host(2))],
@@ -430,7 +430,7 @@
     let served = async {
         for attempt in 0.. {
             let id = format!("probe-{front}-{attempt}");
-            let reply = caller::call(front, Method::GET, "/plain/probe", &id, &[], "").await;
+            let reply = front_client::call(front, Method::GET, "/plain/probe", &id, &[], "").await;
             if reply.is_ok_and(|reply| reply.status == StatusCode::OK) {
                 return;
             }
--- a/crates/foxwheel-soak/src/caller.rs
+++ b/crates/foxwheel-soak/src/front_client.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use serde_json::{json, Value};
 
-use crate::declarations::HOST;
+use crate::store_entries::HOST;
 
 const OPTIONS: ConnectOptions = ConnectOptions {
     connect_timeout: Duration::from_secs(1),
@@ -22,7 +22,7 @@
 
 /// An answer as its caller saw it.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct ReceivedResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -30,10 +30,10 @@
     /// Its body.
     pub body: Bytes,
     /// Whether the body ended whole.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
-impl Answer {
+impl ReceivedResponse {
     /// The body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
@@ -60,7 +60,7 @@
 }
 
 /// A caller's request.
-pub fn request(
+pub fn build_request(
     method: Method,
     path: &str,
     id: &str,
@@ -87,34 +87,34 @@
     id: &str,
     headers: &[(&str, &str)],
     body: &str,
-) -> Result<Answer, ExchangeError> {
+) -> Result<ReceivedResponse, ExchangeError> {
     let mut connection = connect(front).await?;
     let answer = connection
-        .send(request(method, path, id, headers, body))
+        .send(build_request(method, path, id, headers, body))
         .await?;
-    Ok(read(answer).await)
+    Ok(read_response(answer).await)
 }
 
 /// Reads an answer to its end, or to where it broke.
-pub async fn read(answer: Response<Incoming>) -> Answer {
+pub async fn read_response(answer: Response<Incoming>) -> ReceivedResponse {
     let (head, mut body) = answer.into_parts();
     let mut bytes = bytes::BytesMut::new();
-    let mut whole = true;
+    let mut is_complete = true;
     while let Some(frame) = body.frame().await {
         match frame.map(hyper::body::Frame::into_data) {
             Ok(Ok(data)) => bytes.extend_from_slice(&data),
             Ok(Err(_)) => {}
             Err(_) => {
-                whole = false;
+                is_complete = false;
                 break;
             }
         }
     }
-    Answer {
+    ReceivedResponse {
         status: head.status,
         headers: head.headers,
         body: bytes.freeze(),
-        whole,
+        is_complete,
     }
 }
 
@@ -140,14 +140,18 @@
 }
 
 /// Submits a job.
-pub async fn submit(front: SocketAddr, job: &str, count: usize) -> Result<Answer, ExchangeError> {
+pub async fn submit_job(
+    front: SocketAddr,
+    job: &str,
+    count: usize,
+) -> Result<ReceivedResponse, ExchangeError> {
     let body = job_body(job, count);
     let headers = [("content-type", "application/json")];
     call(front, Method::POST, "/batch/submit", job, &headers, &body).await
 }
 
 /// Ends a job.
-pub async fn end(front: SocketAddr, job: &str) -> Result<Answer, ExchangeError> {
+pub async fn end_job(front: SocketAddr, job: &str) -> Result<ReceivedResponse, ExchangeError> {
     let path = format!("/api/lots/{job}");
     call(front, Method::DELETE, &path, "end", &[], "").await
 }
--- a/crates/foxwheel-soak/src/lib.rs
+++ b/crates/foxwheel-soak/src/lib.rs
@@ -2,27 +2,27 @@
 //! faults brought in from outside them, and checks of every promise from what callers and
 //! backend servers saw.
 //!
-//! A seed gives the [`plan`]; [`run`] carries it out against a [`fleet`] while [`callers`]
-//! and [`jobs`] use it; what they saw is [`evidence`], which [`checks`] reads at the end.
+//! A seed gives the [`plan`]; [`run`] carries it out against a [`fleet`] while [`online_caller`]
+//! and [`batch_client`] use it; what they saw is [`evidence`], which [`checks`] reads at the end.
 
 pub mod args;
-pub mod caller;
-pub mod callers;
+pub mod batch_client;
 pub mod checks;
-pub mod declarations;
 pub mod evidence;
 pub mod faults;
 pub mod fleet;
-pub mod jobs;
+pub mod front_client;
 pub mod network;
+pub mod online_caller;
 pub mod plan;
 pub mod process;
 pub mod proxy;
 pub mod report;
 pub mod run;
 pub mod shrink;
+pub mod store_entries;
 
 /// The crate's modules, for `use foxwheel_soak::prelude::*`.
 pub mod prelude {
-    pub use crate::{caller, checks, evidence, fleet, plan, process, proxy, run};
+    pub use crate::{checks, evidence, fleet, front_client, plan, process, proxy, run};
 }
--- a/crates/foxwheel-soak/src/network.rs
+++ b/crates/foxwheel-soak/src/network.rs
@@ -30,7 +30,7 @@
 
 impl Network {
     /// Takes a network that nobody has; none if all are taken.
-    pub fn take() -> Option<Self> {
+    pub fn claim() -> Option<Self> {
         let first = std::process::id();
         (0..NETWORKS).find_map(|at| {
             let number = 10 + ((first + at) % NETWORKS) as u8;
--- a/crates/foxwheel-soak/src/callers.rs
+++ b/crates/foxwheel-soak/src/online_caller.rs
@@ -10,9 +10,9 @@
 use rand::{RngExt, SeedableRng};
 use tokio_util::sync::CancellationToken;
 
-use crate::caller;
 use crate::evidence::{Call, CallEnd, Kind, Record};
 use crate::fleet::CRASHING_BODY;
+use crate::front_client;
 
 /// How long a caller waits for a whole answer; longer than a route's own limit.
 const PATIENCE: Duration = Duration::from_secs(5);
@@ -86,7 +86,7 @@
         let connected_at = Instant::now();
         let mut kept = kept.filter(|line| line.connection.is_ready());
         if kept.is_none() {
-            let connected = caller::connect(self.fronts[front]).await;
+            let connected = front_client::connect(self.fronts[front]).await;
             kept = connected.ok().map(|connection| Line {
                 front,
                 connection,
@@ -133,7 +133,7 @@
         Kind::StreamOnce => (Method::POST, "/stream-once/a", "stream"),
         Kind::Crashing => (Method::POST, "/plain/crash", CRASHING_BODY),
     };
-    let request = caller::request(method, path, id, &[], body);
+    let request = front_client::build_request(method, path, id, &[], body);
     let reused = line.reused;
     let head = match line.connection.send(request).await {
         Ok(head) => head,
@@ -145,9 +145,9 @@
             }
         }
     };
-    let answer = caller::read(head).await;
+    let answer = front_client::read_response(head).await;
     let body = answer.body.to_vec();
-    match answer.whole {
+    match answer.is_complete {
         true => CallEnd::Whole {
             status: answer.status.as_u16(),
             not_run: answer.says_not_run(),
--- a/crates/foxwheel-soak/src/plan.rs
+++ b/crates/foxwheel-soak/src/plan.rs
@@ -12,7 +12,7 @@
 /// How large a fleet is and how long its faults last.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Size {
+pub struct FleetSize {
     /// Availability zones.
     pub zones: u32,
     /// Fronts.
@@ -26,10 +26,10 @@
     /// Time in which faults come.
     #[serde(rename = "faults_for_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
-    pub faults_for: Duration,
+    pub injection_duration: Duration,
 }
 
-impl Size {
+impl FleetSize {
     /// Processes of the fleet.
     pub fn processes(&self) -> usize {
         self.fronts + self.workers
@@ -182,7 +182,7 @@
     /// The seed, which also draws what callers ask for.
     pub seed: u64,
     /// The fleet.
-    pub size: Size,
+    pub size: FleetSize,
     /// The faults, by the time they begin; they overlap.
     pub steps: Vec<Step>,
 }
@@ -195,14 +195,14 @@
 
 impl Plan {
     /// The plan of `seed` for a fleet of `size`.
-    pub fn draw(seed: u64, size: Size) -> Self {
+    pub fn draw(seed: u64, size: FleetSize) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut steps = Vec::new();
         let mut at = Duration::ZERO;
         loop {
             at += MEAN_GAP.mul_f64(rng.random_range(0.2..1.8));
             let lasts = Duration::from_millis(rng.random_range(LASTS_MS));
-            if at + lasts > size.faults_for {
+            if at + lasts > size.injection_duration {
                 break;
             }
             let fault = draw_fault(&mut rng, &size);
@@ -218,7 +218,7 @@
     choices[rng.random_range(0..choices.len())]
 }
 
-fn draw_fault(rng: &mut StdRng, size: &Size) -> Fault {
+fn draw_fault(rng: &mut StdRng, size: &FleetSize) -> Fault {
     match rng.random_range(0..100) {
         0..30 => Fault::Process {
             target: draw_target(rng, size),
@@ -241,7 +241,7 @@
     }
 }
 
-fn draw_target(rng: &mut StdRng, size: &Size) -> Target {
+fn draw_target(rng: &mut StdRng, size: &FleetSize) -> Target {
     match rng.random_range(0..10) {
         0 => Target::All,
         1..3 => Target::Speaker,
@@ -249,7 +249,7 @@
     }
 }
 
-fn draw_route(rng: &mut StdRng, size: &Size) -> Route {
+fn draw_route(rng: &mut StdRng, size: &FleetSize) -> Route {
     match rng.random_range(0..4) {
         0 => Route::Store(rng.random_range(0..size.processes())),
         1 => Route::Peers(rng.random_range(0..size.processes())),
--- a/crates/foxwheel-soak/src/proxy.rs
+++ b/crates/foxwheel-soak/src/proxy.rs
@@ -41,7 +41,7 @@
 
 /// One path: whatever reaches `addr` is passed on to its target.
 #[derive(Debug, Clone)]
-pub struct Path {
+pub struct FaultProxy {
     /// Where the path begins.
     pub addr: SocketAddr,
     fault: watch::Sender<PathFault>,
@@ -54,7 +54,7 @@
     FromTarget,
 }
 
-impl Path {
+impl FaultProxy {
     /// Opens a TCP path from `addr` (port 0: any) to `target`. Cancelling `cancel` closes it:
     /// connections to it are refused then.
     pub async fn open(
@@ -136,18 +136,18 @@
     }
 
     /// Sets what the path does from now on.
-    pub fn set(&self, fault: PathFault) {
+    pub fn set_fault(&self, fault: PathFault) {
         self.fault.send_replace(fault);
     }
 
     /// Breaks open connections and closes new ones at once.
-    pub fn cut(&self) {
-        self.set(PathFault::Reset);
+    pub fn reset_connections(&self) {
+        self.set_fault(PathFault::Reset);
     }
 
     /// Makes it whole again.
-    pub fn heal(&self) {
-        self.set(PathFault::None);
+    pub fn clear_fault(&self) {
+        self.set_fault(PathFault::None);
     }
 }
 
--- a/crates/foxwheel-soak/src/run.rs
+++ b/crates/foxwheel-soak/src/run.rs
@@ -12,13 +12,13 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use crate::caller;
-use crate::callers::Caller;
+use crate::batch_client::Client;
 use crate::checks::{self, Breach, SERVED_AGAIN_WITHIN};
 use crate::evidence::{ConfigProbe, Cuts, Disturbance, Evidence, Record, Stop};
 use crate::faults::Injector;
 use crate::fleet::{self, io_error, task_error, Fleet, SoakError, STOP_GRACE};
-use crate::jobs::Client;
+use crate::front_client;
+use crate::online_caller::Caller;
 use crate::plan::Plan;
 use crate::process::{Process, Resources};
 use crate::report;
@@ -199,7 +199,7 @@
             processes.map(page_of).collect()
         };
         for (host, addr) in metrics {
-            let page = caller::call(addr, Method::GET, "/metrics", "metrics", &[], "");
+            let page = front_client::call(addr, Method::GET, "/metrics", "metrics", &[], "");
             if let Ok(Ok(page)) = tokio::time::timeout(PROBE_PATIENCE, page).await {
                 let file = folder.join(format!("{host}.metrics"));
                 std::fs::write(file, page.body).map_err(io_error("keep metrics"))?;
@@ -255,7 +255,7 @@
         let Some(version) = newest else { continue };
         let asked_at = Instant::now();
         let path = format!("/{}/probe", fleet::version_name(version));
-        let answer = caller::call(addr, Method::GET, &path, "probe-version", &[], "");
+        let answer = front_client::call(addr, Method::GET, &path, "probe-version", &[], "");
         let Ok(Ok(answer)) = tokio::time::timeout(PROBE_PATIENCE, answer).await else {
             continue;
         };
--- a/crates/foxwheel-soak/src/declarations.rs
+++ b/crates/foxwheel-soak/src/store_entries.rs
@@ -12,7 +12,7 @@
 pub const SERVICE: &str = "model";
 
 /// Name of the zone `number`, counted from 0.
-pub fn zone(number: u32) -> String {
+pub fn zone_name(number: u32) -> String {
     match number {
         0 => "hall".to_owned(),
         number => format!("hall-{number}"),
@@ -22,7 +22,7 @@
 /// The entry of a backend server of [`SERVICE`].
 pub fn server_entry(addr: SocketAddr, state: &str) -> Value {
     json!({
-        "service": SERVICE, "addr": addr, "zone": zone(0), "version": "v1", "slots": 8,
+        "service": SERVICE, "addr": addr, "zone": zone_name(0), "version": "v1", "slots": 8,
         "state": state, "cold_left_ms": 0, "seq": 1,
     })
 }
--- a/crates/foxwheel-soak/tests/checks.rs
+++ b/crates/foxwheel-soak/tests/checks.rs
@@ -4,10 +4,10 @@
 
 use foxwheel_server_emu::runs::{Arrival, Run};
 use foxwheel_server_emu::server::event_data;
-use foxwheel_soak::caller;
 use foxwheel_soak::checks::{self, Promise};
 use foxwheel_soak::evidence::{Call, CallEnd, ConfigProbe, ConfigWrite, Cuts, Disturbance};
 use foxwheel_soak::evidence::{Evidence, Job, Kind, ServerArrival, ServerRun, Stop};
+use foxwheel_soak::front_client;
 use foxwheel_soak::process::{Ended, Resources};
 use serde_json::{json, Value};
 
@@ -236,7 +236,7 @@
 }
 
 fn result(job: &str, at: usize) -> Value {
-    let id = caller::item_id(job, at);
+    let id = front_client::item_id(job, at);
     let output: Vec<String> = (1..=EVENTS).map(|event| event_data(&id, event)).collect();
     json!({"id": id, "state": "completed", "output": output.join("\n")})
 }
--- a/crates/foxwheel-soak/tests/plan.rs
+++ b/crates/foxwheel-soak/tests/plan.rs
@@ -12,12 +12,12 @@
 fn a_seed_gives_one_plan_and_its_faults_end_in_time() {
     arbtest::arbtest(|u| {
         let seed = u.arbitrary()?;
-        let plan = Plan::draw(seed, args::small_size());
-        assert_eq!(plan, Plan::draw(seed, args::small_size()));
+        let plan = Plan::draw(seed, args::default_size());
+        assert_eq!(plan, Plan::draw(seed, args::default_size()));
         let mut last = Duration::ZERO;
         for step in &plan.steps {
             assert!(step.at >= last, "by time");
-            assert!(step.at + step.lasts <= plan.size.faults_for);
+            assert!(step.at + step.lasts <= plan.size.injection_duration);
             last = step.at;
         }
         let text = serde_json::to_string(&plan).expect("it encodes");
@@ -29,7 +29,7 @@
 
 #[test]
 fn every_kind_of_fault_is_drawn() {
-    let steps = (0..200).flat_map(|seed| Plan::draw(seed, args::small_size()).steps);
+    let steps = (0..200).flat_map(|seed| Plan::draw(seed, args::default_size()).steps);
     let names = steps.map(|step| match step.fault {
         Fault::Process { act, .. } => format!("process {act:?}"),
         Fault::Path { fault, .. } => format!("path {fault:?}"),
@@ -70,7 +70,7 @@
 
 #[actix_web::test]
 async fn a_plan_shrinks_to_the_faults_that_are_needed() {
-    let mut plan = Plan::draw(7, args::small_size());
+    let mut plan = Plan::draw(7, args::default_size());
     plan.steps.truncate(6);
     let needed = [plan.steps[1].clone(), plan.steps[4].clone()];
     let runs = RefCell::new(0);
--- a/crates/foxwheel-soak/tests/proxy.rs
+++ b/crates/foxwheel-soak/tests/proxy.rs
@@ -3,7 +3,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use foxwheel_soak::proxy::{Path, PathFault};
+use foxwheel_soak::proxy::{FaultProxy, PathFault};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio_util::sync::CancellationToken;
@@ -19,7 +19,7 @@
 }
 
 /// A path to a server that answers what it is sent.
-async fn path_to_echo(cancel: &CancellationToken) -> Path {
+async fn path_to_echo(cancel: &CancellationToken) -> FaultProxy {
     let listener = TcpListener::bind(any()).await.expect("an address");
     let target = listener.local_addr().expect("an address");
     tokio::spawn(async move {
@@ -31,7 +31,7 @@
             });
         }
     });
-    let path = Path::open(any(), target, cancel.clone()).await;
+    let path = FaultProxy::open(any(), target, cancel.clone()).await;
     path.expect("a path")
 }
 
@@ -64,7 +64,7 @@
         (PathFault::Reset, 0),
     ];
     for (fault, expected) in cases {
-        path.set(fault);
+        path.set_fault(fault);
         let mut stream = TcpStream::connect(path.addr).await.expect("connected");
         let came = tokio::time::timeout(PATIENCE, echoed(&mut stream, &text)).await;
         let came = came.expect("it ends");
@@ -83,13 +83,13 @@
     let path = path_to_echo(&cancel).await;
     let text = [7; 300];
     for fault in [PathFault::Silence, PathFault::OneWay] {
-        path.set(fault);
+        path.set_fault(fault);
         let mut stream = TcpStream::connect(path.addr).await.expect("connected");
         let echo = echoed(&mut stream, &text);
         tokio::pin!(echo);
         let early = tokio::time::timeout(HELD_BACK_FOR, &mut echo).await;
         assert!(early.is_err(), "{fault:?}: {early:?}");
-        path.set(PathFault::None);
+        path.set_fault(PathFault::None);
         let came = tokio::time::timeout(PATIENCE, echo).await;
         assert_eq!(came.expect("it comes"), text.len(), "{fault:?}");
     }
@@ -109,7 +109,7 @@
     let dead = TcpListener::bind(any()).await.expect("an address");
     let target = dead.local_addr().expect("an address");
     drop(dead);
-    let path = Path::open(any(), target, CancellationToken::new()).await;
+    let path = FaultProxy::open(any(), target, CancellationToken::new()).await;
     let path = path.expect("a path");
     let mut stream = TcpStream::connect(path.addr).await.expect("connected");
     let came = tokio::time::timeout(PATIENCE, echoed(&mut stream, &[7; 300])).await;
@@ -121,7 +121,7 @@
     let cancel = CancellationToken::new();
     let target = UdpSocket::bind(any()).await.expect("a socket");
     let target_addr = target.local_addr().expect("an address");
-    let path = Path::open(any(), target_addr, cancel.clone()).await;
+    let path = FaultProxy::open(any(), target_addr, cancel.clone()).await;
     let path = path.expect("a path");
     let relayed = path.relay_datagrams(target_addr, cancel.clone()).await;
     relayed.expect("a relay");
@@ -134,7 +134,7 @@
         (PathFault::Reset, false),
         (PathFault::None, true),
     ] {
-        path.set(fault);
+        path.set_fault(fault);
         sender.send_to(b"beat", path.addr).await.expect("sent");
         let patience = if arrives { PATIENCE } else { HELD_BACK_FOR };
         let heard = tokio::time::timeout(patience, target.recv(&mut buffer)).await;
