--- a/crates/foxwheel-node/src/worker_jobs.rs
+++ b/crates/foxwheel-node/src/worker_jobs.rs
@@ -32,8 +32,8 @@
 /// results have. This is several times the time after which a silent process counts as dead.
 const REPORT_CLOSED_DURATION: Duration = Duration::from_secs(10);
 
-/// How long a worker that is not a job's preferred worker does not try to take over a job that
-/// it did not find in the store. Each try of each worker is a call to the store.
+/// How long a worker that did not find a job in the store leaves further attempts to take it
+/// over to the job's preferred worker. Each attempt of each worker is a call to the store.
 const MISSING_JOB_RETRY_DELAY: Duration = Duration::from_secs(20);
 
 /// How long checkpoints that were read are reused. The jobs of a dead worker are taken over
