--- a/crates/foxwheel-node/src/attempt.rs
+++ b/crates/foxwheel-node/src/attempt.rs
@@ -44,10 +44,10 @@
     /// How long the request is expected to wait for a slot at the server. Silence during this
     /// time does not make the server suspected.
     pub expected_wait: Duration,
-    /// When the attempt is abandoned.
+    /// When to stop waiting for the response head and fail the attempt.
     pub deadline: Instant,
-    /// When to abandon the attempt if no response head has arrived, so that another server can
-    /// be tried; `None` waits until `deadline`.
+    /// An earlier deadline for the response head, after which another server is tried; `None` if
+    /// only `deadline` applies.
     pub head_deadline: Option<Instant>,
 }
 
--- a/crates/foxwheel-node/src/front.rs
+++ b/crates/foxwheel-node/src/front.rs
@@ -37,11 +37,11 @@
 /// Idle timeout of connections that were opened before the first configuration.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// When a caller that was refused because there is no configuration yet should retry.
+/// Delay after which a caller should retry that was refused because there is no configuration yet.
 const NO_CONFIG_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// When a caller that was refused by a stopping front should retry: almost immediately, at another
-/// front.
+/// Delay after which a caller should retry that was refused by a stopping front: almost
+/// immediately, as another front serves it.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// While the front stops, how long a new connection is kept open for its first request.
@@ -61,20 +61,20 @@
     /// Cancelled when idle connections must be closed.
     pub close_idle: CancellationToken,
     /// Cancelled when new requests must be refused.
-    pub refuse: CancellationToken,
+    pub refuse_requests: CancellationToken,
     /// Cancelled when the listener must stop accepting connections.
     pub stop_accepting: CancellationToken,
 }
 
 /// A running HTTP server for callers.
 #[derive(Debug)]
-pub struct Serving {
+pub struct CallerServer {
     connections: TaskTracker,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
     stop: StopSignals,
 }
 
-impl Serving {
+impl CallerServer {
     /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
         self.connections.len()
@@ -82,11 +82,11 @@
 
     /// Waits until no connection is open, stops accepting, and waits for the connections that were
     /// accepted last.
-    pub async fn end(&mut self) {
+    pub async fn wait_until_stopped(&mut self) {
         self.connections.close();
         self.connections.wait().await;
         self.stop.stop_accepting.cancel();
-        if let Err(e) = (&mut self.accepting).await {
+        if let Err(e) = (&mut self.accept_task).await {
             log::warn!(error:% = e; "accept task failed; pending connections are not accepted");
         }
         self.connections.wait().await;
@@ -94,7 +94,7 @@
 }
 
 /// Starts serving callers on `listener` until `stop.stop_accepting` is cancelled.
-pub fn serve(node: Arc<Node>, listener: TcpListener, stop: StopSignals) -> Serving {
+pub fn serve(node: Arc<Node>, listener: TcpListener, stop: StopSignals) -> CallerServer {
     let connections = TaskTracker::new();
     let front = Arc::new(Front {
         batch: BatchFront::new(Arc::clone(&node)),
@@ -102,7 +102,7 @@
         stop: stop.clone(),
     });
     let (tracker, stop_accepting) = (connections.clone(), stop.stop_accepting.clone());
-    let accepting = tokio::spawn(async move {
+    let accept_task = tokio::spawn(async move {
         let serve_stream = |stream| {
             tracker.spawn(serve_connection(Arc::clone(&front), stream));
         };
@@ -125,9 +125,9 @@
             serve_stream(stream);
         }
     });
-    Serving {
+    CallerServer {
         connections,
-        accepting,
+        accept_task,
         stop,
     }
 }
@@ -162,15 +162,15 @@
         .header_read_timeout(idle_timeout)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let ended = tokio::select! {
+    let result = tokio::select! {
         biased;
-        ended = connection.as_mut() => ended,
+        result = connection.as_mut() => result,
         _ = may_close_idle => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(e) = ended {
+    if let Err(e) = result {
         log::debug!(error:% = e; "caller connection failed");
     }
 }
@@ -188,7 +188,7 @@
     }
 
     /// Responds that a request was not run, before its route is determined.
-    fn refuse(
+    fn refuse_request(
         &self,
         caller: &wire::CallerRequest,
         reason: RefusalReason,
@@ -206,21 +206,21 @@
     ) -> CallerResponse {
         let (head, body) = request.into_parts();
         let caller = wire::decode_request(&head);
-        if self.stop.refuse.is_cancelled() {
-            return self.refuse(&caller, RefusalReason::Stopping, STOPPING_RETRY_AFTER);
+        if self.stop.refuse_requests.is_cancelled() {
+            return self.refuse_request(&caller, RefusalReason::Stopping, STOPPING_RETRY_AFTER);
         }
         let Some(config) = self.node.config() else {
-            return self.refuse(
+            return self.refuse_request(
                 &caller,
                 RefusalReason::NoConfiguration,
                 NO_CONFIG_RETRY_AFTER,
             );
         };
-        if head_bytes(&head) > config.limits.header_bytes {
-            log::warn!(request_id = caller.id, bytes = head_bytes(&head); "request refused: headers too large");
+        if head_size_bytes(&head) > config.limits.header_bytes {
+            log::warn!(request_id = caller.id, bytes = head_size_bytes(&head); "request refused: headers too large");
             return responses::empty(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
         }
-        if let Some(call) = job_call(&config, &head, &caller) {
+        if let Some(call) = decode_job_call(&config, &head, &caller) {
             return self.batch.serve_call(call).await;
         }
         let Some(route) = config.match_route(&caller.host, &caller.path).cloned() else {
@@ -248,7 +248,7 @@
 
 /// Decodes a call on a batch job. Returns `None` if the request is no such call, if a route matches
 /// it, or if the configuration has no route for its host.
-fn job_call(
+fn decode_job_call(
     config: &Config,
     head: &request::Parts,
     caller: &wire::CallerRequest,
@@ -258,7 +258,7 @@
     (!is_routed && config.has_host(&caller.host)).then_some(call)
 }
 
-fn head_bytes(head: &request::Parts) -> usize {
+fn head_size_bytes(head: &request::Parts) -> usize {
     /// Bytes of the separators of a header line: colon, space and line break.
     const SEPARATOR_BYTES: usize = 4;
     let headers = head.headers.iter();
@@ -291,7 +291,7 @@
 pub async fn serve_readiness(node: Arc<Node>, addr: SocketAddr) -> std::io::Result<()> {
     let was_ready = std::sync::atomic::AtomicBool::new(false);
     let was_ready = Arc::new(was_ready);
-    serve_simple(addr, move |path| {
+    serve_paths(addr, move |path| {
         if path != foxwheel_platform::READINESS_PATH {
             return responses::empty(StatusCode::NOT_FOUND);
         }
@@ -312,7 +312,7 @@
 /// Serves the process's counters and histograms at `/metrics` on `addr`. Returns an error if `addr`
 /// cannot be bound.
 pub async fn serve_metrics(node: Arc<Node>, addr: SocketAddr) -> std::io::Result<()> {
-    serve_simple(addr, move |path| match path {
+    serve_paths(addr, move |path| match path {
         "/metrics" => responses::text(StatusCode::OK, &node.metrics.render()),
         _ => responses::empty(StatusCode::NOT_FOUND),
     })
@@ -320,7 +320,7 @@
 }
 
 /// Serves requests whose responses depend only on the path and need no waiting.
-async fn serve_simple(
+async fn serve_paths(
     addr: SocketAddr,
     respond: impl Fn(&str) -> CallerResponse + Clone + Send + Sync + 'static,
 ) -> std::io::Result<()> {
--- a/crates/foxwheel-node/src/online.rs
+++ b/crates/foxwheel-node/src/online.rs
@@ -20,7 +20,7 @@
 /// Serves a request and returns the response to its caller. The body of a stream is relayed after
 /// this returns.
 pub async fn serve(node: Arc<Node>, mut request: OnlineRequest) -> CallerResponse {
-    let opened = request.open(&node).await;
+    let opened = request.open_response(&node).await;
     let result = match opened {
         Ok(response) if request.route.kind == RouteKind::Stream => {
             return stream_response(node, request, response)
@@ -97,14 +97,14 @@
                 drop(response);
                 let next = request.attempts.record(AttemptOutcome::Unknown);
                 log::info!(request_id = request.caller.id, server = server.id, reason, next:? = next; "response cut off");
-                request.tried.push(server);
+                request.tried_servers.push(server);
                 if next != NextStep::TryAnother {
                     return Err(Refusal::Failed {
                         reason,
                         response: None,
                     });
                 }
-                response = request.open(node).await?;
+                response = request.open_response(node).await?;
             }
         }
     }
--- a/crates/foxwheel-node/src/online_request.rs
+++ b/crates/foxwheel-node/src/online_request.rs
@@ -24,13 +24,13 @@
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// How long a request waits at the front for a slot when every server is full: a quarter of a
-/// usual target latency, so that a refused caller can still be served in time by another front.
+/// usual target latency, so that a refused caller can still be served in time elsewhere.
 const SLOT_WAIT_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// When a caller whose time limit has passed should retry, if it is still interested.
+/// Delay after which a caller whose time limit has passed should retry, if it is still waiting.
 const DEADLINE_EXCEEDED_RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// When a caller that was refused because no server is available should retry.
+/// Delay after which a caller should retry that was refused because no server is available.
 const NO_SERVER_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// No attempt is started with less than this left until the deadline, as its response could not
@@ -52,23 +52,24 @@
     pub last_event_id: Option<u64>,
     /// When the caller stops waiting: the time limit that it sent, else that of the route.
     pub caller_deadline: Instant,
-    /// When the response must be complete, or the first event of a stream sent: the earlier one of
-    /// the caller's and the route's time limit.
+    /// When the response must be complete, or for a stream its head must be received: the earlier
+    /// one of the caller's and the route's time limit. Equal to `caller_deadline` once a stream is
+    /// resumed.
     pub response_deadline: Instant,
     /// When the request head was read.
     pub received_at: Instant,
     /// The load of the server that was chosen last, as known when it was chosen.
-    pub choice: Option<Choice>,
+    pub chosen_server: Option<ChosenServer>,
     head: request::Parts,
     body: Bytes,
     content: Arc<RequestContent>,
     /// Server instances that attempts were sent to.
-    pub tried: Vec<ServerInstance>,
+    pub tried_servers: Vec<ServerInstance>,
 }
 
 /// The known load of a server at the time it was chosen.
 #[derive(Debug, Clone, Copy)]
-pub struct Choice {
+pub struct ChosenServer {
     /// Requests in flight at the server, including those last reported by peers.
     pub in_flight: u32,
     /// Number of requests that the server runs at the same time.
@@ -105,8 +106,8 @@
             last_event_id: caller.last_event_id,
             caller_deadline: received_at + time_limit,
             response_deadline: received_at + time_limit.min(route.timeout),
-            tried: Vec::new(),
-            choice: None,
+            tried_servers: Vec::new(),
+            chosen_server: None,
             caller,
             route,
             service,
@@ -124,29 +125,29 @@
 
     /// Opens the rest of a stream, after the last event, at a server other than `failed_server`.
     /// Returns `None`, and logs the reason, if no server opens it.
-    pub async fn open_elsewhere(
+    pub async fn open_at_another_server(
         &mut self,
         node: &Arc<Node>,
         failed_server: &ServerInstance,
     ) -> Option<OpenResponse> {
-        self.tried.push(failed_server.clone());
+        self.tried_servers.push(failed_server.clone());
         // The route's time limit applies until the first event, the caller's to the whole stream.
         self.response_deadline = self.caller_deadline;
-        let opened = self.open(node).await;
+        let opened = self.open_response(node).await;
         opened.inspect_err(|refusal| self.log_refusal(refusal)).ok()
     }
 
     /// Sends attempts until a server responds with a success whose body may be forwarded. Returns
     /// a refusal if the request may not be sent again, or there is no time or server for it.
-    pub async fn open(&mut self, node: &Arc<Node>) -> Result<OpenResponse, Refusal> {
+    pub async fn open_response(&mut self, node: &Arc<Node>) -> Result<OpenResponse, Refusal> {
         loop {
             let now = Instant::now();
             if let Some(time_left) = node.quarantine_time_left(&self.content, now) {
                 // Each further run would crash another server and cut off other callers' requests.
-                return Err(self.refusal(RefusalReason::Quarantined, time_left));
+                return Err(self.build_refusal(RefusalReason::Quarantined, time_left));
             }
             if now + MIN_TIME_LEFT >= self.response_deadline {
-                return Err(self.refusal(
+                return Err(self.build_refusal(
                     RefusalReason::DeadlineExceeded,
                     DEADLINE_EXCEEDED_RETRY_AFTER,
                 ));
@@ -155,10 +156,10 @@
                 Placement::Reserved(slot) => slot,
                 Placement::ServersFull => {
                     let retry_after = node.retry_after_full(&self.service, now);
-                    return Err(self.refusal(RefusalReason::ServersFull, retry_after));
+                    return Err(self.build_refusal(RefusalReason::ServersFull, retry_after));
                 }
                 Placement::NoServer => {
-                    return Err(self.refusal(RefusalReason::NoServer, NO_SERVER_RETRY_AFTER))
+                    return Err(self.build_refusal(RefusalReason::NoServer, NO_SERVER_RETRY_AFTER))
                 }
             };
             let server = slot.server().clone();
@@ -171,7 +172,7 @@
             let (in_flight, slots) = self.chosen_server_load();
             log::info!(request_id = self.caller.id, server = server.id, in_flight, slots, outcome:? = failure.outcome, reason = failure.reason, age_ms, next:? = next; "attempt failed");
             node.metrics.incr(Counter::AttemptFailed);
-            self.tried.push(server);
+            self.tried_servers.push(server);
             match next {
                 NextStep::TryAnother => {}
                 NextStep::PassOn | NextStep::FailUnknown => {
@@ -182,7 +183,7 @@
                 }
                 NextStep::RefuseNotRun => {
                     let retry_after = node.retry_after_full(&self.service, now);
-                    return Err(self.refusal(RefusalReason::Rejected, retry_after));
+                    return Err(self.build_refusal(RefusalReason::Rejected, retry_after));
                 }
             }
         }
@@ -192,7 +193,7 @@
         let wait_until = (Instant::now() + SLOT_WAIT_TIMEOUT).min(self.response_deadline);
         loop {
             let now = Instant::now();
-            let mut candidates = node.online_candidates(&self.service, &self.tried, now);
+            let mut candidates = node.online_candidates(&self.service, &self.tried_servers, now);
             if candidates.is_empty() && self.attempts.count() > 0 {
                 // Every server was tried. The least loaded one may succeed now.
                 candidates = node.online_candidates(&self.service, &[], now);
@@ -204,7 +205,7 @@
             if let Some(pick) =
                 placement::pick_online(&candidates, zone, rand::random::<u32>() as usize)
             {
-                self.choice = Some(Choice {
+                self.chosen_server = Some(ChosenServer {
                     in_flight: pick.in_flight,
                     slots: pick.slots,
                     expected_wait: placement::expected_wait(
@@ -223,8 +224,8 @@
                     () = node.peers_changed.notified() => {}
                 }
             };
-            let until = tokio::time::Instant::from_std(wait_until);
-            if tokio::time::timeout_at(until, capacity_changed)
+            let deadline = tokio::time::Instant::from_std(wait_until);
+            if tokio::time::timeout_at(deadline, capacity_changed)
                 .await
                 .is_err()
             {
@@ -256,8 +257,8 @@
             request_id: self.caller.id.clone(),
             content: Arc::clone(&self.content),
             expected_wait: self
-                .choice
-                .map_or(Duration::ZERO, |choice| choice.expected_wait),
+                .chosen_server
+                .map_or(Duration::ZERO, |server| server.expected_wait),
             deadline: self.response_deadline,
             head_deadline: may_retry.then(|| now + RESPONSE_HEAD_TIMEOUT),
         };
@@ -307,7 +308,9 @@
         }
     }
 
-    fn refusal(&self, reason: RefusalReason, retry_after: Duration) -> Refusal {
+    /// Builds the refusal of a request that gets no further attempt. It is "not run" only if no
+    /// attempt may have run.
+    fn build_refusal(&self, reason: RefusalReason, retry_after: Duration) -> Refusal {
         match self.attempts.give_up() {
             NextStep::RefuseNotRun => Refusal::NotRun {
                 reason,
@@ -348,10 +351,10 @@
     /// Returns the requests in flight and the slots of the server that was chosen last, as known
     /// when it was chosen.
     pub fn chosen_server_load(&self) -> (Option<u32>, Option<u32>) {
-        let choice = self.choice;
+        let chosen = self.chosen_server;
         (
-            choice.map(|choice| choice.in_flight),
-            choice.map(|choice| choice.slots),
+            chosen.map(|server| server.in_flight),
+            chosen.map(|server| server.slots),
         )
     }
 
--- a/crates/foxwheel-node/src/process.rs
+++ b/crates/foxwheel-node/src/process.rs
@@ -28,7 +28,7 @@
     })?;
     let listener = TcpListener::bind(caller_address).await?;
     let stop = front::StopSignals::default();
-    let mut serving = front::serve(Arc::clone(&node), listener, stop.clone());
+    let mut server = front::serve(Arc::clone(&node), listener, stop.clone());
     if let Some(addr) = settings.readiness_address {
         front::serve_readiness(Arc::clone(&node), addr).await?;
     }
@@ -38,14 +38,14 @@
     stop.close_idle.cancel();
     let stop_steps = async {
         tokio::time::sleep_until(plan.refuse_from.into()).await;
-        stop.refuse.cancel();
+        stop.refuse_requests.cancel();
         tokio::time::sleep_until(plan.end_at.into()).await;
     };
     let in_time = tokio::select! {
-        () = serving.end() => true,
+        () = server.wait_until_stopped() => true,
         () = stop_steps => false,
     };
-    log::info!(cut = serving.open_connections(), in_time; "front stopped");
+    log::info!(cut = server.open_connections(), in_time; "front stopped");
     background.cancel();
     structured_log::flush();
     Ok(())
@@ -59,9 +59,9 @@
     let background = start_background(&node, Some(Arc::clone(&jobs))).await?;
     let stopped = CancellationToken::new();
     let stop_timer = cancel_at_stop_deadline(Arc::clone(&node), stopped.clone());
-    let deadline = tokio::spawn(stop_timer);
+    let stop_timer_task = tokio::spawn(stop_timer);
     worker::run(Arc::clone(&node), jobs, stopped).await;
-    deadline.abort();
+    stop_timer_task.abort();
     log::info!(holds_jobs = node.has_owned_jobs(); "worker stopped");
     background.cancel();
     structured_log::flush();
--- a/crates/foxwheel-node/src/quarantine_store.rs
+++ b/crates/foxwheel-node/src/quarantine_store.rs
@@ -15,7 +15,7 @@
 use crate::store_access::Backoff;
 use crate::store_relay;
 
-const KIND: &str = "foxwheel-quarantine";
+const OBJECT_KIND: &str = "foxwheel-quarantine";
 
 /// How long a starting front waits for a heartbeat of a worker: a few heartbeat intervals. Workers
 /// read the saved crashes, and fronts receive them from the workers.
@@ -54,14 +54,14 @@
     }
     let mut backoff = Backoff::default();
     let objects = loop {
-        match node.store.list(KIND).await {
+        match node.store.list(OBJECT_KIND).await {
             Ok(listing) => break listing.objects,
             Err(_) => node.store.wait_before_retry(backoff.next_delay()).await,
         }
     };
     let now_unix = Duration::from_millis(time::unix_ms());
     for object in &objects {
-        match decode(object, now_unix) {
+        match decode_crashes(object, now_unix) {
             Ok(crashes) => node.apply_crash_reports(&crashes, "store"),
             Err(e) => {
                 log::warn!(content = object.name, error:% = e; "saved crash record skipped: it cannot be decoded")
@@ -71,7 +71,10 @@
 }
 
 /// Decodes the crashes of an object, with their ages adjusted to `now_unix`.
-fn decode(object: &Object, now_unix: Duration) -> Result<Vec<CrashReport>, serde_json::Error> {
+fn decode_crashes(
+    object: &Object,
+    now_unix: Duration,
+) -> Result<Vec<CrashReport>, serde_json::Error> {
     let record: CrashRecord = serde_json::from_value(object.spec.clone())?;
     let since_saved = now_unix.saturating_sub(record.saved_unix);
     let crashes = record.crashes.into_iter().map(|crash| CrashReport {
@@ -122,7 +125,7 @@
     };
     let spec: EncodedJson = serde_json::json!(record).to_string();
     let create = Write::Create {
-        kind: KIND.to_owned(),
+        kind: OBJECT_KIND.to_owned(),
         name: content.clone(),
         spec,
     };
@@ -133,17 +136,17 @@
 /// Deletes the objects whose crashes are all older than the retention time, or that cannot be
 /// decoded. Returns the number of deleted objects, or an error if a store call fails.
 pub async fn delete_expired(node: &Node) -> Result<usize, StoreError> {
-    let listing = node.store.list(KIND).await?;
+    let listing = node.store.list(OBJECT_KIND).await?;
     let now_unix = Duration::from_millis(time::unix_ms());
     let is_expired = |object: &&Object| {
-        let crashes = decode(object, now_unix).unwrap_or_default();
+        let crashes = decode_crashes(object, now_unix).unwrap_or_default();
         let mut ages = crashes.iter().map(|crash| crash.age);
         ages.all(|age| age >= quarantine::CRASH_RETENTION)
     };
     let expired: Vec<&Object> = listing.objects.iter().filter(is_expired).collect();
     for object in &expired {
         let delete = Write::Delete {
-            kind: KIND.to_owned(),
+            kind: OBJECT_KIND.to_owned(),
             name: object.name.clone(),
             revision: Some(object.revision),
         };
--- a/crates/foxwheel-node/src/relay.rs
+++ b/crates/foxwheel-node/src/relay.rs
@@ -28,7 +28,7 @@
 ) -> impl Stream<Item = Result<Frame<Bytes>, RelayError>> {
     async_stream::try_stream! {
         let mut splitter = EventSplitter::default();
-        let started = Instant::now();
+        let started_at = Instant::now();
         let mut events = 0_u32;
         let mut first_data = None;
         loop {
@@ -56,18 +56,18 @@
                 BodyFrame::End if !splitter.has_partial_event() => {
                     let (first_age, on_time) = first_data.unwrap_or_default();
                     request.count_served(&node, on_time);
-                    node.hold_times.record_hold_time(&request.service, started.elapsed());
+                    node.hold_times.record_hold_time(&request.service, started_at.elapsed());
                     let (in_flight, slots) = request.chosen_server_load();
-                    log::info!(request_id = request.caller.id, server = response.server.id, in_flight, slots, events, on_time, first_ms = first_age.as_millis() as u64, took_ms = started.elapsed().as_millis() as u64; "stream complete");
+                    log::info!(request_id = request.caller.id, server = response.server.id, in_flight, slots, events, on_time, first_ms = first_age.as_millis() as u64, took_ms = started_at.elapsed().as_millis() as u64; "stream complete");
                     response.finish();
                     break;
                 }
                 BodyFrame::End => {
-                    response = resume(&node, &mut request, response, "ended within an event").await?;
+                    response = resume_stream(&node, &mut request, response, "ended within an event").await?;
                     splitter.discard_partial_event();
                 }
                 BodyFrame::CutOff(reason) => {
-                    response = resume(&node, &mut request, response, &reason).await?;
+                    response = resume_stream(&node, &mut request, response, &reason).await?;
                     splitter.discard_partial_event();
                 }
             }
@@ -114,7 +114,7 @@
 
 /// Resumes a stream that was cut off at another server, after the last complete event. Returns
 /// an error if the request may not be run again, or if no other server sends the rest.
-async fn resume(
+async fn resume_stream(
     node: &Arc<Node>,
     request: &mut OnlineRequest,
     cut_off: OpenResponse,
@@ -125,18 +125,18 @@
     drop(cut_off);
     node.loads.record_outcome(&server, true, Instant::now());
     let resumed = match request.record_cut_off_stream() {
-        true => request.open_elsewhere(node, &server).await,
+        true => request.open_at_another_server(node, &server).await,
         false => None,
     };
-    let after = request.last_event_id;
+    let last_event_id = request.last_event_id;
     match resumed {
         Some(response) => {
-            log::warn!(request_id = request.caller.id, server = server.id, reason, after, resumed_at = response.server.id; "stream resumed");
+            log::warn!(request_id = request.caller.id, server = server.id, reason, after = last_event_id, resumed_at = response.server.id; "stream resumed");
             node.metrics.incr(Counter::StreamResumed);
             Ok(response)
         }
         None => {
-            log::warn!(request_id = request.caller.id, server = server.id, reason, after; "stream broken");
+            log::warn!(request_id = request.caller.id, server = server.id, reason, after = last_event_id; "stream broken");
             request.count_outcome(node, RequestOutcome::Failed);
             node.metrics.incr(Counter::StreamBroken);
             Err(RelayError {
--- a/crates/foxwheel-node/src/request_quarantine.rs
+++ b/crates/foxwheel-node/src/request_quarantine.rs
@@ -110,14 +110,15 @@
     // The digest of each peer when its reports were last fetched; sorted by address.
     let mut fetched: Vec<(SocketAddr, QuarantineDigest)> = Vec::new();
     loop {
-        // A timeout is as good as a notification: both may come with changed digests.
+        // A notification and a timeout are handled alike: in both cases the digests may have
+        // changed.
         let _ = tokio::time::timeout(
             DIGEST_CHECK_INTERVAL,
             node.other_crashes_reported.notified(),
         )
         .await;
         for (addr, digest) in node.peers.quarantine_states(Instant::now()) {
-            let at = fetched.partition_point(|(known, _)| *known < addr);
+            let at = fetched.partition_point(|(peer, _)| *peer < addr);
             let is_fetched = fetched.get(at) == Some(&(addr, digest));
             if digest == 0 || digest == node.quarantine_digest() || is_fetched {
                 continue;
@@ -125,8 +126,8 @@
             if !fetch_crash_reports(node, addr).await {
                 continue;
             }
-            match fetched.get_mut(at).filter(|(known, _)| *known == addr) {
-                Some(known) => known.1 = digest,
+            match fetched.get_mut(at).filter(|(peer, _)| *peer == addr) {
+                Some(entry) => entry.1 = digest,
                 None => fetched.insert(at, (addr, digest)),
             }
         }
--- a/crates/foxwheel-node/tests/crashing_requests.rs
+++ b/crates/foxwheel-node/tests/crashing_requests.rs
@@ -282,7 +282,7 @@
         for server in &servers {
             assert!(
                 !server.runs.all().is_empty(),
-                "each server has run a request"
+                "a server has not run any request yet"
             );
             server.end();
         }
