--- a/crates/foxwheel-node/src/heartbeat.rs
+++ b/crates/foxwheel-node/src/heartbeat.rs
@@ -229,8 +229,8 @@
         self.node.select_representatives(now);
         let sequence = self.next_sequence();
         let mut heartbeat = build_heartbeat(&self.node, sequence, now);
-        let is_full = self.heartbeat_count % HEARTBEATS_PER_FULL_ADDRESS_LIST == 1;
-        heartbeat.known = self.node.peers.live_addresses(!is_full, now);
+        let with_all_addresses = self.heartbeat_count % HEARTBEATS_PER_FULL_ADDRESS_LIST == 1;
+        heartbeat.known = self.node.peers.live_addresses(!with_all_addresses, now);
         heartbeat.known.truncate(MAX_KNOWN_ADDRESSES);
         let mut local = self
             .node
@@ -255,12 +255,14 @@
             self.record_zones_to_report(&loads);
             zone_representative::request_missing_summaries(&self.datagrams, &self.node, now).await;
         }
-        let per_summary = match self.node.representative_rank(now) {
+        let heartbeats_per_summary = match self.node.representative_rank(now) {
             Rank::Primary => Some(load_reports::REPORTS_PER_SUMMARY),
             Rank::Secondary => Some(load_reports::REPORTS_PER_SECONDARY_SUMMARY),
             Rank::None => None,
         };
-        if per_summary.is_some_and(|per_summary| self.heartbeat_count % per_summary == 1) {
+        if heartbeats_per_summary.is_some_and(|heartbeats_per_summary| {
+            self.heartbeat_count % heartbeats_per_summary == 1
+        }) {
             let sequence = self.next_sequence();
             zone_representative::send_summary(&self.datagrams, &self.node, sequence, now).await;
         }
@@ -348,7 +350,7 @@
         leaving: node.is_leaving(),
         store_reached: node.store.failing_for(now).is_none(),
         follows: node.is_watching_store(now),
-        store_answered_ago: node.store.time_since_response(now),
+        time_since_store_response: node.store.time_since_response(now),
         knows: node.state_version(),
         quarantine: node.quarantine_digest(),
         speakers: node.representatives(),
--- a/crates/foxwheel-node/src/load_table.rs
+++ b/crates/foxwheel-node/src/load_table.rs
@@ -171,7 +171,8 @@
         self.load_changed.notify_one();
     }
 
-    /// Avoids `server` for the next 1.5 seconds. Returns whether it was not being avoided before.
+    /// Avoids `server` for `SUSPICION_DURATION` from `now`. Returns whether it was not being avoided
+    /// before.
     pub fn mark_suspected(&self, server: &ServerInstance, now: Instant) -> bool {
         self.with_entry(server, |entry| {
             let was_suspected = entry.suspected_until.is_some_and(|until| now < until);
--- a/crates/foxwheel-node/src/peer_calls.rs
+++ b/crates/foxwheel-node/src/peer_calls.rs
@@ -209,7 +209,8 @@
 }
 
 impl PeerCalls {
-    /// Returns whether the last call to the peer at `addr` failed within the last 2 seconds.
+    /// Returns whether the last call to the peer at `addr` failed, less than
+    /// `FAILED_PEER_RETRY_DELAY` ago.
     pub fn has_failed_recently(&self, addr: SocketAddr, now: Instant) -> bool {
         let failures = self.failures.lock().expect("failed peers lock");
         let found = failures.binary_search_by_key(&addr, |(addr, _)| *addr);
--- a/crates/foxwheel-node/src/peer_messages.rs
+++ b/crates/foxwheel-node/src/peer_messages.rs
@@ -40,7 +40,7 @@
     /// How long ago the store last responded to the sender.
     #[serde(rename = "store_answered_ago_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
-    pub store_answered_ago: std::time::Duration,
+    pub time_since_store_response: std::time::Duration,
     /// The version of the configuration and of the server list that the sender has.
     pub knows: StoreStateVersion,
     /// Identifies the set of server crashes that the sender knows.
--- a/crates/foxwheel-node/src/peers.rs
+++ b/crates/foxwheel-node/src/peers.rs
@@ -327,7 +327,7 @@
         peer.reported.replace_loads(loads, &mut self.sums);
         let previously_dead = std::mem::replace(&mut peer.heartbeat, heartbeat).gone;
         peer.last_message_at = now;
-        peer.store_answered_at = now.checked_sub(peer.heartbeat.store_answered_ago);
+        peer.store_answered_at = now.checked_sub(peer.heartbeat.time_since_store_response);
         if previously_dead != self.peers[at].heartbeat.gone {
             self.collect_dead_instances();
         }
--- a/crates/foxwheel-node/tests/peers.rs
+++ b/crates/foxwheel-node/tests/peers.rs
@@ -46,7 +46,7 @@
         leaving: false,
         store_reached: true,
         follows: false,
-        store_answered_ago: Duration::ZERO,
+        time_since_store_response: Duration::ZERO,
         knows: StoreStateVersion::default(),
         quarantine: 0,
         speakers: Vec::new(),
@@ -105,7 +105,7 @@
     let workers = peers.live_workers(later);
     let has_current_claims: Vec<(&str, bool)> = workers
         .iter()
-        .map(|w| (w.node.as_str(), w.has_current_claims))
+        .map(|worker| (worker.node.as_str(), worker.has_current_claims))
         .collect();
     assert_eq!(has_current_claims, [("host-2", false), ("host-3", true)]);
     assert_eq!(
@@ -266,7 +266,8 @@
     });
 }
 
-fn summary(host: u8, incarnation: u64, sequence: u64, online: u32) -> ZoneSummary {
+/// Returns a summary of the zone `yard` with `online` requests in flight at `server(1)`.
+fn yard_summary(host: u8, incarnation: u64, sequence: u64, online: u32) -> ZoneSummary {
     let load = RequestCounts { online, batch: 0 };
     ZoneSummary {
         zone: "yard".to_owned(),
@@ -290,7 +291,7 @@
     }
 }
 
-fn aged(age_ms: u64, summary: ZoneSummary) -> AgedSummary {
+fn aged_summary(age_ms: u64, summary: ZoneSummary) -> AgedSummary {
     let age = Duration::from_millis(age_ms);
     AgedSummary { age, summary }
 }
@@ -312,23 +313,39 @@
         Some(0),
         "no process of the zone is known"
     );
-    peers.apply_summary(aged(0, summary(5, 2, 7, 4)), SummarySource::Direct, now);
+    peers.apply_summary(
+        aged_summary(0, yard_summary(5, 2, 7, 4)),
+        SummarySource::Direct,
+        now,
+    );
     assert_eq!(load_in_yard(&peers, now), Some(4));
-    peers.apply_summary(aged(0, summary(5, 2, 6, 1)), SummarySource::Direct, now);
-    peers.apply_summary(aged(0, summary(5, 1, 9, 1)), SummarySource::Direct, now);
+    peers.apply_summary(
+        aged_summary(0, yard_summary(5, 2, 6, 1)),
+        SummarySource::Direct,
+        now,
+    );
+    peers.apply_summary(
+        aged_summary(0, yard_summary(5, 1, 9, 1)),
+        SummarySource::Direct,
+        now,
+    );
     assert_eq!(
         load_in_yard(&peers, now),
         Some(4),
         "an older sequence number and an older incarnation"
     );
-    peers.apply_summary(aged(300, summary(6, 1, 99, 2)), SummarySource::Direct, now);
+    peers.apply_summary(
+        aged_summary(300, yard_summary(6, 1, 99, 2)),
+        SummarySource::Direct,
+        now,
+    );
     assert_eq!(
         load_in_yard(&peers, now),
         Some(4),
         "from another representative, but older"
     );
     peers.apply_summary(
-        aged(0, summary(6, 1, 100, 2)),
+        aged_summary(0, yard_summary(6, 1, 100, 2)),
         SummarySource::Direct,
         now + Duration::from_millis(1),
     );
@@ -344,7 +361,11 @@
 fn a_summary_expires_by_its_age() {
     let (peers, start) = (worker_peers(), Instant::now());
     let now = start + Duration::from_secs(10);
-    peers.apply_summary(aged(1_000, summary(5, 1, 1, 4)), SummarySource::Direct, now);
+    peers.apply_summary(
+        aged_summary(1_000, yard_summary(5, 1, 1, 4)),
+        SummarySource::Direct,
+        now,
+    );
     assert_eq!(peers.live_workers(now).len(), 1);
     assert_eq!(peers.other_front_count(now), 3);
     let later = now + DEAD_TIMEOUT - Duration::from_millis(1_000);
@@ -362,7 +383,11 @@
 #[test]
 fn load_in_another_zone_includes_requests_sent_since_its_summary() {
     let (peers, now) = (worker_peers(), Instant::now());
-    peers.apply_summary(aged(0, summary(5, 1, 1, 4)), SummarySource::Direct, now);
+    peers.apply_summary(
+        aged_summary(0, yard_summary(5, 1, 1, 4)),
+        SummarySource::Direct,
+        now,
+    );
     let mut sender = heartbeat(2, 1, &[]);
     sender.loads[0].online = 2;
     peers.apply_heartbeat(sender, addr(1), now);
@@ -470,7 +495,11 @@
 #[test]
 fn a_worker_learns_of_another_from_its_zones_summary() {
     let (peers, now) = (worker_peers(), Instant::now());
-    peers.apply_summary(aged(0, summary(5, 1, 1, 4)), SummarySource::Direct, now);
+    peers.apply_summary(
+        aged_summary(0, yard_summary(5, 1, 1, 4)),
+        SummarySource::Direct,
+        now,
+    );
     assert_eq!(
         peers.heartbeat_recipients(HeartbeatScope::OtherZones, now),
         [addr(5)]
@@ -485,21 +514,29 @@
     let at = |ms| start + Duration::from_secs(10) + Duration::from_millis(ms);
     let forwarded_count = |ms| peers.summaries_to_forward(false, at(ms)).len();
     peers.apply_summary(
-        aged(0, summary(5, 1, 1, 4)),
+        aged_summary(0, yard_summary(5, 1, 1, 4)),
         SummarySource::Forwarded,
         at(0),
     );
-    peers.apply_summary(aged(0, summary(5, 1, 2, 4)), SummarySource::Direct, at(400));
+    peers.apply_summary(
+        aged_summary(0, yard_summary(5, 1, 2, 4)),
+        SummarySource::Direct,
+        at(400),
+    );
     assert_eq!(
         forwarded_count(400),
         0,
         "the primary representative forwarded one 400 ms ago"
     );
-    peers.apply_summary(aged(0, summary(5, 1, 3, 4)), SummarySource::Direct, at(600));
+    peers.apply_summary(
+        aged_summary(0, yard_summary(5, 1, 3, 4)),
+        SummarySource::Direct,
+        at(600),
+    );
     assert_eq!(forwarded_count(600), 1);
     assert_eq!(forwarded_count(700), 0, "no new summary");
     peers.apply_summary(
-        aged(0, summary(5, 1, 4, 4)),
+        aged_summary(0, yard_summary(5, 1, 4, 4)),
         SummarySource::Forwarded,
         at(800),
     );
@@ -508,7 +545,11 @@
         0,
         "already forwarded by the primary representative"
     );
-    peers.apply_summary(aged(0, summary(5, 1, 5, 4)), SummarySource::Direct, at(900));
+    peers.apply_summary(
+        aged_summary(0, yard_summary(5, 1, 5, 4)),
+        SummarySource::Direct,
+        at(900),
+    );
     assert_eq!(
         peers.summaries_to_forward(true, at(900)).len(),
         1,
@@ -522,7 +563,11 @@
 fn processes_of_zones_without_a_recent_summary_are_asked() {
     let (peers, now) = (worker_peers(), Instant::now());
     assert!(peers.silent_zone_recipients(now).is_empty());
-    peers.apply_summary(aged(0, summary(5, 1, 1, 4)), SummarySource::Forwarded, now);
+    peers.apply_summary(
+        aged_summary(0, yard_summary(5, 1, 1, 4)),
+        SummarySource::Forwarded,
+        now,
+    );
     assert!(peers.silent_zone_recipients(now).is_empty());
     assert_eq!(
         peers.silent_zone_recipients(now + DEAD_TIMEOUT),
@@ -547,7 +592,7 @@
     for (summarized, wanted) in [(3, Some("yard")), (10, None)] {
         let peers = worker_peers();
         peers.apply_summary(
-            aged(0, summary(5, 1, 1, summarized)),
+            aged_summary(0, yard_summary(5, 1, 1, summarized)),
             SummarySource::Forwarded,
             now,
         );
@@ -582,7 +627,7 @@
             servers_revision: Some(revision),
             ..StoreStateVersion::default()
         },
-        store_answered_ago: Duration::from_millis(answered_ago_ms),
+        time_since_store_response: Duration::from_millis(answered_ago_ms),
         ..heartbeat(host, sequence, &[])
     }
 }
