--- a/crates/foxwheel-core/src/cli.rs
+++ b/crates/foxwheel-core/src/cli.rs
@@ -1,5 +1,5 @@
-//! The command line shared by the long-running processes: `--settings FILE`,
-//! `--check-settings FILE`, `--settings-page`, `--version` and `--help`.
+//! The command line of the long-running processes: `--settings FILE`, `--check-settings FILE`,
+//! `--settings-page`, `--version` and `--help`.
 
 use std::path::PathBuf;
 
@@ -9,28 +9,29 @@
 use crate::settings::{self, Check, SettingsError};
 use crate::settings_page;
 
-/// What a server process was asked to do.
+/// What the command line of a server process asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Run with the settings in this file.
+    /// Runs the process with the settings in a file.
     Run {
-        /// The JSON settings file.
+        /// Path of the JSON settings file.
         settings: PathBuf,
     },
-    /// Say what is wrong with the settings in this file and exit.
+    /// Checks the settings in a file, prints the problems and exits.
     CheckSettings {
-        /// The JSON settings file.
+        /// Path of the JSON settings file.
         settings: PathBuf,
     },
-    /// Print what each field of the settings means and exit.
+    /// Prints the documentation of all settings and exits.
     SettingsPage,
-    /// Print the version and exit.
+    /// Prints the version and exits.
     Version,
-    /// Print the usage text and exit.
+    /// Prints the usage text and exits.
     Help,
 }
 
-/// Parses the process's arguments; `-s`, `-h` and `-V` are short forms.
+/// Parses the arguments of a server process. `-s`, `-h` and `-V` are short forms of `--settings`,
+/// `--help` and `--version`. Returns an error for an unknown argument or a missing value.
 pub fn parse_server_args(
     args: impl IntoIterator<Item = std::ffi::OsString>,
 ) -> Result<Command, lexopt::Error> {
@@ -56,9 +57,9 @@
     Ok(Command::Run { settings })
 }
 
-/// Reads the settings of the process `name` from the file its arguments name. Prints what
-/// was asked for and exits on the other options; prints every problem and exits with 2 on
-/// bad arguments or a refused file.
+/// Loads the settings of the process `name` from the file given by `--settings`. For the other
+/// options it prints the requested text and exits. If the arguments or the settings are not valid,
+/// it prints every problem and exits with status 2.
 pub fn load_settings_or_exit<T: DeserializeOwned + Check + JsonSchema>(
     name: &str,
     about: &str,
@@ -68,9 +69,10 @@
          {name} --check-settings FILE.json | --settings-page | --version | --help"
     );
     let load = |path: &PathBuf| {
-        settings::load(path).unwrap_or_else(|e: SettingsError| refuse(name, &e.to_string()))
+        settings::load(path)
+            .unwrap_or_else(|e: SettingsError| exit_with_error(name, &e.to_string()))
     };
-    let done = |text: &str| -> ! {
+    let print_and_exit = |text: &str| -> ! {
         println!("{text}");
         std::process::exit(0);
     };
@@ -78,16 +80,16 @@
         Ok(Command::Run { settings }) => load(&settings),
         Ok(Command::CheckSettings { settings }) => {
             let _: T = load(&settings);
-            done("the settings are valid")
+            print_and_exit("the settings are valid")
         }
-        Ok(Command::SettingsPage) => done(&settings_page::render_section::<T>(name)),
-        Ok(Command::Version) => done(&format!("{name} {}", env!("CARGO_PKG_VERSION"))),
-        Ok(Command::Help) => done(&usage),
-        Err(e) => refuse(name, &format!("{e}\n{usage}")),
+        Ok(Command::SettingsPage) => print_and_exit(&settings_page::render_section::<T>(name)),
+        Ok(Command::Version) => print_and_exit(&format!("{name} {}", env!("CARGO_PKG_VERSION"))),
+        Ok(Command::Help) => print_and_exit(&usage),
+        Err(e) => exit_with_error(name, &format!("{e}\n{usage}")),
     }
 }
 
-fn refuse(name: &str, message: &str) -> ! {
+fn exit_with_error(name: &str, message: &str) -> ! {
     eprintln!("{name}: {message}");
     std::process::exit(2);
 }
--- a/crates/foxwheel-core/src/declarations.rs
+++ b/crates/foxwheel-core/src/declarations.rs
@@ -1,8 +1,8 @@
-//! Declarations kept in version control: deployments and the ordered when-then rules.
+//! Declarations that operators keep in version control: deployments and ordered routing rules.
 //!
-//! Operators write a [`Manifest`] as JSON and apply it with `foxwheel-ctl apply`; the
-//! gateways read the applied objects from the platform store. Rules are tried in order and
-//! the first that matches decides.
+//! Operators write a [`Manifest`] in JSON and apply it with `foxwheel-ctl apply`. Gateways read the
+//! applied objects from the platform's store. The first rule that matches a request decides what
+//! happens to it.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -10,28 +10,30 @@
 use crate::ids::{DeploymentName, ModelName, Zone};
 use crate::settings::{Check, Problems};
 
-/// What kind of back end a deployment serves.
+/// The kind of backend servers of a deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendKind {
     /// Model engines with an OpenAI-compatible API.
     Model,
-    /// Plain HTTP services such as yardbook or emite-cartao.
+    /// Plain HTTP services, for example yardbook or emite-cartao.
     Service,
 }
 
-/// The priority class a request is admitted under.
+/// The priority class with which a request is admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PriorityClass {
-    /// A caller is waiting: admitted first, never queued behind batch work.
+    /// Requests whose callers wait for the response. They are admitted first and never queued behind
+    /// batch requests.
     Online,
-    /// Batch items: admitted only into spare capacity and preempted by online work.
+    /// Batch items. They are admitted only if there is spare capacity, and online requests preempt
+    /// them.
     Batch,
 }
 
 impl PriorityClass {
-    /// The class's name as sent in the `x-foxwheel-class` header.
+    /// Returns the value of the `x-foxwheel-class` header for this class.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Online => "online",
@@ -39,7 +41,7 @@
         }
     }
 
-    /// Parses the header value; anything unknown is `None`.
+    /// Parses the value of the `x-foxwheel-class` header. Returns `None` if it is unknown.
     pub fn parse(text: &str) -> Option<Self> {
         match text {
             "online" => Some(Self::Online),
@@ -49,74 +51,78 @@
     }
 }
 
-/// What an agent knows of the load on its engine.
+/// A measure of the load on an engine that its agent knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Signal {
-    /// Sequences waiting in the engine, as it last reported; late by its reporting lag.
+    /// Number of sequences that wait in the engine, as of its last report. Reports lag behind.
     EngineWaiting,
-    /// The share of the engine's prefix cache in use, in percent, as it last reported.
+    /// Percentage of the engine's prefix cache in use, as of its last report.
     CacheUsedPercent,
-    /// The 95th percentile of recent online requests' time to first token, in
-    /// milliseconds, as the agent measured it.
+    /// 95th percentile of the time to first token of recent online requests, in milliseconds, as
+    /// measured by the agent.
     OnlineTtftP95Ms,
 }
 
-/// A signal and the value above which no batch work is admitted.
+/// A threshold of a signal above which no batch requests are admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GateCheck {
-    /// The signal.
+    /// Signal that is compared.
     pub signal: Signal,
-    /// The largest value at which batch work is admitted.
+    /// Largest value of the signal at which batch requests are admitted.
     pub at_most: u64,
 }
 
-/// What a gate rule does to a workspace's batch work.
+/// The effect of a gate rule on the batch requests of a workspace.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GateEffect {
-    /// No check applies to it.
+    /// No check applies to them.
     Exempt,
-    /// This percentage of its requests is refused on arrival, not run; the rest is checked.
+    /// This percentage of them is refused on arrival without being run; all checks apply to the
+    /// others.
     RejectPercent(u8),
-    /// Only the checks of these signals apply to it.
+    /// Only the checks of these signals apply to them.
     CheckOnly(Vec<Signal>),
 }
 
-/// An exception for one workspace, for a time.
+/// An exception to the checks of a batch gate for one workspace, which may expire.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GateRule {
-    /// The workspace it is for.
+    /// Workspace to which the rule applies.
     pub workspace: String,
-    /// What it does.
+    /// Effect of the rule.
     pub effect: GateEffect,
-    /// It no longer counts from this Unix time on, in milliseconds; none: until removed.
+    /// Unix time in milliseconds from which the rule no longer applies; `None` if it never expires.
     #[serde(default)]
     pub expires_unix_ms: Option<u64>,
 }
 
-/// When agents admit batch work beside online work.
+/// Conditions under which agents admit batch requests beside online requests.
 ///
-/// The shape follows the multi-metric tablet throttler of Vitess (PR #15988): several
-/// signals, each with its threshold, signals assigned per workload, and rules that expire.
+/// The design follows the multi-metric tablet throttler of Vitess (PR #15988): several signals with
+/// a threshold each, signals assigned to workloads, and rules that expire.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BatchGate {
-    /// All must hold for batch work to be admitted.
+    /// Checks that must all pass for a batch request to be admitted.
     pub checks: Vec<GateCheck>,
-    /// In order; the first that names the workspace and has not expired counts.
+    /// Exceptions for workspaces. The first rule that names the workspace and has not expired applies.
     #[serde(default)]
     pub rules: Vec<GateRule>,
 }
 
 impl BatchGate {
-    /// The rule that counts for `workspace` at `now_ms`.
-    pub fn rule_for(&self, workspace: &str, now_ms: u64) -> Option<&GateRule> {
-        self.rules
-            .iter()
-            .find(|r| r.workspace == workspace && r.expires_unix_ms.is_none_or(|t| now_ms < t))
+    /// Returns the rule that applies to `workspace` at `now_unix_ms`.
+    pub fn rule_for(&self, workspace: &str, now_unix_ms: u64) -> Option<&GateRule> {
+        self.rules.iter().find(|rule| {
+            rule.workspace == workspace
+                && rule
+                    .expires_unix_ms
+                    .is_none_or(|expires_unix_ms| now_unix_ms < expires_unix_ms)
+        })
     }
 }
 
@@ -124,25 +130,27 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Deployment {
-    /// Unique name, e.g. `draftsman`.
+    /// Unique name, for example `draftsman`.
     pub name: DeploymentName,
-    /// Model engines or plain services.
+    /// Kind of the backend servers.
     pub backend: BackendKind,
-    /// Models served, for `backend: model`; sorted and free of duplicates after [`Manifest::check`].
+    /// Models that are served if `backend` is `model`. [`Manifest::normalize`] sorts them and removes
+    /// duplicates.
     #[serde(default)]
     pub models: Vec<ModelName>,
-    /// Zones the replicas run in.
+    /// Availability zones in which the replicas run.
     pub zones: Vec<Zone>,
-    /// Desired replica count across all zones.
+    /// Desired number of replicas in all zones together.
     pub replicas: u32,
-    /// Path prefixes whose calls may not be repeated (e.g. `/orders`); they require an
-    /// `Idempotency-Key` header and are never retried. Sorted.
+    /// Path prefixes of calls that must not be repeated, for example `/orders`. These calls require
+    /// an `Idempotency-Key` header and are never retried. [`Manifest::normalize`] sorts the prefixes.
     #[serde(default)]
     pub non_idempotent_paths: Vec<String>,
-    /// When agents admit batch work; none: whenever a slot is free.
+    /// Conditions under which agents admit batch requests; `None` admits them whenever a slot is
+    /// free.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub batch_gate: Option<BatchGate>,
-    /// How long the gateway waits for a whole answer before giving up, in milliseconds.
+    /// Time limit in milliseconds within which the gateway must receive the complete response.
     #[serde(default = "default_request_timeout_ms")]
     pub request_timeout_ms: u64,
 }
@@ -152,7 +160,7 @@
 }
 
 impl Deployment {
-    /// Whether a call to `path` may not be repeated.
+    /// Returns whether a call to `path` must not be repeated.
     pub fn is_non_idempotent(&self, path: &str) -> bool {
         self.non_idempotent_paths
             .iter()
@@ -160,7 +168,7 @@
     }
 }
 
-/// What a request looks like to the rules.
+/// The kind of a request, as rules distinguish it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Workload {
@@ -172,124 +180,130 @@
     Service,
 }
 
-/// The facts about a request that rules match on.
+/// The attributes of a request that the conditions of rules are matched against.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestAttributes<'a> {
-    /// Online, batch or service.
+    /// Kind of the request.
     pub workload: Workload,
-    /// The `model` field of a completion request.
+    /// Value of the `model` field of a completion request.
     pub model: Option<&'a str>,
-    /// The service named in `/services/{service}/...`.
+    /// Service named in the path `/services/{service}/...`.
     pub service: Option<&'a str>,
-    /// The path after the service name, e.g. `/orders`.
+    /// Path after the service name, for example `/orders`.
     pub path: &'a str,
-    /// The `x-foxwheel-workspace` header, if sent.
+    /// Value of the `x-foxwheel-workspace` header, if sent.
     pub workspace: Option<&'a str>,
 }
 
-/// A rule's condition; every field that is set must match.
+/// The condition of a rule. Every field that is set must match.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Condition {
-    /// Matches the workload kind.
+    /// Matches the kind of the request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub workload: Option<Workload>,
-    /// Matches the request's model exactly.
+    /// Matches the exact model name.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<ModelName>,
-    /// Matches the service name exactly.
+    /// Matches the exact service name.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<String>,
-    /// Matches when the path starts with this.
+    /// Matches paths that start with this prefix.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub path_prefix: Option<String>,
-    /// Matches the workspace exactly.
+    /// Matches the exact workspace.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub workspace: Option<String>,
 }
 
 impl Condition {
-    /// Whether every set field matches `facts`.
-    pub fn matches(&self, facts: &RequestAttributes<'_>) -> bool {
-        self.workload.is_none_or(|w| w == facts.workload)
-            && self.model.as_deref().is_none_or(|m| Some(m) == facts.model)
+    /// Returns whether every field that is set matches `request`.
+    pub fn matches(&self, request: &RequestAttributes<'_>) -> bool {
+        self.workload
+            .is_none_or(|workload| workload == request.workload)
+            && self
+                .model
+                .as_deref()
+                .is_none_or(|model| Some(model) == request.model)
             && self
                 .service
                 .as_deref()
-                .is_none_or(|s| Some(s) == facts.service)
+                .is_none_or(|service| Some(service) == request.service)
             && self
                 .path_prefix
                 .as_deref()
-                .is_none_or(|p| facts.path.starts_with(p))
+                .is_none_or(|prefix| request.path.starts_with(prefix))
             && self
                 .workspace
                 .as_deref()
-                .is_none_or(|w| Some(w) == facts.workspace)
+                .is_none_or(|workspace| Some(workspace) == request.workspace)
     }
 }
 
-/// What a matching rule does.
+/// The action of a rule.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "action", deny_unknown_fields)]
 pub enum Action {
-    /// Send the request to a deployment under a priority class.
+    /// Routes the request to a deployment with a priority class.
     Route {
-        /// The deployment's name.
+        /// Name of the deployment.
         deployment: DeploymentName,
-        /// The class it is admitted under.
+        /// Priority class with which the request is admitted.
         class: PriorityClass,
     },
-    /// Refuse the request without running it.
+    /// Refuses the request without running it.
     Reject {
-        /// HTTP status, 400 to 599.
+        /// HTTP status of the refusal, 400 to 599.
         status: u16,
-        /// Told to the caller.
+        /// Message to the caller.
         message: String,
     },
 }
 
-/// One when-then rule.
+/// A rule: an action for the requests that match a condition.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     /// Unique name, shown in logs and refusals.
     pub name: String,
-    /// When it applies.
+    /// Condition that a request must match.
     #[serde(default)]
     pub when: Condition,
-    /// What it does.
+    /// Action for matching requests.
     pub then: Action,
 }
 
-/// The ordered rules; the first that matches decides.
+/// The ordered rules. The first rule that matches a request decides.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RuleSet {
-    /// In order of precedence.
+    /// Rules in the order of precedence.
     pub rules: Vec<Rule>,
 }
 
 impl RuleSet {
-    /// The first rule whose condition matches, if any.
-    pub fn first_match(&self, facts: &RequestAttributes<'_>) -> Option<&Rule> {
-        self.rules.iter().find(|rule| rule.when.matches(facts))
+    /// Returns the first rule whose condition matches `request`.
+    pub fn first_match(&self, request: &RequestAttributes<'_>) -> Option<&Rule> {
+        self.rules.iter().find(|rule| rule.when.matches(request))
     }
 }
 
-/// A file of declarations as operators write it.
+/// A file of declarations, as operators write it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Manifest {
-    /// Deployments, by unique name.
+    /// Deployments, each with a unique name.
     #[serde(default)]
     pub deployments: Vec<Deployment>,
-    /// The ordered rules; replaced whole on apply, so that the order never mixes.
+    /// Ordered rules. Applying the manifest replaces all rules at once, so that the orders of old and
+    /// new rules are never mixed.
     #[serde(default)]
     pub rules: Vec<Rule>,
 }
 
 impl Manifest {
-    /// Sorts the lists whose order carries no meaning, so that applies compare equal.
+    /// Sorts the lists whose order has no meaning, so that equal declarations compare as equal when
+    /// they are applied again.
     pub fn normalize(&mut self) {
         self.deployments.sort_by(|a, b| a.name.cmp(&b.name));
         for deployment in &mut self.deployments {
@@ -303,33 +317,35 @@
 
 impl Check for Manifest {
     fn check(&self, problems: &mut Problems) {
-        let mut names: Vec<&str> = Vec::with_capacity(self.deployments.len());
-        for (i, d) in self.deployments.iter().enumerate() {
-            let field = |f: &str| format!("deployments[{i}].{f}");
-            problems.require_non_empty(&field("name"), &d.name);
-            if names.contains(&d.name.as_str()) {
-                problems.add(field("name"), format!("repeats `{}`", d.name));
+        let mut deployment_names: Vec<&str> = Vec::with_capacity(self.deployments.len());
+        for (index, declared) in self.deployments.iter().enumerate() {
+            let field = |name: &str| format!("deployments[{index}].{name}");
+            problems.require_non_empty(&field("name"), &declared.name);
+            if deployment_names.contains(&declared.name.as_str()) {
+                problems.add(field("name"), format!("repeats `{}`", declared.name));
             }
-            names.push(&d.name);
-            if d.backend == BackendKind::Model && d.models.is_empty() {
+            deployment_names.push(&declared.name);
+            if declared.backend == BackendKind::Model && declared.models.is_empty() {
                 problems.add(field("models"), "must name a model");
             }
-            if d.zones.is_empty() {
+            if declared.zones.is_empty() {
                 problems.add(field("zones"), "must name a zone");
             }
-            problems.require_positive(&field("request_timeout_ms"), d.request_timeout_ms);
-            check_gate(d.batch_gate.as_ref(), &field("batch_gate"), problems);
+            problems.require_positive(&field("request_timeout_ms"), declared.request_timeout_ms);
+            check_gate(declared.batch_gate.as_ref(), &field("batch_gate"), problems);
         }
         let mut rule_names: Vec<&str> = Vec::with_capacity(self.rules.len());
-        for (i, rule) in self.rules.iter().enumerate() {
-            let field = |f: &str| format!("rules[{i}].{f}");
+        for (index, rule) in self.rules.iter().enumerate() {
+            let field = |name: &str| format!("rules[{index}].{name}");
             problems.require_non_empty(&field("name"), &rule.name);
             if rule_names.contains(&rule.name.as_str()) {
                 problems.add(field("name"), format!("repeats `{}`", rule.name));
             }
             rule_names.push(&rule.name);
             match &rule.then {
-                Action::Route { deployment, .. } if !names.contains(&deployment.as_str()) => {
+                Action::Route { deployment, .. }
+                    if !deployment_names.contains(&deployment.as_str()) =>
+                {
                     problems.add(
                         field("then.deployment"),
                         format!("names `{deployment}`, which is not declared"),
@@ -344,11 +360,15 @@
     }
 }
 
+/// Adds the fields of a batch gate whose values are not valid. `field` is the path of the gate.
 fn check_gate(gate: Option<&BatchGate>, field: &str, problems: &mut Problems) {
-    for (i, rule) in gate.iter().flat_map(|gate| &gate.rules).enumerate() {
-        problems.require_non_empty(&format!("{field}.rules[{i}].workspace"), &rule.workspace);
+    for (index, rule) in gate.iter().flat_map(|gate| &gate.rules).enumerate() {
+        problems.require_non_empty(
+            &format!("{field}.rules[{index}].workspace"),
+            &rule.workspace,
+        );
         if matches!(rule.effect, GateEffect::RejectPercent(percent) if percent > 100) {
-            let field = format!("{field}.rules[{i}].effect.reject_percent");
+            let field = format!("{field}.rules[{index}].effect.reject_percent");
             problems.add(field, "must be 0 to 100");
         }
     }
--- a/crates/foxwheel-core/src/error.rs
+++ b/crates/foxwheel-core/src/error.rs
@@ -1,19 +1,19 @@
-//! Errors that carry the step and the peer at which they arose.
+//! Parts of errors: the step and peer at which an error occurred, and its chain of causes.
 
 use std::error::Error;
 use std::fmt;
 
-/// Where an error arose: the step of the work and the peer that was being talked to.
+/// Where an error occurred: the step of the work and the peer involved.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Origin {
-    /// The step, e.g. `"lease chunk"` or `"forward to agent"`.
+    /// The step, for example `"lease chunk"` or `"forward to agent"`.
     pub step: &'static str,
-    /// The peer's address or name, e.g. `"127.0.0.1:7400"`; empty when no peer was involved.
+    /// Address or name of the peer, for example `"127.0.0.1:7400"`; empty if no peer is involved.
     pub peer: String,
 }
 
 impl Origin {
-    /// An origin at `step` while talking to `peer`.
+    /// Creates the origin of an error at `step` that involves `peer`.
     pub fn new(step: &'static str, peer: impl Into<String>) -> Self {
         Self {
             step,
@@ -32,8 +32,8 @@
     }
 }
 
-/// Shows an error with what caused it. Libraries often tell the kind of a failure in the error
-/// itself and the operating system's reason only in its source.
+/// Displays an error followed by its chain of causes. Many libraries name only the kind of a
+/// failure in the error itself and give the operating system's reason in its source.
 #[derive(Debug)]
 pub struct WithCauses<'a>(pub &'a (dyn Error + 'static));
 
--- a/crates/foxwheel-core/src/fingerprint.rs
+++ b/crates/foxwheel-core/src/fingerprint.rs
@@ -1,15 +1,17 @@
-//! Stable fingerprints of requests and client keys, safe to keep in the store.
+//! Stable fingerprints of requests and client keys, for use in keys of the store.
 //!
-//! A fingerprint is the same for every build and process, unlike the standard library's
-//! hashers, and holds no character that means something in a store key.
+//! A fingerprint is the same in every build and process, unlike the standard library's hashes,
+//! and contains no character that has a meaning in a key of the store.
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of the digest kept: 128 bits, far beyond accidental collision.
+/// Number of bytes of the digest that are used. With 128 bits, accidental collisions are
+/// negligible.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// The fingerprint of `parts` in order, as 32 hex digits. Each part's length is hashed
-/// before it, so moving bytes from one part to the next gives another fingerprint.
+/// Returns the fingerprint of `parts`, in their order, as 32 hexadecimal digits. The length of each
+/// part is hashed before the part, so that moving bytes from one part to the next changes the
+/// fingerprint.
 pub fn hash_parts(parts: &[&[u8]]) -> String {
     let mut hasher = Sha256::new();
     for part in parts {
--- a/crates/foxwheel-core/src/http.rs
+++ b/crates/foxwheel-core/src/http.rs
@@ -1,5 +1,5 @@
-//! HTTP helpers shared by the servers: refusals in one shape and a server that stops
-//! gracefully when its cancellation token fires.
+//! HTTP helpers shared by the servers: refusals in a common format, a server that stops gracefully
+//! when its cancellation token is cancelled, and the forwarding of requests and responses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,30 +10,31 @@
 
 use crate::protocol::{Refusal, RefusalBody, RunState};
 
-/// Builds a refusal answer: the JSON body, and `Retry-After` when coming back can help.
+/// Builds the response for a refusal: a JSON body, the run state header, and `Retry-After` if a
+/// retry can help.
 pub fn refusal_response(status: StatusCode, refusal: Refusal) -> HttpResponse {
     let mut builder = HttpResponse::build(status);
     builder.insert_header((
         crate::protocol::RUN_STATE_HEADER,
         refusal.run_state.as_str(),
     ));
-    if let Some(seconds) = refusal.retry_after_s {
-        builder.insert_header(("retry-after", seconds.to_string()));
+    if let Some(retry_after_s) = refusal.retry_after_s {
+        builder.insert_header(("retry-after", retry_after_s.to_string()));
     }
     builder.json(RefusalBody { error: refusal })
 }
 
-/// A refusal with its HTTP status, as filters and checks return it.
+/// A refusal with its HTTP status, returned by filters and checks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refused {
-    /// The HTTP status to answer with.
+    /// HTTP status of the response.
     pub status: StatusCode,
-    /// The body.
+    /// Content of the response body.
     pub refusal: Refusal,
 }
 
 impl Refused {
-    /// A refusal of a request that no backend received.
+    /// Creates the refusal of a request that no backend received.
     pub fn not_run(
         status: StatusCode,
         code: &str,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// A refusal of a request that a backend may have received.
+    /// Creates the refusal of a request that a backend may have received.
     pub fn unknown(status: StatusCode, code: &str, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -64,13 +65,13 @@
         }
     }
 
-    /// The answer for the caller.
+    /// Returns the response for the caller.
     pub fn into_response(self) -> HttpResponse {
         refusal_response(self.status, self.refusal)
     }
 }
 
-/// The answer refusing a request that no backend received.
+/// Returns the response that refuses a request that no backend received.
 pub fn not_run_response(
     status: StatusCode,
     code: &str,
@@ -80,7 +81,7 @@
     Refused::not_run(status, code, message, retry_after_s).into_response()
 }
 
-/// The answer refusing a request that a backend may have received.
+/// Returns the response that refuses a request that a backend may have received.
 pub fn unknown_run_state_response(
     status: StatusCode,
     code: &str,
@@ -89,15 +90,15 @@
     Refused::unknown(status, code, message).into_response()
 }
 
-/// How long a server keeps an idle connection open: longer than awc's pool does (15 s), so
-/// that it is the client that closes one. A server that closes first may do so just as the
-/// client sends its next request, which then fails although nothing is wrong.
+/// How long a server keeps an idle connection open. This is longer than in awc's pool (15 s), so
+/// that the client closes it first. If the server closed it first, it could do so while the client
+/// sends its next request, which would then fail without a fault.
 pub const SERVER_KEEP_ALIVE: Duration = Duration::from_secs(75);
 
-/// How a server is run.
+/// Options of [`serve`].
 #[derive(Debug, Clone, Copy)]
 pub struct ServerOptions {
-    /// Worker threads.
+    /// Number of worker threads.
     pub workers: usize,
     /// How long a graceful stop waits for requests in flight.
     pub shutdown_timeout: Duration,
@@ -112,11 +113,13 @@
     }
 }
 
-/// Binds and starts an actix-web server built by `factory`; it stops gracefully (refusing
-/// new connections, finishing requests in flight) once `cancel` fires.
+/// Binds `listen_addr` and starts an actix-web server with the application that `factory` builds.
+/// Once `cancel` is cancelled, the server stops gracefully: it accepts no new connections and
+/// finishes the requests in flight. Returns the bound address and the server, or an error if the
+/// address cannot be bound.
 pub fn serve<F, I, S, B>(
     listen_addr: &str,
-    shape: ServerOptions,
+    options: ServerOptions,
     cancel: CancellationToken,
     factory: F,
 ) -> std::io::Result<(SocketAddr, actix_web::dev::Server)>
@@ -134,9 +137,9 @@
     B: actix_web::body::MessageBody + 'static,
 {
     let server = actix_web::HttpServer::new(factory)
-        .workers(shape.workers)
+        .workers(options.workers)
         .keep_alive(SERVER_KEEP_ALIVE)
-        .shutdown_timeout(shape.shutdown_timeout.as_secs())
+        .shutdown_timeout(options.shutdown_timeout.as_secs())
         .disable_signals()
         .bind(listen_addr)?;
     let addr = server.addrs()[0];
@@ -149,7 +152,8 @@
     Ok((addr, server))
 }
 
-/// Request headers passed on when forwarding; all others (hop-by-hop, host, length) are not.
+/// Request headers that are forwarded to the backend. All others are dropped, among them
+/// hop-by-hop headers, `host` and `content-length`.
 const FORWARDED_HEADERS: &[&str] = &[
     "content-type",
     "accept",
@@ -160,7 +164,7 @@
     crate::protocol::RESUME_FROM_HEADER,
 ];
 
-/// Response headers passed back to the caller.
+/// Response headers that are relayed to the caller; all others are dropped.
 const RELAYED_HEADERS: &[&str] = &[
     "content-type",
     crate::protocol::RUN_STATE_HEADER,
@@ -169,7 +173,8 @@
     crate::protocol::REPLAYED_HEADER,
 ];
 
-/// What an agent's refusal says of the request; `None` when the answer is the backend's own.
+/// Returns whether the request may have run, as stated by the refusal of an agent. Returns `None`
+/// if the response comes from the backend itself.
 pub fn read_run_state<S>(response: &awc::ClientResponse<S>) -> Option<RunState> {
     let header = response.headers().get(crate::protocol::RUN_STATE_HEADER)?;
     [RunState::NotRun, RunState::Unknown]
@@ -177,10 +182,11 @@
         .find(|state| header.as_bytes() == state.as_str().as_bytes())
 }
 
-/// Whether a send failed before any byte of the request could reach the peer.
+/// Returns whether a send failed while the connection was being opened, so that no byte of the
+/// request can have reached the peer.
 ///
-/// awc reports a peer that closed the connection after reading the request as
-/// `ConnectError::Disconnected`, so only the errors of opening a connection count.
+/// awc also reports `ConnectError::Disconnected` for a peer that closed the connection after it had
+/// read the request, so that variant is not included.
 pub fn is_connect_failure(error: &awc::error::SendRequestError) -> bool {
     use awc::error::{ConnectError, SendRequestError};
     matches!(
@@ -195,7 +201,7 @@
     )
 }
 
-/// Sends a request on to `url`, copying the headers foxwheel passes on.
+/// Forwards a request to `url` with those of its headers that are passed on.
 pub fn forward_request(
     client: &awc::Client,
     method: actix_web::http::Method,
@@ -213,7 +219,8 @@
     request.send_body(body)
 }
 
-/// The head of the caller's answer: the backend's status and the headers passed back.
+/// Returns a builder of the response to the caller, with the status of the backend's response and
+/// those of its headers that are relayed.
 pub fn relayed_response_builder<S>(
     response: &awc::ClientResponse<S>,
 ) -> actix_web::HttpResponseBuilder {
@@ -226,8 +233,8 @@
     builder
 }
 
-/// Streams a backend's answer to the caller, keeping `guard` alive until the stream ends
-/// or the caller goes away (so a queue slot or an in-flight count is held exactly as long).
+/// Streams a backend's response to the caller. `guard` is dropped when the stream ends or the caller
+/// disconnects, so that a queue slot or an in-flight count is held for exactly that time.
 pub fn relay_response<S, G>(response: awc::ClientResponse<S>, guard: G) -> HttpResponse
 where
     S: futures::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin + 'static,
@@ -236,11 +243,11 @@
     relay_with_first_chunk_callback(response, guard, || {})
 }
 
-/// [`relay`], calling `on_first` when the first part of the body has come.
+/// Like [`relay_response`], and calls `on_first_chunk` when the first chunk of the body arrives.
 pub fn relay_with_first_chunk_callback<S, G>(
     response: awc::ClientResponse<S>,
     guard: G,
-    on_first: impl FnOnce() + 'static,
+    on_first_chunk: impl FnOnce() + 'static,
 ) -> HttpResponse
 where
     S: futures::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin + 'static,
@@ -248,21 +255,21 @@
 {
     use futures::StreamExt;
     let mut builder = relayed_response_builder(&response);
-    let mut on_first = Some(on_first);
+    let mut on_first_chunk = Some(on_first_chunk);
     let body = response.map(move |chunk| {
-        let _held = &guard;
-        if let (Ok(_), Some(on_first)) = (&chunk, on_first.take()) {
-            on_first();
+        let _guard = &guard;
+        if let (Ok(_), Some(on_first_chunk)) = (&chunk, on_first_chunk.take()) {
+            on_first_chunk();
         }
         chunk
     });
     builder.streaming(body)
 }
 
-/// Names the success type of a `Result`, to name awc's response type without depending on
-/// which of its features are on.
+/// Gives access to the success type of a `Result`. It is used to name awc's response type, which
+/// differs with the enabled features of awc.
 pub trait OkType {
-    /// The success type.
+    /// Success type of the `Result`.
     type Ok;
 }
 
@@ -270,13 +277,14 @@
     type Ok = T;
 }
 
-/// A backend's answer as awc gives it.
+/// The response of a backend, as awc returns it.
 pub type BackendResponse = <<awc::SendClientRequest as std::future::Future>::Output as OkType>::Ok;
 
-/// A request header's value as a string, if present and readable.
+/// Returns the value of a request header, or `None` if it is missing or contains bytes that are not
+/// visible ASCII.
 pub fn header_string(req: &HttpRequest, name: &str) -> Option<String> {
     req.headers()
         .get(name)
-        .and_then(|v| v.to_str().ok())
+        .and_then(|value| value.to_str().ok())
         .map(str::to_owned)
 }
--- a/crates/foxwheel-core/src/ids.rs
+++ b/crates/foxwheel-core/src/ids.rs
@@ -1,34 +1,37 @@
-//! Type aliases for the ids that cross process boundaries.
+//! Type aliases for ids that are exchanged between processes.
 //!
-//! Ids are plain strings on the wire (JSON) and in the platform store's keys; the aliases
-//! say which kind of id a field holds.
+//! Ids are plain strings in JSON and in the keys of the platform's store. The aliases state which
+//! kind of id a field contains.
 
-/// A host name, e.g. `suwon-hall-draftsman-0`. Unique in the fleet.
+/// A host name, for example `suwon-hall-draftsman-0`; unique in the fleet.
 pub type HostId = String;
-/// An availability zone, e.g. `suwon-hall` or `hall-centro`.
+/// An availability zone, for example `suwon-hall` or `hall-centro`.
 pub type Zone = String;
-/// A deployment's name, e.g. `draftsman` or `emite-cartao`.
+/// The name of a deployment, for example `draftsman` or `emite-cartao`.
 pub type DeploymentName = String;
-/// A model's name as callers send it in the `model` field.
+/// The name of a model, as callers send it in the `model` field.
 pub type ModelName = String;
-/// A batch job id, chosen by the gateway or derived from the client's job key.
+/// The id of a batch job, chosen by the gateway or derived from the client's job key.
 pub type JobId = String;
-/// A batch item's id, chosen by the client (`custom_id`), unique within its job.
+/// The id of a batch item, chosen by the client (`custom_id`); unique within its job.
 pub type ItemId = String;
-/// A request id carried end to end in the `x-request-id` header.
+/// The id of a request, passed on from the caller to the backend in the `x-request-id` header.
 pub type RequestId = String;
-/// A fingerprint of what a request asks for, whatever its id: see [`crate::fingerprint`].
+/// A fingerprint of the content of a request, which is the same when the request is sent again
+/// under another id; see [`crate::fingerprint`].
 pub type ContentFingerprint = String;
-/// A version of an object in the platform store; a store-wide revision number.
+/// The version of an object in the platform's store, a revision number of the whole store.
 pub type Version = u64;
-/// A fencing number handed out with a lease; a holder with an older number is stale.
+/// A fencing number issued with a lease. A holder with a smaller number than the newest has lost
+/// the lease.
 pub type FencingToken = u64;
-/// The id under which a backend server lists itself; a restarted server may have the same.
+/// The id under which a backend server registers itself. A server may keep its id when it
+/// restarts.
 pub type ServerId = String;
-/// One start of a process or backend server under its id: when it started, in milliseconds
-/// since the Unix epoch. 0 where that is not told.
+/// Distinguishes successive instances of a process or backend server with the same id: its start
+/// time in milliseconds since the Unix epoch, or 0 if unknown.
 pub type Incarnation = u64;
-/// A service that routes send requests to, e.g. a model's deployment.
+/// The name of a service to which routes send requests, for example the deployment of a model.
 pub type ServiceName = String;
-/// A process of the system, named after the host it runs on.
+/// The name of a front or worker process, which is the name of its host.
 pub type NodeId = String;
--- a/crates/foxwheel-core/src/lib.rs
+++ b/crates/foxwheel-core/src/lib.rs
@@ -1,7 +1,8 @@
-//! Shared pieces of every foxwheel process: ids, declarations, settings, errors and telemetry.
+//! Types and functions shared by all foxwheel processes: ids, declarations, settings, errors,
+//! HTTP helpers, logging and metrics.
 //!
-//! Each process crate imports the [`prelude`] and names items through their modules,
-//! e.g. `declarations::RuleSet` or `settings::load`.
+//! Other crates import the [`prelude`] and name items through their modules, for example
+//! `declarations::RuleSet` or `settings::load`.
 
 pub mod cli;
 pub mod declarations;
@@ -19,7 +20,7 @@
 pub mod telemetry;
 pub mod time;
 
-/// The modules most processes need, for `use foxwheel_core::prelude::*`.
+/// The modules that most processes need, for `use foxwheel_core::prelude::*`.
 pub mod prelude {
     pub use crate::{
         cli, declarations, error, fingerprint, http, ids, keys, protocol, settings, shutdown,
--- a/crates/foxwheel-core/src/metric_names.rs
+++ b/crates/foxwheel-core/src/metric_names.rs
@@ -1,131 +1,134 @@
-//! Names of the counters and histograms that fronts and workers serve.
+//! Names of the counters and histograms that fronts and workers export.
 //!
-//! They stand in one place because the processes write them and `foxwheel-ctl` reads them.
+//! The names are defined here because fronts and workers write them and `foxwheel-ctl` reads
+//! them.
 
 use std::borrow::Cow;
 
-/// What every name begins with.
+/// Prefix of every metric name.
 pub const PREFIX: &str = "foxwheel";
 
-/// A kind of online request.
+/// The kind of an online request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// May run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// Runs at most once.
+    /// The request may run at most once.
     NonIdempotent,
-    /// Answered by events.
+    /// The response is a stream of events.
     Stream,
 }
 
-/// What became of an online request.
+/// How an online request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Answered whole; the answer, or the first event of a stream, came within the target.
+    /// The response was complete, and the response or the first event of a stream arrived within
+    /// the target latency.
     OnTime,
-    /// Answered whole, later than the target.
+    /// The response was complete but arrived later than the target latency.
     Late,
-    /// Refused as not run.
+    /// The request was refused and did not run.
     Refused,
-    /// Broken off, failed by a server, or out of time.
+    /// The response was cut off, a server reported a failure, or the request timed out.
     Failed,
 }
 
-/// Why an online request was refused as not run.
+/// Why an online request was refused without being run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// No configuration is known yet.
+    /// The front has no configuration yet.
     NoConfiguration,
-    /// The front is stopping.
+    /// The front is shutting down.
     Stopping,
-    /// Its time was up before any server took it.
+    /// The deadline passed before any server accepted the request.
     DeadlineExceeded,
-    /// Every server was at its slots and queue allowance.
+    /// All slots and all allowed queue places of every server were in use.
     ServersFull,
-    /// No server of its service is known.
+    /// The front knows no server of the requested service.
     NoServer,
-    /// Every server that was tried turned it away.
+    /// Every server that was tried rejected the request.
     Rejected,
-    /// Servers crashed under its content.
+    /// The request content is quarantined because servers crashed while they ran it.
     Quarantined,
 }
 
-/// A call to the platform's store.
+/// The kind of a call to the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreCall {
-    /// Every object of a kind.
+    /// Lists all objects of a kind.
     List,
-    /// Changes of a kind.
+    /// Watches the objects of a kind for changes.
     Watch,
-    /// One object.
+    /// Reads one object.
     Get,
-    /// A creation or replacement.
+    /// Creates, replaces or deletes an object.
     Write,
-    /// Whether it answers, of data that may be old.
+    /// Checks whether the store responds, by a read that may return stale data.
     Probe,
 }
 
-/// A counter.
+/// A counter metric.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Counter {
-    /// Online requests that ended.
+    /// Online requests that ended, by kind and outcome.
     Request(RequestKind, RequestOutcome),
-    /// Online requests refused as not run.
+    /// Online requests refused without being run, by reason.
     Refused(RefusalReason),
-    /// Attempts at a server that gave no success.
+    /// Attempts at a server that did not succeed.
     AttemptFailed,
-    /// Streams that went on at another server.
+    /// Streams that were resumed at another server after an interruption.
     StreamResumed,
-    /// Streams that broke for good.
+    /// Streams that were cut off and could not be resumed.
     StreamBroken,
-    /// New connections to backend servers.
+    /// Connections opened to backend servers.
     ServerConnection,
-    /// Requests at which a backend server crashed; one crash counts for each request there.
+    /// Requests that were running when their backend server crashed. One crash is counted once
+    /// for each request that ran there.
     CrashRecorded,
-    /// Jobs accepted, repeats included.
+    /// Accepted jobs, including repeated submissions.
     JobAccepted,
-    /// Jobs refused for the quota.
+    /// Jobs refused because they exceeded the quota.
     JobOverQuota,
-    /// Runs of items that ended whole.
+    /// Runs of batch items that ended with a complete response.
     RunCompleted,
-    /// Runs of items stopped to free their slots, or because their job ended.
+    /// Runs of batch items that were stopped to free their slots or because their job ended.
     RunPreempted,
-    /// Items looked at that are not run, because servers crashed under them.
+    /// Runs of batch items that were not started because the request content is quarantined.
     RunQuarantined,
-    /// Runs of items that ended otherwise.
+    /// Runs of batch items that ended in any other way.
     RunFailed,
-    /// Calls to the platform's store that were answered.
+    /// Calls to the platform's store that got a response, by kind.
     StoreCallSucceeded(StoreCall),
-    /// Calls to the platform's store that failed.
+    /// Calls to the platform's store that failed, by kind.
     StoreCallFailed(StoreCall),
-    /// Datagrams sent to peers, one for each recipient.
+    /// Datagrams sent to peers, counted once for each recipient.
     PeerMessageSent,
-    /// Bytes of those datagrams.
+    /// Bytes of the datagrams sent to peers.
     PeerBytesSent,
     /// Datagrams received from peers.
     PeerMessageReceived,
-    /// Bytes of those datagrams.
+    /// Bytes of the datagrams received from peers.
     PeerBytesReceived,
-    /// Heartbeats that could not be read.
+    /// Received heartbeats that could not be decoded.
     HeartbeatDecodeFailed,
-    /// Heartbeats that could not be written.
+    /// Heartbeats that could not be encoded and were not sent.
     HeartbeatEncodeFailed,
 }
 
 /// A latency histogram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Timer {
-    /// From an online request to its answer, of a stream to its first event.
+    /// Time from an online request to its response, or to the first event of a stream.
     FirstResponse,
-    /// From a submission to its acceptance.
+    /// Time from the submission of a job to its acceptance.
     JobAccept,
 }
 
 impl RequestKind {
-    /// Every kind.
+    /// All kinds.
     pub const ALL: [Self; 3] = [Self::Idempotent, Self::NonIdempotent, Self::Stream];
 
-    /// Its part of a name.
+    /// Returns the part of the metric name that stands for this value.
     pub fn name(self) -> &'static str {
         match self {
             Self::Idempotent => "idempotent",
@@ -136,10 +139,10 @@
 }
 
 impl RequestOutcome {
-    /// Every outcome.
+    /// All outcomes.
     pub const ALL: [Self; 4] = [Self::OnTime, Self::Late, Self::Refused, Self::Failed];
 
-    /// Its part of a name.
+    /// Returns the part of the metric name that stands for this value.
     pub fn name(self) -> &'static str {
         match self {
             Self::OnTime => "on_time",
@@ -151,7 +154,7 @@
 }
 
 impl RefusalReason {
-    /// Its part of a name.
+    /// Returns the part of the metric name that stands for this value.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoConfiguration => "uninformed",
@@ -164,7 +167,7 @@
         }
     }
 
-    /// The reason in a log line.
+    /// Returns the reason as log lines state it.
     pub fn text(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no configuration yet",
@@ -179,7 +182,7 @@
 }
 
 impl StoreCall {
-    /// Its part of a name.
+    /// Returns the part of the metric name that stands for this value.
     pub fn name(self) -> &'static str {
         match self {
             Self::List => "list",
@@ -192,7 +195,7 @@
 }
 
 impl Counter {
-    /// Its name behind the prefix.
+    /// Returns the metric name without the prefix.
     pub fn name(self) -> Cow<'static, str> {
         let name = match self {
             Self::Request(kind, outcome) => {
@@ -224,7 +227,7 @@
 }
 
 impl Timer {
-    /// Its name behind the prefix.
+    /// Returns the metric name without the prefix.
     pub fn name(self) -> &'static str {
         match self {
             Self::FirstResponse => "online.first_answer",
--- a/crates/foxwheel-core/src/protocol.rs
+++ b/crates/foxwheel-core/src/protocol.rs
@@ -1,41 +1,44 @@
-//! Messages and headers shared by foxwheel's own processes.
+//! Messages and headers exchanged between gateways and agents, and with their callers.
 //!
-//! The data path between gateway and agent is HTTP so that streams pass through unchanged;
-//! these types are the JSON bodies and header names both sides agree on.
+//! The data path between gateway and agent is HTTP, so that streams pass through unchanged. This
+//! module defines the JSON bodies and the header names of both sides.
 
 use serde::{Deserialize, Serialize};
 
 use crate::declarations::{BatchGate, PriorityClass};
 use crate::ids::{DeploymentName, HostId, Version, Zone};
 
-/// Header carrying the request id end to end.
+/// Header with the request id, which is passed on from the caller to the backend.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Header carrying the priority class from gateway to agent.
+/// Header with the priority class, sent by the gateway to the agent.
 pub const CLASS_HEADER: &str = "x-foxwheel-class";
-/// Header carrying the caller's workspace.
+/// Header with the caller's workspace.
 pub const WORKSPACE_HEADER: &str = "x-foxwheel-workspace";
-/// Header a caller sends with a non-idempotent call.
+/// Header with the idempotency key, which a caller sends with a non-idempotent call.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
-/// Header on every refusal saying whether the request ran (`not_run` or `unknown`), so a
-/// gateway can tell without reading the body.
+/// Header of every refusal that states whether the request ran (`not_run` or `unknown`), so that
+/// a gateway does not have to read the body for this.
 pub const RUN_STATE_HEADER: &str = "x-foxwheel-run-state";
-/// Header asking an engine to resume a stream after this many tokens already delivered.
+/// Header that asks an engine to resume a stream after this many tokens, which the caller has
+/// received already.
 pub const RESUME_FROM_HEADER: &str = "x-foxwheel-resume-from";
-/// Header set when a stored answer to an earlier call with the same key is replayed.
+/// Header that marks a replay of the stored response to an earlier call with the same idempotency
+/// key.
 pub const REPLAYED_HEADER: &str = "idempotent-replayed";
 
-/// Whether a refused request ran on a backend.
+/// Whether a refused request may have run at a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// No backend received it: safe to send again.
+    /// No backend received the request, so it is safe to send it again.
     NotRun,
-    /// A backend may have received it; a resend of a non-idempotent call must reuse its key.
+    /// A backend may have received the request. A non-idempotent call must be sent again with the
+    /// same idempotency key.
     Unknown,
 }
 
 impl RunState {
-    /// The value sent in [`RUN_STATE_HEADER`].
+    /// Returns the value of [`RUN_STATE_HEADER`].
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -44,68 +47,68 @@
     }
 }
 
-/// The body of every refusal the gateway or agent sends.
+/// A refusal, as gateways and agents send it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Human-readable reason.
+    /// Reason for people to read.
     pub message: String,
-    /// A stable machine-readable code, e.g. `no_backend` or `store_unavailable`.
+    /// Stable code for programs to read, for example `no_backend` or `store_unavailable`.
     pub code: String,
-    /// Whether the request ran.
+    /// Whether the request may have run.
     pub run_state: RunState,
-    /// When to come back, in seconds, if coming back can help.
+    /// Seconds after which to retry; `None` if a retry is of no use.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_s: Option<u64>,
 }
 
-/// The envelope around a refusal, as OpenAI-style clients expect (`{"error": {...}}`).
+/// The body of a refusal, in the form that OpenAI-style clients expect (`{"error": {...}}`).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusalBody {
     /// The refusal.
     pub error: Refusal,
 }
 
-/// A member record: an agent's lease on its place in the host list, kept in the store under
+/// An agent's lease on its entry in the list of hosts, stored under
 /// `members/<deployment>/<host>`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The host the agent runs on.
+    /// Host on which the agent runs.
     pub host: HostId,
-    /// The deployment its backend serves.
+    /// Deployment that the agent's backend serves.
     pub deployment: DeploymentName,
-    /// The agent's data-path address, `ip:port`.
+    /// Address of the agent's data path, `ip:port`.
     pub agent_addr: String,
-    /// The agent's control channel address, `ip:port`.
+    /// Address of the agent's control channel, `ip:port`.
     pub control_addr: String,
-    /// The host's zone.
+    /// Availability zone of the host.
     pub zone: Zone,
-    /// Whether it takes new work.
+    /// Whether the agent accepts new work.
     pub state: MemberState,
-    /// How long the lease lasts from each renewal, in milliseconds. Readers judge expiry by
-    /// their own clock from when they saw the renewal, so clock skew does not matter. An
-    /// expired record is removed; liveness between renewals is the control channel's.
+    /// Duration of the lease from each renewal, in milliseconds. Readers measure it with their own
+    /// clock from the time at which they saw the renewal, so clock skew does not matter. An expired
+    /// record is removed; between renewals, the control channel checks liveness.
     pub lease_ttl_ms: u64,
-    /// Renewals so far; each renewal is a write, so that readers see a new version.
+    /// Number of renewals. Each renewal writes the record, so that readers see a new version.
     pub renewals: u64,
 }
 
-/// Whether a member takes new work.
+/// Whether a member accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Takes new work.
+    /// The member accepts new work.
     Ready,
-    /// Leaving: finishes what it has and takes nothing new.
+    /// The member is shutting down: it finishes its current work and accepts none.
     Draining,
 }
 
-/// An agent's view of its own queue, answered on `GET /load` and to control polls.
+/// The load of an agent, returned by `GET /load` and by control polls.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests the backend runs at once; 0 before the agent was asked.
+    /// Number of requests that the backend runs at once; 0 before the agent was polled.
     #[serde(default)]
     pub slots: u32,
-    /// Requests running on the backend, by class.
+    /// Online requests running on the backend.
     pub running_online: u32,
     /// Batch requests running on the backend.
     pub running_batch: u32,
@@ -113,26 +116,27 @@
     pub waiting_online: u32,
     /// Batch requests waiting for spare capacity.
     pub waiting_batch: u32,
-    /// Batch requests preempted by online work since start.
+    /// Batch requests preempted by online work since the agent started.
     pub preempted_total: u64,
     /// Whether the agent is draining.
     pub draining: bool,
-    /// The configuration revision in force on the agent; 0 when none is.
+    /// Revision of the configuration in force on the agent; 0 if there is none.
     pub config_revision: Version,
-    /// Whether the batch gate refuses some workspace's work now.
+    /// Whether the batch gate currently refuses batch work of some workspace.
     pub gate_closed: bool,
 }
 
-/// The part of the configuration that agents need, pushed to them by gateways.
+/// The part of the configuration that agents need. Gateways send it to them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentConfig {
-    /// The store revision it reflects; an agent only takes a larger one.
+    /// Revision of the store from which it was read. An agent applies only larger revisions than
+    /// its current one.
     pub revision: Version,
-    /// When the agent admits batch work.
+    /// Conditions under which the agent admits batch work.
     pub batch_gate: Option<BatchGate>,
 }
 
-/// The class header's value for a class.
+/// Returns the name and value of the header for a priority class.
 pub fn class_header(class: PriorityClass) -> (&'static str, &'static str) {
     (CLASS_HEADER, class.as_str())
 }
--- a/crates/foxwheel-core/src/settings.rs
+++ b/crates/foxwheel-core/src/settings.rs
@@ -1,7 +1,8 @@
-//! Settings files: JSON, read once at start, checked with an error that names the field.
+//! Settings files: JSON files that are read and checked once when a process starts.
 //!
-//! Every process has its own settings type; each implements [`Check`] so that values which
-//! parse but make no sense (a zero timeout, an empty address) are refused before start.
+//! Each process has its own settings type, which implements [`Check`], so that values that parse
+//! but are not usable (a zero timeout, an empty address) are refused at startup with an error that
+//! names the field.
 
 use std::fmt;
 use std::path::Path;
@@ -14,47 +15,48 @@
     /// The file could not be read.
     #[error("cannot read settings file {path}: {source}")]
     Read {
-        /// The file's path as given.
+        /// Path of the file, as given.
         path: String,
-        /// The underlying I/O error.
+        /// Underlying I/O error.
         source: std::io::Error,
     },
-    /// The file is not valid JSON for this process, e.g. an unknown or missing field.
+    /// The file is not valid JSON or does not match the settings type, for example because of an
+    /// unknown or missing field.
     #[error("settings file {path} is not valid: {source}")]
     Parse {
-        /// The file's path as given.
+        /// Path of the file, as given.
         path: String,
-        /// serde_json's error, which gives the line, column and field.
+        /// Error of `serde_json`, which gives the line, the column and the field.
         source: serde_json::Error,
     },
-    /// Fields parsed but their values are refused.
+    /// The file could be parsed, but the values of some fields are not valid.
     #[error("settings file {path}: {problems}")]
     Invalid {
-        /// The file's path as given.
+        /// Path of the file, as given.
         path: String,
-        /// Every refused field.
+        /// All fields that are not valid.
         problems: Problems,
     },
 }
 
-/// A refused field, before the file's path is attached.
+/// A field whose value is not valid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FieldError {
-    /// The field's path, e.g. `engine_url`.
+    /// Path of the field within the settings, for example `engine_url`.
     pub field: String,
-    /// What is wrong with it, e.g. `must not be empty`.
+    /// What is wrong with the value, for example `must not be empty`.
     pub problem: String,
 }
 
-/// Every refused field, in the order of the checks; shown as one line.
+/// The fields that are not valid, in the order of the checks. They are displayed as one line.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Problems {
-    /// The refused fields.
+    /// The fields that are not valid.
     pub fields: Vec<FieldError>,
 }
 
 impl Problems {
-    /// Refuses `field` because of `problem`.
+    /// Records that the value of `field` is not valid because of `problem`.
     pub fn add(&mut self, field: impl Into<String>, problem: impl Into<String>) {
         self.fields.push(FieldError {
             field: field.into(),
@@ -62,14 +64,14 @@
         });
     }
 
-    /// Refuses an empty string field.
+    /// Records a problem if `value` is empty or consists of white space.
     pub fn require_non_empty(&mut self, field: &str, value: &str) {
         if value.trim().is_empty() {
             self.add(field, "must not be empty");
         }
     }
 
-    /// Refuses a zero duration or count.
+    /// Records a problem if `value`, a duration or a count, is zero.
     pub fn require_positive(&mut self, field: &str, value: u64) {
         if value == 0 {
             self.add(field, "must be greater than zero");
@@ -79,35 +81,32 @@
 
 impl fmt::Display for Problems {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, refused) in self.fields.iter().enumerate() {
-            let separator = if at == 0 { "" } else { "; " };
-            write!(
-                f,
-                "{separator}field `{}` {}",
-                refused.field, refused.problem
-            )?;
+        for (index, error) in self.fields.iter().enumerate() {
+            let separator = if index == 0 { "" } else { "; " };
+            write!(f, "{separator}field `{}` {}", error.field, error.problem)?;
         }
         Ok(())
     }
 }
 
-/// Checks that go beyond parsing.
+/// Checks of values beyond what parsing ensures.
 pub trait Check {
-    /// Adds every refused field to `problems`.
+    /// Adds every field whose value is not valid to `problems`.
     fn check(&self, problems: &mut Problems);
 }
 
-/// Reads, parses and checks a settings file.
+/// Reads, parses and checks a settings file. Returns an error if it cannot be read or parsed, or if
+/// a value is not valid.
 pub fn load<T: DeserializeOwned + Check>(path: &Path) -> Result<T, SettingsError> {
-    let shown = path.display().to_string();
+    let display_path = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
-        path: shown.clone(),
+        path: display_path.clone(),
         source,
     })?;
-    parse(&shown, &text)
+    parse(&display_path, &text)
 }
 
-/// Parses and checks settings text; `path` is only used in errors.
+/// Parses and checks the text of a settings file. `path` is used only in errors.
 pub fn parse<T: DeserializeOwned + Check>(path: &str, text: &str) -> Result<T, SettingsError> {
     let value: T = serde_json::from_str(text).map_err(|source| SettingsError::Parse {
         path: path.to_owned(),
--- a/crates/foxwheel-core/src/structured_log.rs
+++ b/crates/foxwheel-core/src/structured_log.rs
@@ -1,8 +1,8 @@
-//! Structured log lines on standard output, one JSON object a line.
+//! Structured logging to standard output, one JSON object per line.
 //!
-//! Lines are queued and written by a thread of their own, so a reader that stalls never
-//! blocks a request. When the queue fills, lines below `warn` are dropped first: the lines
-//! on failed requests are `warn` and keep the last half of the queue to themselves.
+//! Lines are queued and written by a separate thread, so that a stalled reader of the output never
+//! blocks a request. Lines below `warn` are dropped once the queue is half full. The other half is
+//! reserved for `warn` lines, which report failed requests.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -15,39 +15,42 @@
 use crate::ids::NodeId;
 use crate::time;
 
-/// Most lines that wait to be written: about two seconds of a busy gateway's lines.
-const QUEUE_LINES: usize = 2_048;
+/// Capacity of the queue in lines: about two seconds of the lines of a busy gateway.
+const QUEUE_CAPACITY_LINES: usize = 2_048;
 
-/// Waiting lines above which those below `warn` are dropped.
-const ROUTINE_QUEUE_LINES: usize = QUEUE_LINES / 2;
+/// Number of queued lines at which lines below `warn` are dropped.
+const BELOW_WARN_CAPACITY_LINES: usize = QUEUE_CAPACITY_LINES / 2;
 
-/// Pause between writes: one wake-up writes all lines of that time.
-const WRITE_EVERY: Duration = Duration::from_millis(100);
+/// Interval between writes. Each write contains all lines queued since the last one, which saves
+/// wake-ups of the thread.
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Logged unless `RUST_LOG` says otherwise; libraries' lines per call are left out.
+/// Log filter that applies if `RUST_LOG` is not set. It leaves out the lines that libraries log for
+/// each call.
 const DEFAULT_FILTER: &str = "info,tarpc=off,hyper=off";
 
+/// Counts of the lines in the queue and of the lines dropped since the last write.
 #[derive(Debug, Default)]
-struct Queue {
+struct QueueCounts {
     waiting: AtomicUsize,
     dropped: AtomicU64,
 }
 
-/// Hands whole lines to the writer's thread.
+/// Queues complete lines for the writer thread.
 struct QueueWriter {
     lines: mpsc::SyncSender<Vec<u8>>,
-    queue: Arc<Queue>,
+    counts: Arc<QueueCounts>,
 }
 
 impl Write for QueueWriter {
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
-        let routine = !line.starts_with(WARN_PREFIX);
-        let waiting = self.queue.waiting.load(Ordering::Relaxed);
-        let full = routine && waiting >= ROUTINE_QUEUE_LINES;
-        if full || self.lines.try_send(line.to_vec()).is_err() {
-            self.queue.dropped.fetch_add(1, Ordering::Relaxed);
+        let is_below_warn = !line.starts_with(WARN_PREFIX);
+        let waiting = self.counts.waiting.load(Ordering::Relaxed);
+        let is_full = is_below_warn && waiting >= BELOW_WARN_CAPACITY_LINES;
+        if is_full || self.lines.try_send(line.to_vec()).is_err() {
+            self.counts.dropped.fetch_add(1, Ordering::Relaxed);
         } else {
-            self.queue.waiting.fetch_add(1, Ordering::Relaxed);
+            self.counts.waiting.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -57,33 +60,36 @@
     }
 }
 
-/// How a line of level `warn` or above begins; the level is written first for this.
+/// Start of every line of level `warn` or above. The level is the first field so that
+/// [`QueueWriter`] can recognise these lines.
 const WARN_PREFIX: &[u8] = b"{\"level\":\"WARN";
 
-/// Starts structured logging for the process `node`. Later calls change nothing.
+/// Initialises structured logging for the process `node`. Later calls have no effect.
 pub fn init(node: NodeId) {
-    let (sender, lines) = mpsc::sync_channel(QUEUE_LINES);
-    let queue = Arc::new(Queue::default());
+    let (sender, lines) = mpsc::sync_channel(QUEUE_CAPACITY_LINES);
+    let counts = Arc::new(QueueCounts::default());
     let writer = QueueWriter {
         lines: sender,
-        queue: Arc::clone(&queue),
+        counts: Arc::clone(&counts),
     };
     let env = env_logger::Env::default().default_filter_or(DEFAULT_FILTER);
-    let started = env_logger::Builder::from_env(env)
+    let initialised = env_logger::Builder::from_env(env)
         .format(move |out, record| writeln!(out, "{}", encode(&node, record)))
         .target(env_logger::Target::Pipe(Box::new(writer)))
         .try_init();
-    if started.is_ok() {
-        std::thread::spawn(move || write_lines(&lines, &queue));
+    if initialised.is_ok() {
+        std::thread::spawn(move || write_lines(&lines, &counts));
     }
 }
 
-/// Waits until lines that were just written are out; call before the process ends.
+/// Waits until the lines logged so far have been written. Must be called before the process exits.
 pub fn flush() {
     log::logger().flush();
-    std::thread::sleep(WRITE_EVERY + WRITE_EVERY / 2);
+    std::thread::sleep(WRITE_INTERVAL + WRITE_INTERVAL / 2);
 }
 
+/// Encodes a record as a line of JSON. Errors get the level `warn`, so that they start with
+/// [`WARN_PREFIX`] too.
 fn encode(node: &str, record: &log::Record<'_>) -> String {
     struct Fields<'a>(&'a mut Map<String, Value>);
     impl<'kvs> kv::VisitSource<'kvs> for Fields<'_> {
@@ -102,7 +108,7 @@
         level => level,
     };
     let mut fields = Map::new();
-    // A value that cannot be shown is left out; the line itself must not be lost.
+    // If a value cannot be formatted, it is left out and the rest of the line is still logged.
     let _ = record.key_values().visit(&mut Fields(&mut fields));
     let fields = Value::Object(fields);
     let message = Value::from(record.args().to_string());
@@ -113,7 +119,8 @@
     )
 }
 
-fn write_lines(lines: &mpsc::Receiver<Vec<u8>>, queue: &Queue) {
+/// Writes queued lines to standard output until the sender is dropped.
+fn write_lines(lines: &mpsc::Receiver<Vec<u8>>, counts: &QueueCounts) {
     while let Ok(first) = lines.recv() {
         let mut block = first;
         let mut count = 1;
@@ -121,14 +128,14 @@
             block.extend_from_slice(&line);
             count += 1;
         }
-        queue.waiting.fetch_sub(count, Ordering::Relaxed);
-        let dropped = queue.dropped.swap(0, Ordering::Relaxed);
+        counts.waiting.fetch_sub(count, Ordering::Relaxed);
+        let dropped = counts.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
             let line = format!("{{\"level\":\"WARN\",\"message\":\"log lines dropped\",\"fields\":{{\"count\":{dropped}}}}}\n");
             block.extend_from_slice(line.as_bytes());
         }
-        // Nobody reads standard output any more: there is nowhere left to report it.
+        // This fails if nothing reads standard output any more; there is no other place to report it.
         let _ = std::io::stdout().write_all(&block);
-        std::thread::sleep(WRITE_EVERY);
+        std::thread::sleep(WRITE_INTERVAL);
     }
 }
--- a/crates/foxwheel-core/src/telemetry.rs
+++ b/crates/foxwheel-core/src/telemetry.rs
@@ -1,7 +1,8 @@
-//! Logs (`log` + `env_logger`) and counters (`cadence`).
+//! Logging (`log` and `env_logger`) and counters (`cadence`) of gateways, agents, emulators and
+//! test tools. Fronts and workers use [`structured_log`](crate::structured_log) instead.
 //!
-//! Counters go to a statsd sink over UDP when `statsd_addr` is set; totals are always kept.
-//! Log lines are kept for changes of state; everything per request is a counter.
+//! Log lines report changes of state; what happens for each request is counted instead. Counters
+//! are sent to a statsd server over UDP if `statsd_addr` is set, and totals are always kept.
 
 use std::net::UdpSocket;
 use std::sync::{Arc, Mutex};
@@ -9,18 +10,19 @@
 use cadence::prelude::*;
 use cadence::{NopMetricSink, StatsdClient, UdpMetricSink};
 
-/// A process's counters: sent to statsd as they are counted, and kept as totals since
-/// start for `GET /counters`.
+/// The counters of a process. Each event is sent to statsd, and totals since the start are kept for
+/// `GET /counters`.
 #[derive(Debug, Clone)]
 pub struct Counters {
     statsd: Arc<StatsdClient>,
-    /// Sorted by name.
+    /// Totals by counter, sorted by name.
     totals: Arc<Mutex<Vec<(&'static str, u64)>>>,
 }
 
 impl Counters {
-    /// Counters of `role`, named `foxwheel.<role>.<name>` in statsd; without `statsd_addr`
-    /// only totals are kept. A bad address is an error for the caller.
+    /// Creates the counters of a process with the given role, which are named
+    /// `foxwheel.<role>.<name>` in statsd. Without `statsd_addr` only totals are kept. Returns an
+    /// error if the address is not valid or no socket can be opened.
     pub fn new(role: &str, statsd_addr: Option<&str>) -> std::io::Result<Self> {
         Ok(Self {
             statsd: Arc::new(statsd_client(role, statsd_addr)?),
@@ -28,46 +30,47 @@
         })
     }
 
-    /// Counts one event.
+    /// Counts one event of the counter `name`.
     pub fn incr(&self, name: &'static str) {
         self.add(name, 1);
     }
 
-    /// Counts `n` events.
-    pub fn add(&self, name: &'static str, n: u64) {
+    /// Counts `count` events of the counter `name`.
+    pub fn add(&self, name: &'static str, count: u64) {
         let mut totals = self.totals.lock().expect("counters lock");
         match totals.binary_search_by_key(&name, |(name, _)| name) {
-            Ok(at) => totals[at].1 += n,
-            Err(at) => totals.insert(at, (name, n)),
+            Ok(index) => totals[index].1 += count,
+            Err(index) => totals.insert(index, (name, count)),
         }
         drop(totals);
-        // A counter that cannot be sent is lost; the total stays.
-        let _ = self.statsd.count(name, n);
+        // If sending fails, statsd misses this event, but the total includes it.
+        let _ = self.statsd.count(name, count);
     }
 
-    /// The total of one counter since start.
+    /// Returns the total of the counter `name` since the start.
     pub fn total(&self, name: &str) -> u64 {
         let totals = self.totals.lock().expect("counters lock");
         let found = totals.binary_search_by(|(known, _)| (*known).cmp(name));
-        found.map_or(0, |at| totals[at].1)
+        found.map_or(0, |index| totals[index].1)
     }
 
-    /// Every total since start, as a JSON object.
+    /// Returns all totals since the start as a JSON object.
     pub fn to_json(&self) -> serde_json::Value {
         let totals = self.totals.lock().expect("counters lock");
-        let pairs = totals.iter();
-        pairs
+        let entries = totals.iter();
+        entries
             .map(|(name, total)| ((*name).to_owned(), serde_json::Value::from(*total)))
             .collect::<serde_json::Map<_, _>>()
             .into()
     }
 }
 
-/// What is logged unless `RUST_LOG` says otherwise: changes of state. Libraries' lines per
-/// call or per broken connection are left out; both are counted.
+/// Log filter that applies if `RUST_LOG` is not set. It leaves out the lines that libraries log for
+/// each call or closed connection, which are counted instead.
 const DEFAULT_LOG_FILTER: &str = "info,tarpc=warn,actix_server=warn,actix_http=off";
 
-/// Starts logging at `info` unless `RUST_LOG` says otherwise.
+/// Initialises logging with `DEFAULT_LOG_FILTER` or the filter in `RUST_LOG`. Later calls have no
+/// effect.
 pub fn init_logging() {
     let env = env_logger::Env::default().default_filter_or(DEFAULT_LOG_FILTER);
     let _ = env_logger::Builder::from_env(env)
--- a/crates/foxwheel-core/src/time.rs
+++ b/crates/foxwheel-core/src/time.rs
@@ -1,8 +1,8 @@
-//! Wall-clock helpers: lease expiries in the store are absolute Unix times in milliseconds.
+//! Wall-clock time. Lease expiries in the store are Unix times in milliseconds.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Milliseconds since the Unix epoch, for lease expiries written to the store.
+/// Returns the milliseconds since the Unix epoch, or 0 if the clock is set before it.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/foxwheel-core/tests/http_contract.rs
+++ b/crates/foxwheel-core/tests/http_contract.rs
@@ -1,4 +1,4 @@
-//! How foxwheel's HTTP servers treat idle connections and graceful stops.
+//! Tests how `http::serve` handles idle connections and graceful stops.
 
 use std::time::Duration;
 
@@ -10,17 +10,18 @@
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nhost: test\r\n\r\n";
 
-fn start(cancel: &CancellationToken, answer_after: Duration) -> std::net::SocketAddr {
+/// Starts a server that responds to each request after `response_delay`.
+fn start_server(cancel: &CancellationToken, response_delay: Duration) -> std::net::SocketAddr {
     let (addr, server) = http::serve(
         "127.0.0.1:0",
         ServerOptions::default(),
         cancel.clone(),
         move || {
-            let answer = move || async move {
-                tokio::time::sleep(answer_after).await;
-                HttpResponse::Ok().body("answer")
+            let respond = move || async move {
+                tokio::time::sleep(response_delay).await;
+                HttpResponse::Ok().body("response")
             };
-            App::new().route("/", web::get().to(answer))
+            App::new().route("/", web::get().to(respond))
         },
     )
     .expect("server starts");
@@ -28,50 +29,52 @@
     addr
 }
 
-async fn read_answer(stream: &mut TcpStream) -> String {
-    let mut answer = String::new();
+/// Reads from `stream` until the response is complete or the connection is closed.
+async fn read_response(stream: &mut TcpStream) -> String {
+    let mut response = String::new();
     let mut buffer = [0; 1024];
-    while !answer.ends_with("answer") {
-        let n = stream.read(&mut buffer).await.expect("read");
-        if n == 0 {
+    while !response.ends_with("response") {
+        let read_bytes = stream.read(&mut buffer).await.expect("read");
+        if read_bytes == 0 {
             break;
         }
-        answer.push_str(&String::from_utf8_lossy(&buffer[..n]));
+        response.push_str(&String::from_utf8_lossy(&buffer[..read_bytes]));
     }
-    answer
+    response
 }
 
 #[actix_web::test]
-async fn an_idle_connection_outlives_the_pool_of_a_client() {
+async fn server_keeps_idle_connection_open() {
     let cancel = CancellationToken::new();
-    let addr = start(&cancel, Duration::ZERO);
+    let addr = start_server(&cancel, Duration::ZERO);
     let mut stream = TcpStream::connect(addr).await.expect("connect");
+    // The default of actix-web would close the connection after 5 s.
     for idle_s in [0, 6] {
         tokio::time::sleep(Duration::from_secs(idle_s)).await;
         stream.write_all(REQUEST).await.expect("write");
-        let answer = read_answer(&mut stream).await;
+        let response = read_response(&mut stream).await;
         assert!(
-            answer.starts_with("HTTP/1.1 200"),
-            "after {idle_s} s idle: {answer:?}"
+            response.starts_with("HTTP/1.1 200"),
+            "after {idle_s} s idle: {response:?}"
         );
     }
     cancel.cancel();
 }
 
 #[actix_web::test]
-async fn a_graceful_stop_finishes_what_is_in_flight() {
+async fn graceful_stop_finishes_requests_in_flight() {
     let cancel = CancellationToken::new();
-    let addr = start(&cancel, Duration::from_millis(500));
+    let addr = start_server(&cancel, Duration::from_millis(500));
     let mut stream = TcpStream::connect(addr).await.expect("connect");
     stream.write_all(REQUEST).await.expect("write");
     tokio::time::sleep(Duration::from_millis(100)).await;
     cancel.cancel();
-    let answer = read_answer(&mut stream).await;
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
+    let response = read_response(&mut stream).await;
+    assert!(response.starts_with("HTTP/1.1 200"), "{response:?}");
 }
 
 #[actix_web::test]
-async fn a_graceful_stop_does_not_wait_for_idle_connections() {
+async fn graceful_stop_does_not_wait_for_idle_connections() {
     let cancel = CancellationToken::new();
     let (addr, server) = http::serve(
         "127.0.0.1:0",
@@ -80,7 +83,7 @@
         || {
             App::new().route(
                 "/",
-                web::get().to(|| async { HttpResponse::Ok().body("answer") }),
+                web::get().to(|| async { HttpResponse::Ok().body("response") }),
             )
         },
     )
@@ -88,9 +91,10 @@
     let server = actix_web::rt::spawn(server);
     let mut stream = TcpStream::connect(addr).await.expect("connect");
     stream.write_all(REQUEST).await.expect("write");
-    read_answer(&mut stream).await;
+    read_response(&mut stream).await;
     cancel.cancel();
-    // Far below the shutdown timeout, far above what closing takes.
+    // Far shorter than the shutdown timeout (30 s) and far longer than it takes to close an idle
+    // connection.
     let stopped = tokio::time::timeout(Duration::from_secs(15), server).await;
     assert!(stopped.is_ok(), "the stop waited for an idle connection");
 }
