--- a/crates/foxwheel-node/src/event_stream.rs
+++ b/crates/foxwheel-node/src/event_stream.rs
@@ -58,9 +58,9 @@
 
 /// Returns the position after the first blank line.
 fn event_end(buffer: &[u8]) -> Option<usize> {
-    memchr::memchr_iter(b'\n', buffer).find_map(|at| match &buffer[at + 1..] {
-        [b'\n', ..] => Some(at + 2),
-        [b'\r', b'\n', ..] => Some(at + 3),
+    memchr::memchr_iter(b'\n', buffer).find_map(|index| match &buffer[index + 1..] {
+        [b'\n', ..] => Some(index + 2),
+        [b'\r', b'\n', ..] => Some(index + 3),
         _ => None,
     })
 }
--- a/crates/foxwheel-node/src/metrics.rs
+++ b/crates/foxwheel-node/src/metrics.rs
@@ -40,8 +40,8 @@
             .counters
             .binary_search_by(|(n, _)| n.as_str().cmp(name));
         match found {
-            Ok(at) => self.counters[at].1 += value,
-            Err(at) => self.counters.insert(at, (name.to_owned(), value)),
+            Ok(index) => self.counters[index].1 += value,
+            Err(index) => self.counters.insert(index, (name.to_owned(), value)),
         }
     }
 
@@ -49,14 +49,14 @@
         let found = self
             .timers_ms
             .binary_search_by(|(n, _)| n.as_str().cmp(name));
-        let at = found.unwrap_or_else(|at| {
+        let index = found.unwrap_or_else(|index| {
             let empty = Histogram::new(SIGNIFICANT_DIGITS).expect("a valid precision");
-            self.timers_ms.insert(at, (name.to_owned(), empty));
-            at
+            self.timers_ms.insert(index, (name.to_owned(), empty));
+            index
         });
         // The histogram resizes itself. Recording fails only for a value beyond its maximum range,
         // which no duration reaches.
-        let _ = self.timers_ms[at].1.record(value_ms);
+        let _ = self.timers_ms[index].1.record(value_ms);
     }
 }
 
--- a/crates/foxwheel-node/src/quarantine_store.rs
+++ b/crates/foxwheel-node/src/quarantine_store.rs
@@ -101,8 +101,8 @@
             match save_content(node, &content).await {
                 Ok(()) => {
                     log::info!(content; "quarantine saved");
-                    let at = saved.partition_point(|known| *known < content);
-                    saved.insert(at, content);
+                    let index = saved.partition_point(|known| *known < content);
+                    saved.insert(index, content);
                     backoff = Backoff::default();
                 }
                 Err(e) => {
--- a/crates/foxwheel-node/src/request_quarantine.rs
+++ b/crates/foxwheel-node/src/request_quarantine.rs
@@ -118,17 +118,17 @@
         )
         .await;
         for (addr, digest) in node.peers.quarantine_states(Instant::now()) {
-            let at = fetched.partition_point(|(peer, _)| *peer < addr);
-            let is_fetched = fetched.get(at) == Some(&(addr, digest));
+            let index = fetched.partition_point(|(peer, _)| *peer < addr);
+            let is_fetched = fetched.get(index) == Some(&(addr, digest));
             if digest == 0 || digest == node.quarantine_digest() || is_fetched {
                 continue;
             }
             if !fetch_crash_reports(node, addr).await {
                 continue;
             }
-            match fetched.get_mut(at).filter(|(peer, _)| *peer == addr) {
+            match fetched.get_mut(index).filter(|(peer, _)| *peer == addr) {
                 Some(entry) => entry.1 = digest,
-                None => fetched.insert(at, (addr, digest)),
+                None => fetched.insert(index, (addr, digest)),
             }
         }
         tokio::time::sleep(MIN_DIGEST_CHECK_INTERVAL).await;
--- a/crates/foxwheel-node/src/service_hold_times.rs
+++ b/crates/foxwheel-node/src/service_hold_times.rs
@@ -64,16 +64,16 @@
     ) -> T {
         let mut entries = self.0.lock().expect("service hold times lock");
         let found = entries.binary_search_by(|entry| entry.service.cmp(service));
-        let at = found.unwrap_or_else(|at| {
+        let index = found.unwrap_or_else(|index| {
             let entry = ServiceEntry {
                 service: service.clone(),
                 hold_time: MovingAverage::default(),
                 retry_schedule: RetrySchedule::default(),
             };
-            entries.insert(at, entry);
-            at
+            entries.insert(index, entry);
+            index
         });
-        update(&mut entries[at])
+        update(&mut entries[index])
     }
 }
 
--- a/crates/foxwheel-node/tests/abandoned_requests.rs
+++ b/crates/foxwheel-node/tests/abandoned_requests.rs
@@ -57,7 +57,10 @@
 
 /// Returns whether a request reached any server.
 fn has_arrived(fleet: &Fleet, request_id: &str) -> bool {
-    let arrivals = fleet.servers.iter().flat_map(|one| one.runs.arrivals());
+    let arrivals = fleet
+        .servers
+        .iter()
+        .flat_map(|server| server.runs.arrivals());
     let mut ids = arrivals.map(|arrival| arrival.request_id);
     ids.any(|id| id == request_id)
 }
--- a/crates/foxwheel-node/tests/crashing_requests_randomised.rs
+++ b/crates/foxwheel-node/tests/crashing_requests_randomised.rs
@@ -66,9 +66,9 @@
         }
         match rng.random_range(0..12) {
             0 | 1 => {
-                let at = rng.random_range(0..fleet.processes.len());
-                fleet.restart(at).await;
-                let addr = fleet.processes[at].settings.caller_address;
+                let index = rng.random_range(0..fleet.processes.len());
+                fleet.restart(index).await;
+                let addr = fleet.processes[index].settings.caller_address;
                 let mut starts = starts.lock().expect("starts lock");
                 let front = starts.iter_mut().find(|(front, _)| Some(*front) == addr);
                 if let Some(front) = front {
--- a/crates/foxwheel-node/tests/explain_failures.rs
+++ b/crates/foxwheel-node/tests/explain_failures.rs
@@ -123,8 +123,8 @@
         .await;
     fleet.add_server(slow).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let callers = (0..30).map(|at| async move {
-        let id = format!("load-{at}");
+    let callers = (0..30).map(|index| async move {
+        let id = format!("load-{index}");
         let mut connection = common::connect(front).await.expect("connected");
         let request = common::build_request(Method::POST, "/stream-once/a", &id, &[], "");
         let response = connection.send(request).await.expect("a response");
@@ -175,16 +175,16 @@
     assert!(explanation.contains("failures=3"), "{explanation}");
 
     // Both workers run jobs. The first one is killed without a graceful stop.
-    for at in 0..6 {
-        submit_job(front, &format!("late-{at}"), 4)
+    for index in 0..6 {
+        submit_job(front, &format!("late-{index}"), 4)
             .await
             .expect("a response");
     }
     tokio::time::sleep(Duration::from_millis(400)).await;
     processes[1].child.kill().expect("killed");
     let mut adopted = 0;
-    for at in 0..6 {
-        let job = format!("late-{at}");
+    for index in 0..6 {
+        let job = format!("late-{index}");
         wait_for_results(front, &job, 4).await;
         let explanation = wait_for_explanation(&job, &processes, "results stored").await;
         let cause = explanation.lines().last().expect("a cause");
--- a/crates/foxwheel-node/tests/herd_restart.rs
+++ b/crates/foxwheel-node/tests/herd_restart.rs
@@ -80,8 +80,8 @@
 #[actix_web::test]
 async fn accepted_jobs_survive_a_restart_of_all_processes_within_the_call_limit() {
     let mut fleet = start_fleet().await;
-    for (at, job) in ["job-a", "job-b"].iter().enumerate() {
-        let accepted = submit_job(fleet.fronts[at], job, ITEMS)
+    for (index, job) in ["job-a", "job-b"].iter().enumerate() {
+        let accepted = submit_job(fleet.fronts[index], job, ITEMS)
             .await
             .expect("a response");
         assert_eq!(accepted.status, StatusCode::ACCEPTED);
--- a/crates/foxwheel-node/tests/moving_route.rs
+++ b/crates/foxwheel-node/tests/moving_route.rs
@@ -110,12 +110,12 @@
         let mut rng = StdRng::seed_from_u64(round);
         let (old_version, new_version) = (3 + round, 4 + round);
         let front = fleet.fronts[0];
-        let early = (0..CONCURRENT_REQUESTS).map(|at| {
-            let path = ["/plain/", "/once/"][at % 2];
+        let early = (0..CONCURRENT_REQUESTS).map(|index| {
+            let path = ["/plain/", "/once/"][index % 2];
             let delay = Duration::from_millis(rng.random_range(0..120));
             async move {
                 tokio::time::sleep(delay).await;
-                send_request(front, path, format!("early-{round}-{at}")).await
+                send_request(front, path, format!("early-{round}-{index}")).await
             }
         });
         let early = futures::future::join_all(early.collect::<Vec<_>>());
@@ -124,7 +124,7 @@
             move_routes(&fleet, new_version).await;
             wait_until_in_force(&fleet, new_version).await;
             let late = (0..CONCURRENT_REQUESTS)
-                .map(|at| send_request(front, "/once/", format!("late-{round}-{at}")));
+                .map(|index| send_request(front, "/once/", format!("late-{round}-{index}")));
             futures::future::join_all(late).await
         };
         let (early, late) = tokio::join!(early, move_and_send);
--- a/crates/foxwheel-node/tests/online_contract.rs
+++ b/crates/foxwheel-node/tests/online_contract.rs
@@ -136,8 +136,8 @@
         ),
     ];
     let fleet = Fleet::start(plain_plan(1)).await;
-    for (at, case) in cases.iter().enumerate() {
-        let id = format!("request-{at}");
+    for (index, case) in cases.iter().enumerate() {
+        let id = format!("request-{index}");
         fleet.servers[0].script.extend(case.faults.iter().copied());
         let response = call(fleet.fronts[0], Method::POST, case.path, &id, &[], "body").await;
         let response = response.unwrap_or_else(|e| panic!("{}: {e}", case.name));
@@ -180,8 +180,8 @@
 #[actix_web::test]
 async fn request_with_too_little_time_left_is_not_sent() {
     let fleet = Fleet::start(plain_plan(1)).await;
-    for (at, path) in ["/plain/a", "/once/a", "/stream/a"].iter().enumerate() {
-        let id = format!("short-{at}");
+    for (index, path) in ["/plain/a", "/once/a", "/stream/a"].iter().enumerate() {
+        let id = format!("short-{index}");
         let headers = [("x-deadline-ms", "8")];
         let response = call(fleet.fronts[0], Method::POST, path, &id, &headers, "").await;
         let response = response.expect("a response");
@@ -256,8 +256,8 @@
         ..FleetPlan::default()
     })
     .await;
-    for (at, (name, faults, runs)) in cases.iter().enumerate() {
-        let id = format!("stream-{at}");
+    for (index, (name, faults, runs)) in cases.iter().enumerate() {
+        let id = format!("stream-{index}");
         fleet.servers[0].script.extend(faults.iter().copied());
         let response = call(fleet.fronts[0], Method::POST, "/stream/a", &id, &[], "").await;
         let response = response.unwrap_or_else(|e| panic!("{name}: {e}"));
@@ -299,11 +299,11 @@
         ..FleetPlan::default()
     })
     .await;
-    for (at, fault) in [BreakAfter(0), BreakAfter(2), BreakWithin(2), LoseAnswer]
+    for (index, fault) in [BreakAfter(0), BreakAfter(2), BreakWithin(2), LoseAnswer]
         .iter()
         .enumerate()
     {
-        let id = format!("once-{at}");
+        let id = format!("once-{index}");
         fleet.servers[0].script.extend([*fault]);
         let response = call(
             fleet.fronts[0],
@@ -404,8 +404,8 @@
     let failing = &fleet.servers[0].script;
     failing.extend(std::iter::repeat_n(Fault::Fail, 200));
     let mut failed = 0;
-    for at in 0..60 {
-        let id = format!("once-{at}");
+    for index in 0..60 {
+        let id = format!("once-{index}");
         let response = call(fleet.fronts[0], Method::POST, "/once/a", &id, &[], "x").await;
         let status = response.expect("a response").status;
         failed += usize::from(status == StatusCode::INTERNAL_SERVER_ERROR);
--- a/crates/foxwheel-node/tests/restarted_servers.rs
+++ b/crates/foxwheel-node/tests/restarted_servers.rs
@@ -33,8 +33,8 @@
 
 /// Sends `count` requests and asserts that each is served. Returns how many ran at `server`.
 async fn serve_requests(front: SocketAddr, name: &str, count: usize, server: &Server) -> usize {
-    for at in 0..count {
-        let id = format!("{name}-{at}");
+    for index in 0..count {
+        let id = format!("{name}-{index}");
         let response = call(front, Method::POST, "/once/a", &id, &[], "").await;
         assert_eq!(response.expect("a response").status, StatusCode::OK, "{id}");
     }
@@ -55,10 +55,10 @@
         ..FleetPlan::default()
     })
     .await;
-    for at in 0..8 {
-        let restarted = start_server(&fleet, &format!("restarted-{at}")).await;
+    for index in 0..8 {
+        let restarted = start_server(&fleet, &format!("restarted-{index}")).await;
         fleet
-            .register_server(&format!("listed-{at}"), restarted.addr, "ready")
+            .register_server(&format!("listed-{index}"), restarted.addr, "ready")
             .await;
     }
     tokio::time::sleep(LIST_CHANGE_DELAY).await;
@@ -90,10 +90,10 @@
         entry_without("slots"),
         server_entry(addr, "asleep"),
     ];
-    for (at, spec) in invalid_entries.iter().enumerate() {
+    for (index, spec) in invalid_entries.iter().enumerate() {
         fleet.write_server_entry("server-0", spec).await;
         tokio::time::sleep(LIST_CHANGE_DELAY).await;
-        let name = format!("invalid-{at}");
+        let name = format!("invalid-{index}");
         let run_count = serve_requests(fleet.fronts[0], &name, 6, &fleet.servers[0]).await;
         assert_eq!(run_count, 0, "requests ran at the server of entry {spec}");
     }
@@ -106,8 +106,9 @@
     );
     fleet.register_server("server-0", addr, "ready").await;
     tokio::time::sleep(LIST_CHANGE_DELAY).await;
-    for (at, front) in [fleet.fronts[0], late_front].into_iter().enumerate() {
-        let run_count = serve_requests(front, &format!("valid-{at}"), 12, &fleet.servers[0]).await;
+    for (index, front) in [fleet.fronts[0], late_front].into_iter().enumerate() {
+        let run_count =
+            serve_requests(front, &format!("valid-{index}"), 12, &fleet.servers[0]).await;
         assert!(run_count > 0, "the server is not used again");
     }
     fleet.cancel.cancel();
--- a/crates/foxwheel-node/tests/untrusted_input.rs
+++ b/crates/foxwheel-node/tests/untrusted_input.rs
@@ -26,8 +26,8 @@
     };
     let count = children.len();
     if count > 0 && source.ratio(4, 5)? {
-        let at = source.choose_index(count)?;
-        let chosen = children.into_iter().nth(at);
+        let index = source.choose_index(count)?;
+        let chosen = children.into_iter().nth(index);
         return chosen.map_or(Ok(()), |chosen| corrupt_part(source, chosen));
     }
     let unusual = [
