--- a/crates/foxwheel-http1/src/connection.rs
+++ b/crates/foxwheel-http1/src/connection.rs
@@ -20,7 +20,7 @@
 
 /// How a connection ends whose exchange was given up before it was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum GivenUp {
+pub enum AbandonAction {
     /// It is closed in order: the kernel goes on delivering the request.
     Close,
     /// It is reset: a request that has not arrived never will.
@@ -46,14 +46,14 @@
     /// and what has not arrived never will.
     pub unacknowledged_timeout: Duration,
     /// What becomes of an exchange that was given up.
-    pub given_up: GivenUp,
+    pub on_abandon: AbandonAction,
 }
 
 impl ConnectOptions {
     /// How long after its last exchange a connection may carry another one. A connection that
     /// ends by unanswered probes may still deliver what was written to it since, so the bound
     /// on unacknowledged bytes must end it first.
-    pub fn reuse_within(&self) -> Duration {
+    pub fn max_reusable_idle(&self) -> Duration {
         let probes_fail_after = PROBE_EVERY * (PROBES + 1);
         probes_fail_after.saturating_sub(self.unacknowledged_timeout + TIMER_SLACK)
     }
@@ -80,7 +80,7 @@
     },
     /// The request was written and no whole answer came: the peer may have acted on it.
     #[error("no whole answer {origin}: {}", WithCauses(source))]
-    Broken {
+    NoCompleteResponse {
         /// The step and the peer's address.
         origin: Origin,
         /// hyper's error.
@@ -91,7 +91,7 @@
 impl ExchangeError {
     /// Whether the peer certainly never received the request.
     pub fn is_not_sent(&self) -> bool {
-        !matches!(self, Self::Broken { .. })
+        !matches!(self, Self::NoCompleteResponse { .. })
     }
 }
 
@@ -100,7 +100,7 @@
 #[derive(Debug)]
 pub struct Connection {
     peer: SocketAddr,
-    given_up: GivenUp,
+    on_abandon: AbandonAction,
     unanswered: Unanswered,
     sender: http1::SendRequest<RequestBody>,
     driver: JoinHandle<()>,
@@ -108,21 +108,21 @@
 
 /// What a peer's kernel makes of a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Listening {
+pub enum ListenerStatus {
     /// It opens it.
-    Accepts,
+    Accepting,
     /// It refuses it: nothing listens there.
-    Refuses,
+    Refusing,
     /// Neither came in time.
-    NoAnswer,
+    NoResponse,
 }
 
 /// Whether something listens at `peer`, found out by a connection that is closed at once.
-pub async fn listening(peer: SocketAddr, timeout: Duration) -> Listening {
+pub async fn probe_listener(peer: SocketAddr, timeout: Duration) -> ListenerStatus {
     match tokio::time::timeout(timeout, TcpStream::connect(peer)).await {
-        Ok(Ok(_)) => Listening::Accepts,
-        Ok(Err(e)) if e.kind() == std::io::ErrorKind::ConnectionRefused => Listening::Refuses,
-        Ok(Err(_)) | Err(_) => Listening::NoAnswer,
+        Ok(Ok(_)) => ListenerStatus::Accepting,
+        Ok(Err(e)) if e.kind() == std::io::ErrorKind::ConnectionRefused => ListenerStatus::Refusing,
+        Ok(Err(_)) | Err(_) => ListenerStatus::NoResponse,
     }
 }
 
@@ -151,7 +151,7 @@
         });
         Ok(Self {
             peer,
-            given_up: options.given_up,
+            on_abandon: options.on_abandon,
             unanswered,
             sender,
             driver,
@@ -179,7 +179,7 @@
         request: Request<RequestBody>,
     ) -> Result<Response<Incoming>, ExchangeError> {
         let origin = Origin::new("exchange", self.peer.to_string());
-        self.unanswered.set(self.given_up == GivenUp::Reset);
+        self.unanswered.set(self.on_abandon == AbandonAction::Reset);
         let answer = self.sender.try_send_request(request).await;
         let answer = answer.map_err(|mut failed| {
             let returned = failed.take_message().is_some();
@@ -187,7 +187,7 @@
             if returned {
                 ExchangeError::NotSent { origin, source }
             } else {
-                ExchangeError::Broken { origin, source }
+                ExchangeError::NoCompleteResponse { origin, source }
             }
         })?;
         self.unanswered.set(false);
--- a/crates/foxwheel-http1/src/pool.rs
+++ b/crates/foxwheel-http1/src/pool.rs
@@ -33,7 +33,7 @@
 
 /// A connection taken from the pool or newly opened.
 #[derive(Debug)]
-pub struct Lease {
+pub struct PooledConnection {
     /// The connection.
     pub connection: Connection,
     /// Whether it was opened for this exchange.
@@ -50,15 +50,19 @@
     }
 
     /// An idle connection to `peer` at `addr`, or a new one.
-    pub async fn take(&self, peer: &K, addr: SocketAddr) -> Result<Lease, ExchangeError> {
+    pub async fn acquire(
+        &self,
+        peer: &K,
+        addr: SocketAddr,
+    ) -> Result<PooledConnection, ExchangeError> {
         if let Some(connection) = self.take_idle(peer, addr) {
-            return Ok(Lease {
+            return Ok(PooledConnection {
                 connection,
                 is_new: false,
             });
         }
         let connection = Connection::open(addr, self.options).await?;
-        Ok(Lease {
+        Ok(PooledConnection {
             connection,
             is_new: true,
         })
@@ -66,13 +70,13 @@
 
     /// Gives back a connection to `peer` whose exchange ended whole. `idle_timeout` is what the peer
     /// announced.
-    pub fn put(&self, peer: &K, connection: Connection, idle_timeout: Option<Duration>) {
+    pub fn release(&self, peer: &K, connection: Connection, idle_timeout: Option<Duration>) {
         let usable = idle_timeout.map_or(UNANNOUNCED_IDLE, |timeout| {
             timeout.saturating_sub(IDLE_MARGIN)
         });
         let idle = Idle {
             connection,
-            usable_until: Instant::now() + usable.min(self.options.reuse_within()),
+            usable_until: Instant::now() + usable.min(self.options.max_reusable_idle()),
         };
         let mut peers = self.idle.lock().expect("pool lock");
         match peers.binary_search_by(|(known, _)| known.cmp(peer)) {
--- a/crates/foxwheel-http1/tests/connection.rs
+++ b/crates/foxwheel-http1/tests/connection.rs
@@ -4,7 +4,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use foxwheel_http1::connection::{ConnectOptions, Connection, GivenUp, RequestBody};
+use foxwheel_http1::connection::{AbandonAction, ConnectOptions, Connection, RequestBody};
 use http_body_util::BodyExt;
 use hyper::Request;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -13,7 +13,7 @@
 const OPTIONS: ConnectOptions = ConnectOptions {
     connect_timeout: Duration::from_secs(5),
     unacknowledged_timeout: Duration::from_secs(5),
-    given_up: GivenUp::Reset,
+    on_abandon: AbandonAction::Reset,
 };
 
 /// A connection and the peer's end of it.
--- a/crates/foxwheel-http1/tests/pool.rs
+++ b/crates/foxwheel-http1/tests/pool.rs
@@ -3,14 +3,14 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 
-use foxwheel_http1::connection::{ConnectOptions, GivenUp};
+use foxwheel_http1::connection::{AbandonAction, ConnectOptions};
 use foxwheel_http1::pool::Pool;
 use tokio::net::TcpListener;
 
 const OPTIONS: ConnectOptions = ConnectOptions {
     connect_timeout: Duration::from_secs(5),
     unacknowledged_timeout: Duration::from_millis(700),
-    given_up: GivenUp::Reset,
+    on_abandon: AbandonAction::Reset,
 };
 
 /// What the peer announces: far longer than any wait here.
@@ -22,11 +22,11 @@
     let listener = TcpListener::bind(any).await.expect("an address");
     let addr = listener.local_addr().expect("an address");
     let pool = Pool::new(OPTIONS);
-    let first = pool.take(&"peer", addr).await.expect("connected");
-    pool.put(&"peer", first.connection, ANNOUNCED);
+    let first = pool.acquire(&"peer", addr).await.expect("connected");
+    pool.release(&"peer", first.connection, ANNOUNCED);
     let put_at = Instant::now();
     tokio::time::sleep(idle).await;
-    let taken = pool.take(&"peer", addr).await.expect("connected");
+    let taken = pool.acquire(&"peer", addr).await.expect("connected");
     (!taken.is_new, put_at.elapsed())
 }
 
--- a/crates/foxwheel-node/src/attempt.rs
+++ b/crates/foxwheel-node/src/attempt.rs
@@ -119,7 +119,7 @@
     let sent_at = Instant::now();
     let mut is_new = true;
     let exchange = async {
-        let mut lease = node.pool.take(server, addr).await?;
+        let mut lease = node.pool.acquire(server, addr).await?;
         is_new = lease.is_new;
         if is_new {
             node.metrics.incr(Counter::ServerConnection);
@@ -145,7 +145,7 @@
         Some(Ok(None)) => return Err(Failure::no_new_work()),
         Some(Err(e)) => {
             record_exchange_error(node, server, &e, is_new);
-            if matches!(e, ExchangeError::Broken { .. }) {
+            if matches!(e, ExchangeError::NoCompleteResponse { .. }) {
                 let cut_off = CutOffRequest {
                     server: server.clone(),
                     request_id: target.request_id,
@@ -275,7 +275,7 @@
         }
         if !decoded_head.closes_connection {
             node.pool
-                .put(&server, connection, decoded_head.idle_timeout);
+                .release(&server, connection, decoded_head.idle_timeout);
         }
     }
 }
@@ -340,7 +340,7 @@
     match error {
         ExchangeError::Connect { .. } => mark_suspected(node, server, "no connection"),
         ExchangeError::NotSent { .. } if !is_new => {}
-        ExchangeError::NotSent { .. } | ExchangeError::Broken { .. } => {
+        ExchangeError::NotSent { .. } | ExchangeError::NoCompleteResponse { .. } => {
             node.loads.record_outcome(server, true, Instant::now());
         }
     }
--- a/crates/foxwheel-node/src/node.rs
+++ b/crates/foxwheel-node/src/node.rs
@@ -7,7 +7,7 @@
 
 use foxwheel_core::ids::{Incarnation, NodeId, ServiceName, Zone};
 use foxwheel_core::time;
-use foxwheel_http1::connection::{ConnectOptions, GivenUp};
+use foxwheel_http1::connection::{AbandonAction, ConnectOptions};
 use foxwheel_http1::pool::Pool;
 use foxwheel_policy::batch::ownership::{ClaimStatus, JobClaim};
 use foxwheel_policy::config_in_force::ConfigInForce;
@@ -39,7 +39,7 @@
     // too late to be of use.
     connect_timeout: Duration::from_millis(250),
     unacknowledged_timeout: drain_timing::MAX_TRANSIT_TIME,
-    given_up: GivenUp::Reset,
+    on_abandon: AbandonAction::Reset,
 };
 
 /// The shared state of a front or worker.
--- a/crates/foxwheel-node/src/server_probe.rs
+++ b/crates/foxwheel-node/src/server_probe.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use foxwheel_core::ids::RequestId;
-use foxwheel_http1::connection::{self, Listening};
+use foxwheel_http1::connection::{self, ListenerStatus};
 use foxwheel_policy::membership::{BackendServer, ServerInstance, ServerState};
 use foxwheel_policy::quarantine::ObservedCrash;
 use foxwheel_policy::zone_loads;
@@ -74,9 +74,9 @@
 
 async fn probe_liveness(server: &BackendServer) -> ServerLiveness {
     tokio::time::sleep(PROBE_DELAY).await;
-    match connection::listening(server.addr, CONNECT_TIMEOUT).await {
-        Listening::Refuses => ServerLiveness::Ended,
-        Listening::Accepts => ServerLiveness::Lives,
-        Listening::NoAnswer => ServerLiveness::Unknown,
+    match connection::probe_listener(server.addr, CONNECT_TIMEOUT).await {
+        ListenerStatus::Refusing => ServerLiveness::Ended,
+        ListenerStatus::Accepting => ServerLiveness::Lives,
+        ListenerStatus::NoResponse => ServerLiveness::Unknown,
     }
 }
--- a/crates/foxwheel-soak/src/front_client.rs
+++ b/crates/foxwheel-soak/src/front_client.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use foxwheel_http1::connection::{ConnectOptions, Connection, ExchangeError, GivenUp};
+use foxwheel_http1::connection::{AbandonAction, ConnectOptions, Connection, ExchangeError};
 use foxwheel_platform::online as names;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -17,7 +17,7 @@
 const OPTIONS: ConnectOptions = ConnectOptions {
     connect_timeout: Duration::from_secs(1),
     unacknowledged_timeout: Duration::from_secs(5),
-    given_up: GivenUp::Close,
+    on_abandon: AbandonAction::Close,
 };
 
 /// An answer as its caller saw it.
