--- a/crates/foxwheel-ctl/src/burn.rs
+++ b/crates/foxwheel-ctl/src/burn.rs
@@ -16,7 +16,7 @@
 
 /// Requests of one kind, by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct RequestCounts {
     /// Answered whole and in time.
     pub on_time: u64,
     /// Answered whole, later.
@@ -27,7 +27,7 @@
     pub failed: u64,
 }
 
-impl Tally {
+impl RequestCounts {
     /// All of them.
     pub fn total(&self) -> u64 {
         self.on_time + self.late + self.refused + self.failed
@@ -54,19 +54,19 @@
 }
 
 /// The tally of `kind` over the metrics of several processes, each as it serves them.
-pub fn tally(kind: RequestKind, pages: &[String]) -> Tally {
-    let mut tally = Tally::default();
+pub fn count_requests(kind: RequestKind, pages: &[String]) -> RequestCounts {
+    let mut counts = RequestCounts::default();
     for outcome in RequestOutcome::ALL {
         let counter = Counter::Request(kind, outcome).name();
         let name = format!("{}.{counter}", metric_names::PREFIX);
         let lines = pages.iter().flat_map(|page| page.lines());
         let values = lines.filter_map(|line| line.split_once(' '));
-        *tally.of(outcome) = values
+        *counts.of(outcome) = values
             .filter(|(key, _)| *key == name)
             .filter_map(|(_, value)| value.trim().parse::<u64>().ok())
             .sum();
     }
-    tally
+    counts
 }
 
 /// The report over files that hold what `GET /metrics` of each front answered.
@@ -75,17 +75,17 @@
     let pages: Vec<String> = pages.collect::<Result<_, _>>()?;
     let mut report = format!("target: {target} of requests on time; burn 1 spends the budget\n");
     for kind in RequestKind::ALL {
-        let tally = tally(kind, &pages);
+        let counts = count_requests(kind, &pages);
         let _ = writeln!(
             report,
             "{:<14} requests {:>8} on time {:>8} late {:>6} refused {:>6} failed {:>6} burn {:.2}",
             kind.name(),
-            tally.total(),
-            tally.on_time,
-            tally.late,
-            tally.refused,
-            tally.failed,
-            tally.burn_rate(target),
+            counts.total(),
+            counts.on_time,
+            counts.late,
+            counts.refused,
+            counts.failed,
+            counts.burn_rate(target),
         );
     }
     Ok(report)
--- a/crates/foxwheel-node/tests/metrics_contract.rs
+++ b/crates/foxwheel-node/tests/metrics_contract.rs
@@ -6,7 +6,7 @@
 use common::{call, Fleet, FleetPlan};
 use foxwheel_core::metric_names::{Counter, RequestKind, RequestOutcome, StoreCall, Timer};
 use foxwheel_core::metric_names::{RefusalReason, PREFIX};
-use foxwheel_ctl::burn::{self, Tally};
+use foxwheel_ctl::burn::{self, RequestCounts};
 use foxwheel_node::metrics::Metrics;
 use foxwheel_server_emu::faults::Fault;
 use hyper::{Method, StatusCode};
@@ -145,17 +145,17 @@
         refused = send("/once/a", "refused").await.expect("a response").status;
     }
     let pages = [fetch_metrics(&fleet.processes[0]).await];
-    let once = burn::tally(RequestKind::NonIdempotent, &pages);
+    let once = burn::count_requests(RequestKind::NonIdempotent, &pages);
     assert_eq!((once.failed, once.refused), (2, 1), "{}", pages[0]);
     assert!(once.on_time + once.late >= 1);
-    let streams = burn::tally(RequestKind::Stream, &pages);
+    let streams = burn::count_requests(RequestKind::Stream, &pages);
     assert_eq!((streams.total(), streams.failed), (2, 1));
     // A starting front also refuses requests until it has received the list of servers. These
     // refusals are in the first page.
     let without_server = |page| counter_value(page, "refused.no_server");
     assert_eq!(without_server(&pages[0]) - without_server(&before), 1);
-    let plain_before = burn::tally(RequestKind::Idempotent, &[before]);
-    let plain = burn::tally(RequestKind::Idempotent, &pages);
+    let plain_before = burn::count_requests(RequestKind::Idempotent, &[before]);
+    let plain = burn::count_requests(RequestKind::Idempotent, &pages);
     assert_eq!(plain.late - plain_before.late, 1);
     fleet.cancel.cancel();
 }
@@ -185,14 +185,14 @@
         "foxwheel.request.stream.on_time 90\nfoxwheel.request.stream.late 4\n".to_owned(),
         "foxwheel.request.stream.refused 5\nfoxwheel.request.stream.failed 1\n".to_owned(),
     ];
-    let tally = burn::tally(RequestKind::Stream, &pages);
-    let expected = Tally {
+    let counts = burn::count_requests(RequestKind::Stream, &pages);
+    let expected = RequestCounts {
         on_time: 90,
         late: 4,
         refused: 5,
         failed: 1,
     };
-    assert_eq!(tally, expected);
-    assert!((tally.burn_rate(0.95) - 2.0).abs() < 1e-9);
-    assert_eq!(Tally::default().burn_rate(0.95), 0.0);
+    assert_eq!(counts, expected);
+    assert!((counts.burn_rate(0.95) - 2.0).abs() < 1e-9);
+    assert_eq!(RequestCounts::default().burn_rate(0.95), 0.0);
 }
