--- a/crates/foxwheel-gateway/src/batch/intake.rs
+++ b/crates/foxwheel-gateway/src/batch/intake.rs
@@ -145,7 +145,7 @@
     loop {
         match store.put(key, value, Some(0)).await {
             Ok(_) | Err(StoreError::Conflict { .. }) => return Ok(()),
-            Err(StoreError::Busy { .. }) if busy < BUSY_TRIES => {
+            Err(StoreError::RateLimited { .. }) if busy < BUSY_TRIES => {
                 busy += 1;
                 tokio::time::sleep(BUSY_PAUSE.mul_f64(0.5 + rand::random::<f64>())).await;
             }
--- a/crates/foxwheel-gateway/src/server.rs
+++ b/crates/foxwheel-gateway/src/server.rs
@@ -68,7 +68,7 @@
 ) -> HttpResponse {
     let found = state.reflectors.iter().find(|r| r.prefix() == query.prefix);
     match found {
-        Some(reflector) => HttpResponse::Ok().json(reflector.to_list()),
+        Some(reflector) => HttpResponse::Ok().json(reflector.to_list_response()),
         None => HttpResponse::NotFound().body("no copy of this prefix"),
     }
 }
--- a/crates/foxwheel-platform-emu/tests/store_contract.rs
+++ b/crates/foxwheel-platform-emu/tests/store_contract.rs
@@ -170,7 +170,10 @@
         store.put("g/k", &i, None).await.expect("write");
     }
     let answer = store.watch("g/", 1, Duration::from_millis(10)).await;
-    assert!(matches!(answer, Err(StoreError::Gone)), "got {answer:?}");
+    assert!(
+        matches!(answer, Err(StoreError::HistoryExpired)),
+        "got {answer:?}"
+    );
 }
 
 #[actix_web::test]
@@ -182,7 +185,7 @@
     for i in 0..10 {
         match store.put(&format!("r/{i}"), &i, Some(0)).await {
             Ok(_) => {}
-            Err(StoreError::Busy { .. }) => refused += 1,
+            Err(StoreError::RateLimited { .. }) => refused += 1,
             Err(e) => panic!("a refusal by the rate limit took no effect and says so: {e}"),
         }
     }
@@ -235,7 +238,7 @@
     assert!(
         matches!(
             store.watch("k/", 1, Duration::from_millis(10)).await,
-            Err(StoreError::Gone)
+            Err(StoreError::HistoryExpired)
         ),
         "a watch from before the restart must list again"
     );
--- a/crates/foxwheel-store/src/client.rs
+++ b/crates/foxwheel-store/src/client.rs
@@ -32,7 +32,7 @@
     },
     /// The store's rate limit refused the call before it took effect.
     #[error("store rate limit at step '{step}' with peer {peer}")]
-    Busy {
+    RateLimited {
         /// The call.
         step: &'static str,
         /// The store's address.
@@ -57,7 +57,7 @@
     NotFound,
     /// A watch started from a version the store no longer keeps; list again.
     #[error("watch version too old")]
-    Gone,
+    HistoryExpired,
     /// The answer could not be decoded.
     #[error("bad answer at step '{step}' with peer {peer}: {detail}")]
     Decode {
@@ -73,7 +73,7 @@
 impl StoreError {
     /// Whether trying the same call later may help.
     pub fn is_transient(&self) -> bool {
-        matches!(self, Self::Unavailable { .. } | Self::Busy { .. })
+        matches!(self, Self::Unavailable { .. } | Self::RateLimited { .. })
     }
 }
 
@@ -223,7 +223,7 @@
         let (kind, names) = self.kind_of(STEP, prefix)?;
         let watched = self.store(STEP)?.watch(&kind, from_version, wait).await;
         match watched.map_err(|e| self.error(STEP, e))? {
-            WatchOutcome::HistoryExpired => Err(StoreError::Gone),
+            WatchOutcome::HistoryExpired => Err(StoreError::HistoryExpired),
             WatchOutcome::Changes { changes, revision } => {
                 let changes = changes.into_iter();
                 let events = changes
@@ -289,7 +289,7 @@
     fn error(&self, step: &'static str, error: store::StoreError) -> StoreError {
         let peer = self.base_url.clone();
         match error {
-            store::StoreError::RateLimited { .. } => StoreError::Busy { step, peer },
+            store::StoreError::RateLimited { .. } => StoreError::RateLimited { step, peer },
             store::StoreError::TooLarge { .. } => StoreError::TooLarge { step, peer },
             store::StoreError::InvalidResponse { reason, .. } => StoreError::Decode {
                 step,
--- a/crates/foxwheel-store/src/reflector.rs
+++ b/crates/foxwheel-store/src/reflector.rs
@@ -94,7 +94,7 @@
     }
 
     /// The copy as a list answer, for peers.
-    pub fn to_list(&self) -> api::ListResponse {
+    pub fn to_list_response(&self) -> api::ListResponse {
         self.read(|snapshot| api::ListResponse {
             objects: snapshot
                 .objects
@@ -142,7 +142,7 @@
             };
             match step {
                 Ok(()) => listed = true,
-                Err(StoreError::Gone) => listed = false,
+                Err(StoreError::HistoryExpired) => listed = false,
                 Err(e) => {
                     log::debug!("reflector {}: {e}", self.prefix);
                     if self.read(|snapshot| snapshot.revision) == 0 {
