--- a/crates/foxwheel-node/src/discovery.rs
+++ b/crates/foxwheel-node/src/discovery.rs
@@ -38,9 +38,11 @@
 }
 
 fn record_process(node: &Node, object: &Object) {
-    let own = node.settings.peer_address();
+    let own_addr = node.settings.peer_address();
     match serde_json::from_value::<PeerEndpoint>(object.spec.clone()) {
-        Ok(endpoint) if endpoint.addr != own => node.peers.add_endpoint(&endpoint, Instant::now()),
+        Ok(endpoint) if endpoint.addr != own_addr => {
+            node.peers.add_endpoint(&endpoint, Instant::now())
+        }
         Ok(_) => {}
         Err(e) => log::warn!(host = object.name, error:% = e; "cannot decode process entry"),
     }
@@ -49,10 +51,10 @@
 /// Writes this process's entry to the store, so that the other processes send it heartbeats.
 /// Retries until the write succeeds.
 pub async fn announce_process(node: &Node) {
-    let own = node.settings.peer_address();
+    let own_addr = node.settings.peer_address();
     for seed in &node.settings.seeds {
-        let addr = SocketAddr::new(seed.ip(), own.port());
-        node.peers.add_address(addr, own, Instant::now());
+        let addr = SocketAddr::new(seed.ip(), own_addr.port());
+        node.peers.add_address(addr, own_addr, Instant::now());
     }
     let spec: EncodedJson = serde_json::json!(node.endpoint()).to_string();
     let kind = PROCESS_ENTRY_KIND.to_owned();
@@ -80,7 +82,7 @@
             other => other,
         };
         match written {
-            Ok(WriteOutcome::Done(_)) => return log::info!(addr:% = own; "process announced"),
+            Ok(WriteOutcome::Done(_)) => return log::info!(addr:% = own_addr; "process announced"),
             Ok(_) | Err(_) => node.store.wait_before_retry(backoff.next_delay()).await,
         }
     }
--- a/crates/foxwheel-node/src/heartbeat.rs
+++ b/crates/foxwheel-node/src/heartbeat.rs
@@ -91,12 +91,12 @@
 async fn apply_message(datagrams: &DatagramSender, message: PeerMessage, sequence: &AtomicU64) {
     let node = datagrams.node();
     let now = Instant::now();
-    let own = node.settings.peer_address();
+    let own_addr = node.settings.peer_address();
     match message {
         PeerMessage::Heartbeat(heartbeat) if node.peers.should_introduce(&heartbeat) => {
             return send_introduction(datagrams, &heartbeat).await;
         }
-        PeerMessage::Heartbeat(heartbeat) => apply_heartbeat(node, heartbeat, own, now),
+        PeerMessage::Heartbeat(heartbeat) => apply_heartbeat(node, heartbeat, own_addr, now),
         PeerMessage::LoadChanges(changes) => node.peers.apply_load_changes(changes, now),
         PeerMessage::GuestLoads(report) => {
             zone_representative::apply_cross_zone_loads(datagrams, node, report, now).await
@@ -123,19 +123,21 @@
             )
             .await;
         }
-        PeerMessage::Introduction(received) => node.peers.apply_introduction(&received, own, now),
+        PeerMessage::Introduction(received) => {
+            node.peers.apply_introduction(&received, own_addr, now)
+        }
     }
     node.peers_changed.notify_waiters();
 }
 
-fn apply_heartbeat(node: &Node, heartbeat: Heartbeat, own: SocketAddr, now: Instant) {
+fn apply_heartbeat(node: &Node, heartbeat: Heartbeat, own_addr: SocketAddr, now: Instant) {
     let host = heartbeat.host.clone();
     let (incarnation, leaving) = (heartbeat.incarnation, heartbeat.leaving);
     if heartbeat.follows && heartbeat.knows.is_newer_than(node.state_version()) {
         node.newer_state_reported.notify_one();
     }
     request_crash_sync_if_different(node, heartbeat.quarantine);
-    if node.peers.apply_heartbeat(heartbeat, own, now) {
+    if node.peers.apply_heartbeat(heartbeat, own_addr, now) {
         log::info!(peer = host, incarnation, leaving; "peer is alive");
     }
 }
--- a/crates/foxwheel-node/src/node.rs
+++ b/crates/foxwheel-node/src/node.rs
@@ -253,10 +253,10 @@
         now: Instant,
     ) -> Candidate {
         let server = &entry.server;
-        let own = self.loads.own_load(&instance, now);
+        let own_load = self.loads.own_load(&instance, now);
         let own_requests = RequestCounts {
-            online: own.online,
-            batch: own.batch,
+            online: own_load.online,
+            batch: own_load.batch,
         };
         let other_zone_load =
             self.peers
@@ -264,8 +264,8 @@
         let load = other_zone_load.unwrap_or_else(|| {
             let (online, batch) = self.peers.in_flight(&instance, now);
             RequestCounts {
-                online: own.online + online,
-                batch: own.batch + batch,
+                online: own_load.online + online,
+                batch: own_load.batch + batch,
             }
         });
         Candidate {
@@ -275,10 +275,10 @@
             slots: server.slots,
             in_flight: load.total(),
             batch_in_flight: load.batch,
-            own_batch_in_flight: own.batch,
+            own_batch_in_flight: own_load.batch,
             entry_expired: entry.grace_until.is_some(),
-            suspect: own.is_suspected,
-            failure_rate: own.failure_rate,
+            suspect: own_load.is_suspected,
+            failure_rate: own_load.failure_rate,
             is_slot_manager: false,
         }
     }
@@ -431,9 +431,9 @@
     /// Returns the addresses of the zone's processes for which this one is the representative of
     /// `rank`.
     pub fn subscribers(&self, rank: Rank, now: Instant) -> Vec<SocketAddr> {
-        let own = &self.settings.host;
+        let own_host = &self.settings.host;
         self.peers.own_zone_addresses(now, |_, representatives| {
-            representatives::highest_rank(own, std::iter::once(representatives)) == rank
+            representatives::highest_rank(own_host, std::iter::once(representatives)) == rank
         })
     }
 
@@ -441,19 +441,22 @@
     /// those that selected it.
     pub fn representatives_and_subscribers(&self, now: Instant) -> Vec<SocketAddr> {
         let selected = self.representatives();
-        let own = &self.settings.host;
+        let own_host = &self.settings.host;
         self.peers.own_zone_addresses(now, |host, representatives| {
-            representatives.contains(own) || selected.contains(host)
+            representatives.contains(own_host) || selected.contains(host)
         })
     }
 
     /// Returns the highest rank that this process has as a representative, according to itself and
     /// to the other processes of the zone.
     pub fn representative_rank(&self, now: Instant) -> Rank {
-        let own = self.representatives();
+        let own_selection = self.representatives();
         let local = self.peers.own_zone_peers(now);
         let selections = local.iter().map(|peer| peer.representatives.as_slice());
-        representatives::highest_rank(&self.settings.host, selections.chain([own.as_slice()]))
+        representatives::highest_rank(
+            &self.settings.host,
+            selections.chain([own_selection.as_slice()]),
+        )
     }
 
     /// Returns the jobs that this process runs or closed recently, sorted by job.
--- a/crates/foxwheel-node/src/peers.rs
+++ b/crates/foxwheel-node/src/peers.rs
@@ -74,12 +74,17 @@
         }
     }
 
-    /// Stores a heartbeat unless an equally new or newer message of its sender is known. `own`
+    /// Stores a heartbeat unless an equally new or newer message of its sender is known. `own_addr`
     /// is the address of this process. Returns whether the sender was unknown or considered
     /// dead before.
-    pub fn apply_heartbeat(&self, heartbeat: Heartbeat, own: SocketAddr, now: Instant) -> bool {
+    pub fn apply_heartbeat(
+        &self,
+        heartbeat: Heartbeat,
+        own_addr: SocketAddr,
+        now: Instant,
+    ) -> bool {
         let mut state = self.lock();
-        let known = heartbeat.known.iter().filter(|addr| **addr != own);
+        let known = heartbeat.known.iter().filter(|addr| **addr != own_addr);
         for addr in known {
             state.directory.add_address(*addr, now);
         }
@@ -136,10 +141,10 @@
             .endpoints_to_introduce(zone, MAX_INTRODUCED)
     }
 
-    /// Records the processes that an introduction names, except this one at address `own`.
-    pub fn apply_introduction(&self, received: &Introduction, own: SocketAddr, now: Instant) {
+    /// Records the processes that an introduction names, except this one at `own_addr`.
+    pub fn apply_introduction(&self, received: &Introduction, own_addr: SocketAddr, now: Instant) {
         let introduced = received.others.iter().chain([&received.from]);
-        for endpoint in introduced.filter(|endpoint| endpoint.addr != own) {
+        for endpoint in introduced.filter(|endpoint| endpoint.addr != own_addr) {
             self.add_endpoint(endpoint, now);
         }
     }
@@ -197,9 +202,9 @@
         state.other_zones.apply_summary(received, source, now);
     }
 
-    /// Adds an address whose process is unknown, unless it is `own`, the address of this process.
-    pub fn add_address(&self, addr: SocketAddr, own: SocketAddr, now: Instant) {
-        if addr != own {
+    /// Adds an address whose process is unknown, unless it is `own_addr`, that of this process.
+    pub fn add_address(&self, addr: SocketAddr, own_addr: SocketAddr, now: Instant) {
+        if addr != own_addr {
             self.lock().directory.add_address(addr, now);
         }
     }
@@ -235,14 +240,14 @@
         state.sums.in_flight(server)
     }
 
-    /// Estimates the requests in flight at a server of another zone from all processes. `own` is
-    /// the load of this process. Returns None for a server of the own zone.
+    /// Estimates the requests in flight at a server of another zone from all processes. `own_load`
+    /// is the load of this process. Returns None for a server of the own zone.
     pub fn other_zone_load(
         &self,
         zone: &Zone,
         server: &ServerInstance,
         slots: u32,
-        own: RequestCounts,
+        own_load: RequestCounts,
         now: Instant,
     ) -> Option<RequestCounts> {
         if *zone == self.own_zone {
@@ -252,8 +257,8 @@
         state.remove_expired_loads(now);
         let (online, batch) = state.sums.in_flight(server);
         let own_zone = RequestCounts {
-            online: own.online + online,
-            batch: own.batch + batch,
+            online: own_load.online + online,
+            batch: own_load.batch + batch,
         };
         let reported = state
             .other_zones
--- a/crates/foxwheel-node/src/zone_representative.rs
+++ b/crates/foxwheel-node/src/zone_representative.rs
@@ -95,9 +95,9 @@
     let local = node.peers.own_zone_peers(now);
     let own_front = usize::from(settings.role == Role::Front);
     let fronts = local.iter().filter(|peer| !peer.process.is_worker).count() + own_front;
-    let own = settings.peer_address();
+    let own_addr = settings.peer_address();
     let addr_of = |host: &NodeId| match *host == settings.host {
-        true => Some(own),
+        true => Some(own_addr),
         false => local
             .iter()
             .find(|peer| peer.process.host == *host)
@@ -105,8 +105,8 @@
     };
     let mut representatives: Vec<SocketAddr> =
         node.representatives().iter().filter_map(addr_of).collect();
-    if !representatives.contains(&own) {
-        representatives.push(own);
+    if !representatives.contains(&own_addr) {
+        representatives.push(own_addr);
     }
     let mut workers = node.peers.worker_summaries(now);
     if settings.role == Role::Worker {
@@ -127,7 +127,7 @@
     ZoneSummary {
         zone: settings.availability_zone.clone(),
         host: settings.host.clone(),
-        addr: own,
+        addr: own_addr,
         quarantine: node.quarantine_digest(),
         incarnation: node.incarnation,
         sequence,
@@ -154,12 +154,12 @@
     });
     let servers = local.map(|entry| {
         let instance = entry.server.instance();
-        let own = node.loads.own_load(&instance, now);
+        let own_load = node.loads.own_load(&instance, now);
         let (online, batch) = node.peers.in_flight(&instance, now);
         let (recipient_online, recipient_batch) = from_recipient.in_flight(&instance);
         let load = zone_loads::RequestCounts {
-            online: own.online + online.saturating_sub(recipient_online),
-            batch: own.batch + batch.saturating_sub(recipient_batch),
+            online: own_load.online + online.saturating_sub(recipient_online),
+            batch: own_load.batch + batch.saturating_sub(recipient_batch),
         };
         (zone_loads::fingerprint(&instance), load, entry.server.slots)
     });
