--- a/crates/foxwheel-core/src/keys.rs
+++ b/crates/foxwheel-core/src/keys.rs
@@ -54,10 +54,10 @@
     format!("archive/{job}")
 }
 
-/// Returns the key of a response that is stored outside its chunk. The key contains the number of
-/// the `lease`, so that successive holders of the chunk do not overwrite each other's responses.
-pub fn answer(job: &str, chunk: u32, item: usize, lease: u64) -> String {
-    format!("answers/{job}/{chunk:06}/{item:03}-{lease:016x}")
+/// Returns the key of a response that is stored outside its chunk. The key contains the nonce of the
+/// chunk's lease, so that different holders of the chunk do not overwrite each other's responses.
+pub fn response(job: &str, chunk: u32, item: usize, lease_nonce: u64) -> String {
+    format!("answers/{job}/{chunk:06}/{item:03}-{lease_nonce:016x}")
 }
 
 /// Returns the prefix of the keys of a job's chunks.
--- a/crates/foxwheel-core/src/metric_names.rs
+++ b/crates/foxwheel-core/src/metric_names.rs
@@ -79,7 +79,7 @@
     /// Streams that were resumed at another server after an interruption.
     StreamResumed,
     /// Streams that were cut off and could not be resumed.
-    StreamBroken,
+    StreamCutOff,
     /// Connections opened to backend servers.
     ServerConnection,
     /// Requests that were running when their backend server crashed. One crash is counted once
@@ -206,7 +206,7 @@
             Self::StoreCallFailed(call) => return format!("store.{}.failed", call.name()).into(),
             Self::AttemptFailed => "online.attempts_failed",
             Self::StreamResumed => "stream.resumed",
-            Self::StreamBroken => "stream.broken",
+            Self::StreamCutOff => "stream.broken",
             Self::ServerConnection => "server.connections",
             Self::CrashRecorded => "server.crashes_noted",
             Self::JobAccepted => "batch.accepted",
--- a/crates/foxwheel-gateway/src/batch/chunk_work.rs
+++ b/crates/foxwheel-gateway/src/batch/chunk_work.rs
@@ -141,7 +141,7 @@
         let mut outcomes = futures::stream::iter(pending)
             .take_while(|_| std::future::ready(!stop.is_cancelled()))
             .map(|(i, body)| {
-                let (store, answer_key) = (&store, keys::answer(&job_id, index, i, nonce));
+                let (store, answer_key) = (&store, keys::response(&job_id, index, i, nonce));
                 async move {
                     let outcome = runner.run(body).await;
                     (i, keep_answer(store, answer_key, outcome).await)
--- a/crates/foxwheel-node/src/relay.rs
+++ b/crates/foxwheel-node/src/relay.rs
@@ -138,7 +138,7 @@
         None => {
             log::warn!(request_id = request.caller.id, server = server.id, reason, after = last_event_id; "stream broken");
             request.count_outcome(node, RequestOutcome::Failed);
-            node.metrics.incr(Counter::StreamBroken);
+            node.metrics.incr(Counter::StreamCutOff);
             Err(RelayError {
                 request_id: request.caller.id.clone(),
                 reason: reason.to_owned(),
--- a/crates/foxwheel-node/tests/metrics_contract.rs
+++ b/crates/foxwheel-node/tests/metrics_contract.rs
@@ -18,7 +18,7 @@
     let mut counters = vec![
         Counter::AttemptFailed,
         Counter::StreamResumed,
-        Counter::StreamBroken,
+        Counter::StreamCutOff,
         Counter::ServerConnection,
         Counter::JobAccepted,
         Counter::JobOverQuota,
--- a/crates/foxwheel-policy/src/batch/checkpoint.rs
+++ b/crates/foxwheel-policy/src/batch/checkpoint.rs
@@ -13,8 +13,8 @@
 use crate::batch::item::{ItemOutcome, ItemState, PartialOutput};
 use crate::batch::job::{ItemProgress, JobProgress};
 
-/// Shortest time between two checkpoints of a worker. A crash loses half of it on average for
-/// each running item; each checkpoint costs a call to the platform's store.
+/// Shortest time between two checkpoints of a worker. A crash loses half of this time on average
+/// for each running item; each checkpoint costs a call to the platform's store.
 const MIN_CHECKPOINT_INTERVAL: Duration = Duration::from_millis(2_000);
 
 /// Limit on the average rate at which a worker sends checkpoints to the store, so that larger
--- a/crates/foxwheel-policy/src/batch/job.rs
+++ b/crates/foxwheel-policy/src/batch/job.rs
@@ -21,8 +21,8 @@
 /// short-lived.
 const FAILED_RERUN_DELAY: Duration = Duration::from_millis(400);
 
-/// Delay before an item is checked again whose request content is quarantined. Meanwhile
-/// another server may have served the same content, which clears it.
+/// Delay before an item whose request content is quarantined is checked again. Meanwhile the
+/// same content may have been served elsewhere, which lifts the quarantine.
 const QUARANTINE_RECHECK_DELAY: Duration = Duration::from_secs(2);
 
 /// How long finished results wait for further results of an unfinished job, so that one write
@@ -37,8 +37,8 @@
 /// takes over the job would run the item and let it fail as many times again.
 const STORE_GIVEN_UP_DELAY: Duration = Duration::from_millis(200);
 
-/// Age that a job without a route must have, and time for which the configuration must have
-/// been known, before the job is given up.
+/// How old a job without a route must be, and how long a configuration must have been known,
+/// before the job is given up. Its route may not have arrived here yet.
 const MISSING_ROUTE_GRACE: Duration = Duration::from_secs(5);
 
 /// Returns whether the unfinished items of a job should be given up: the job is older than its
@@ -227,8 +227,8 @@
     }
 
     /// Returns whether to store results now, or to close the job because all results are
-    /// stored. `leaving` means that this worker is shutting down; it then stores at once.
-    pub fn should_store(&self, now: Instant, leaving: bool) -> bool {
+    /// stored. `is_shutting_down` is about this worker, which then stores at once.
+    pub fn should_store(&self, now: Instant, is_shutting_down: bool) -> bool {
         let Some(since) = self.unstored_since else {
             return self.is_fully_stored();
         };
@@ -236,7 +236,7 @@
             true => STORE_GIVEN_UP_DELAY,
             false => STORE_DELAY,
         };
-        leaving || self.is_finished() || now.duration_since(since) >= delay
+        is_shutting_down || self.is_finished() || now.duration_since(since) >= delay
     }
 
     /// Returns whether finished results must be stored now so that readers find them when the
