--- a/crates/foxwheel-soak/src/args.rs
+++ b/crates/foxwheel-soak/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line of `foxwheel-soak`.
+//! Command line of `foxwheel-soak`.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -6,52 +6,52 @@
 
 use crate::plan::FleetSize;
 
-/// The usage text.
+/// Usage text, printed for `--help` and after errors.
 pub const USAGE: &str = "usage: foxwheel-soak --out FOLDER [OPTION ...]
 
-Runs foxwheel-front and foxwheel-worker (found beside this program) under faults and checks
-what their callers were promised. Exits with 1 when a promise was broken, with 2 when a run
+Runs foxwheel-front and foxwheel-worker from the folder of this program, injects faults and
+checks what they promise to callers. Exits with 1 if a promise was broken, and with 2 if a run
 could not be carried out.
 
   --seed N        the first seed (default 1)
-  --seeds N       how many seeds, one after the other (default 1)
-  --seconds N     time in which faults come, for each seed (default 10)
+  --seeds N       number of consecutive seeds to run (default 1)
+  --seconds N     time for which faults are injected, for each seed (default 10)
   --fronts N, --workers N, --servers N, --callers N, --zones N
-                  the fleet (default 3, 2, 4, 6, 2)
-  --plan FILE     carry out this plan instead; a run leaves its own in its folder
-  --shrink        leave out faults of the plan, or of the seed's, that are not needed to break
-                  the first promise that breaks; writes smallest.json
+                  size of the fleet (default 3, 2, 4, 6, 2)
+  --plan FILE     run the plan in this file instead; each run writes its plan to its folder
+  --shrink        search for the fewest faults that still break the first broken promise; writes
+                  smallest/plan.json
   --help, --version";
 
-/// What was asked for.
+/// Command given on the command line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Run seeds or a plan.
+    /// Runs seeds or a plan.
     Run(Options),
-    /// Print the usage text.
+    /// Prints the usage text.
     Help,
-    /// Print the version.
+    /// Prints the version.
     Version,
 }
 
-/// The options of a run.
+/// Options of soak runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// Where each run has its folder.
+    /// Directory in which each run creates its own.
     pub out: PathBuf,
-    /// The first seed.
+    /// First seed.
     pub seed: u64,
-    /// How many seeds.
+    /// Number of consecutive seeds to run.
     pub seeds: u64,
-    /// The fleet.
+    /// Size of the fleet, and how long faults are injected.
     pub size: FleetSize,
-    /// A plan's file.
+    /// File of the plan to run instead of plans drawn from seeds.
     pub plan: Option<PathBuf>,
-    /// Whether to look for a smaller plan.
+    /// Whether to search for the smallest plan that still breaks the first broken promise.
     pub shrink: bool,
 }
 
-/// The fleet of short runs.
+/// Returns the size used unless options change it.
 pub fn default_size() -> FleetSize {
     FleetSize {
         zones: 2,
@@ -63,10 +63,11 @@
     }
 }
 
-/// Most hosts: each has two of its network's addresses.
-const MOST_HOSTS: usize = 120;
+/// Maximum number of fronts and workers. Each uses two addresses of the fleet's loopback network.
+const MAX_HOSTS: usize = 120;
 
-/// Parses the arguments.
+/// Parses the command line. Returns an error for unknown options, invalid values and missing
+/// `--out`.
 pub fn parse(args: impl IntoIterator<Item = OsString>) -> Result<Command, lexopt::Error> {
     use lexopt::prelude::*;
     let mut parser = lexopt::Parser::from_args(args);
@@ -98,19 +99,19 @@
             _ => return Err(arg.unexpected()),
         }
     }
-    check(&options)?;
+    check_options(&options)?;
     Ok(Command::Run(options))
 }
 
-fn check(options: &Options) -> Result<(), lexopt::Error> {
+fn check_options(options: &Options) -> Result<(), lexopt::Error> {
     let size = &options.size;
     let counts = [size.fronts, size.workers, size.servers, size.zones as usize];
     let problem = if options.out.as_os_str().is_empty() {
         "--out FOLDER is missing".to_owned()
     } else if counts.contains(&0) {
         "--fronts, --workers, --servers and --zones must be at least 1".to_owned()
-    } else if size.processes() > MOST_HOSTS {
-        format!("at most {MOST_HOSTS} fronts and workers")
+    } else if size.processes() > MAX_HOSTS {
+        format!("at most {MAX_HOSTS} fronts and workers")
     } else {
         return Ok(());
     };
--- a/crates/foxwheel-soak/src/batch_client.rs
+++ b/crates/foxwheel-soak/src/batch_client.rs
@@ -1,4 +1,5 @@
-//! Clients of batch jobs: they submit, submit again, read, end some, and read once more.
+//! Clients of batch jobs. Each submits jobs, repeats some submissions, ends some jobs early, and
+//! reads the results of the others twice.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,133 +11,148 @@
 use serde_json::Value;
 use tokio_util::sync::CancellationToken;
 
-use crate::evidence::{Job, Record};
+use crate::evidence::{Job, Recorder};
 use crate::front_client;
 
-/// Items of a job.
-const ITEMS: std::ops::Range<usize> = 3..20;
+/// Range of the number of items of a job.
+const ITEM_COUNT_RANGE: std::ops::Range<usize> = 3..20;
 
-/// Share of jobs whose client ends them early.
-const ENDED_SHARE: f64 = 0.2;
+/// Probability that a client ends its job early.
+const ENDED_JOB_SHARE: f64 = 0.2;
 
-/// Longest wait for one answer.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// Time limit for one response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Pause between the calls of one client.
-const PAUSE: Duration = Duration::from_millis(150);
+/// Pause between two calls of a client.
+const CALL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// A client of jobs.
-pub struct Client {
-    /// Its name, the first part of its jobs' ids.
+/// A client that submits batch jobs to random fronts.
+pub struct BatchClient {
+    /// Name of the client. The ids of its jobs start with it.
     pub name: String,
-    /// Where it finds the fronts.
+    /// Addresses of the fronts.
     pub fronts: Vec<SocketAddr>,
-    /// Where its jobs are noted.
-    pub record: Arc<Record>,
+    /// Records the client's jobs.
+    pub recorder: Arc<Recorder>,
 }
 
-impl Client {
-    /// Submits jobs one after the other until `stop` fires, and follows each to its end; one
-    /// that is not listed whole when `give_up` fires is noted as it is.
+impl BatchClient {
+    /// Submits one job after the other until `stop` is cancelled, and reads or ends each of them.
+    /// When `give_up` is cancelled, reading stops and the job is recorded with the results read so
+    /// far.
     pub async fn run(self, seed: u64, stop: CancellationToken, give_up: CancellationToken) {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut number = 0;
         while !stop.is_cancelled() {
             number += 1;
             let id = format!("{}-{number}", self.name);
-            let count = rng.random_range(ITEMS);
+            let item_count = rng.random_range(ITEM_COUNT_RANGE);
             let submitted_at = Instant::now();
-            let Some(accepted_at) = self.submit(&id, count, &mut rng, &stop).await else {
+            let Some(accepted_at) = self
+                .submit_until_accepted(&id, item_count, &mut rng, &stop)
+                .await
+            else {
                 continue;
             };
             let mut job = Job {
                 id,
-                count,
+                item_count,
                 submitted_at,
                 accepted_at,
                 ended_at: None,
                 results: Vec::new(),
-                read_again: None,
+                second_read: None,
             };
-            if rng.random_bool(ENDED_SHARE) {
-                job.ended_at = self.end(&job.id, &mut rng, &give_up).await;
+            if rng.random_bool(ENDED_JOB_SHARE) {
+                job.ended_at = self.end_job(&job.id, &mut rng, &give_up).await;
                 if job.ended_at.is_none() {
-                    // Whether it goes on cannot be told.
+                    // It is unknown whether the job was ended, so it cannot be checked.
                     continue;
                 }
             } else {
-                job.results = self.read_all(&job, &mut rng, &give_up).await;
-                job.read_again = Some(self.read_all(&job, &mut rng, &give_up).await);
+                job.results = self.read_all_results(&job, &mut rng, &give_up).await;
+                job.second_read = Some(self.read_all_results(&job, &mut rng, &give_up).await);
             }
-            self.record.lock().jobs.push(job);
+            self.recorder.lock().jobs.push(job);
         }
     }
 
-    /// Submits until accepted, and sometimes once more; none if `stop` fires before.
-    async fn submit(
+    /// Submits a job until it is accepted, and sometimes once more after that. Returns the time at
+    /// which the acceptance was received, or `None` if `stop` was cancelled before.
+    async fn submit_until_accepted(
         &self,
         id: &str,
-        count: usize,
+        item_count: usize,
         rng: &mut StdRng,
         stop: &CancellationToken,
     ) -> Option<Instant> {
         while !stop.is_cancelled() {
-            let submitted = front_client::submit_job(self.front(rng), id, count);
-            if status_of(submitted).await == Some(StatusCode::ACCEPTED) {
+            let submitted = front_client::submit_job(self.choose_front(rng), id, item_count);
+            if await_status(submitted).await == Some(StatusCode::ACCEPTED) {
                 let accepted_at = Instant::now();
                 if rng.random_bool(0.3) {
-                    // Whatever becomes of the repeat, the job stands.
-                    let _ = status_of(front_client::submit_job(self.front(rng), id, count)).await;
+                    // The job is accepted already, whatever the response to the repeated
+                    // submission is.
+                    let _ = await_status(front_client::submit_job(
+                        self.choose_front(rng),
+                        id,
+                        item_count,
+                    ))
+                    .await;
                 }
                 return Some(accepted_at);
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(CALL_INTERVAL).await;
         }
         None
     }
 
-    /// Asks for the end of a job until it is confirmed; none if `give_up` fires before.
-    async fn end(
+    /// Requests the end of a job until a front confirms it. Returns the time of the confirmation,
+    /// or `None` if `give_up` was cancelled before.
+    async fn end_job(
         &self,
         job: &str,
         rng: &mut StdRng,
         give_up: &CancellationToken,
     ) -> Option<Instant> {
         while !give_up.is_cancelled() {
-            let ended = status_of(front_client::end_job(self.front(rng), job)).await;
+            let ended = await_status(front_client::end_job(self.choose_front(rng), job)).await;
             if ended == Some(StatusCode::OK) {
                 return Some(Instant::now());
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(CALL_INTERVAL).await;
         }
         None
     }
 
-    async fn read_all(
+    async fn read_all_results(
         &self,
         job: &Job,
         rng: &mut StdRng,
         give_up: &CancellationToken,
     ) -> Vec<Value> {
         let mut results = Vec::new();
-        while results.len() < job.count && !give_up.is_cancelled() {
-            let read = front_client::read_results(self.front(rng), &job.id, results.len());
-            if let Ok(Some(page)) = tokio::time::timeout(PATIENCE, read).await {
+        while results.len() < job.item_count && !give_up.is_cancelled() {
+            let read = front_client::read_results(self.choose_front(rng), &job.id, results.len());
+            if let Ok(Some(page)) = tokio::time::timeout(RESPONSE_TIMEOUT, read).await {
                 results.extend(page["results"].as_array().cloned().unwrap_or_default());
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(CALL_INTERVAL).await;
         }
         results
     }
 
-    fn front(&self, rng: &mut StdRng) -> SocketAddr {
+    fn choose_front(&self, rng: &mut StdRng) -> SocketAddr {
         self.fronts[rng.random_range(0..self.fronts.len())]
     }
 }
 
-async fn status_of<E>(
-    answer: impl std::future::Future<Output = Result<front_client::ReceivedResponse, E>>,
+async fn await_status<E>(
+    response: impl std::future::Future<Output = Result<front_client::ReceivedResponse, E>>,
 ) -> Option<StatusCode> {
-    let answer = tokio::time::timeout(PATIENCE, answer).await.ok()?.ok()?;
-    Some(answer.status)
+    let response = tokio::time::timeout(RESPONSE_TIMEOUT, response)
+        .await
+        .ok()?
+        .ok()?;
+    Some(response.status)
 }
--- a/crates/foxwheel-soak/src/checks.rs
+++ b/crates/foxwheel-soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! The promises, checked against the evidence of a run.
+//! Checks what fronts and workers promise against the evidence of a soak run.
 
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -6,86 +6,90 @@
 use foxwheel_server_emu::server::{event_data, event_text};
 use serde_json::Value;
 
-use crate::evidence::{Call, CallEnd, Evidence, Job, Kind, ServerRun};
+use crate::evidence::{Call, CallEnd, Evidence, Job, RequestKind, ServerRun};
 use crate::front_client;
-use crate::process::Ended;
+use crate::process::ProcessExit;
 
-/// After the last fault everything is served again within this.
-pub const SERVED_AGAIN_WITHIN: Duration = Duration::from_secs(5);
+/// Time after the end of the last fault in which all calls must be served again.
+pub const RECOVERY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A configuration is in force everywhere within this.
-pub const CONFIG_WITHIN: Duration = Duration::from_secs(3);
+/// Time in which a configuration must be in force at every front.
+pub const CONFIG_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A server that is to leave gets no new run after this.
-pub const DRAINED_WITHIN: Duration = Duration::from_secs(2);
+/// Time after which a server that was listed as draining or removed must get no new run.
+pub const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Nothing of an ended job starts after this.
-pub const JOB_ENDED_WITHIN: Duration = Duration::from_secs(3);
+/// Time after the end of a job was confirmed after which none of its items may start.
+pub const JOB_END_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Work for a caller that left stops within this.
-pub const ABANDONED_WITHIN: Duration = Duration::from_secs(2);
+/// Time in which work for a caller that disconnected must stop.
+pub const ABANDON_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Nothing of a request that was answered or whose caller left arrives after this.
-pub const TAKEN_BACK_WITHIN: Duration = Duration::from_secs(1);
+/// Time after the end of a call, by a response or because its caller disconnected, after which its
+/// request must not arrive at a server.
+pub const WITHDRAWAL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A request that crashed three servers is known everywhere within this.
-pub const CRASHES_KNOWN_WITHIN: Duration = Duration::from_secs(3);
+/// Time in which every process must know of a request that crashed [`MAX_CRASHES`] servers.
+pub const CRASH_PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Servers that a request may crash before it is refused, and runs allowed after that.
-const ENOUGH_CRASHES: usize = 3;
+/// Number of servers that a request may crash before it is refused, and number of runs that are
+/// still allowed after that.
+const MAX_CRASHES: usize = 3;
 
-/// Most memory of a process: its share for control, and for a worker the results it keeps
-/// for readers.
-pub const MOST_MEMORY_BYTES: u64 = (32 + 16) << 20;
+/// Memory that a process may use: 32 MiB for its control part and 16 MiB for the results that a
+/// worker caches for readers.
+pub const MAX_MEMORY_BYTES: u64 = (32 + 16) << 20;
 
-/// Most open files of a process.
-pub const MOST_OPEN_FILES: usize = 512;
+/// Number of files, including sockets, that a process may have open.
+pub const MAX_OPEN_FILES: usize = 512;
 
-/// A promise.
+/// What fronts and workers promise. Reports name the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Promise {
-    /// An answer is that to its own request, whole and in order.
+    /// A response belongs to its own request, and is complete and in order.
     OwnAnswer,
-    /// What is said not to have run has not.
+    /// A request that a response declares as not run was not run.
     NotRunIsTrue,
-    /// A request runs as often as its route allows.
+    /// A request runs at most as often as its route allows.
     RunsAllowed,
-    /// An answer breaks only where a fault may have broken it.
+    /// A response is only cut off if a fault can explain it.
     NotCut,
-    /// When no fault is on, callers are served.
+    /// While no fault is active, callers are served.
     Served,
-    /// Each item of an accepted job has one result that stays.
+    /// Each item of an accepted job has exactly one result, and results that were read do not
+    /// change.
     ItemsOnce,
-    /// Nothing of an ended job starts.
+    /// No item of an ended job starts.
     JobEnds,
-    /// No more tokens wait than the quota allows.
+    /// The tokens that wait on a route do not exceed its quota.
     Quota,
-    /// A server that is to leave gets nothing new.
+    /// A server that is draining or removed gets no new run.
     Drained,
-    /// Work for a caller that left stops.
+    /// Work for a caller that disconnected stops.
     Abandoned,
-    /// A request that was answered or whose caller left reaches no server later.
+    /// A request does not arrive at a server after its call has ended.
     TakenBack,
-    /// The newest configuration is in force and stays.
+    /// The newest configuration comes into force at every front and stays in force.
     ConfigInForce,
-    /// A process that is asked to stop does, in time and cleanly.
+    /// A process that is asked to stop exits within its grace and with code 0.
     StopsInTime,
-    /// A process ends only when told.
+    /// A process only ends when it is asked to.
     StaysUp,
-    /// Memory and open files stay bounded.
+    /// Memory and open files of a process stay within their limits.
     Bounded,
-    /// A request that crashes servers is not run on and on.
+    /// A request that crashes servers is refused after a limited number of runs.
     CrashesEnd,
 }
 
-/// A promise that was broken.
+/// A promise that was not kept.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Breach {
-    /// The promise.
+    /// Which promise.
     pub promise: Promise,
-    /// The request, job or host it was broken to.
+    /// Id of the request or job, host of the process, or version of the configuration that the
+    /// promise was not kept for.
     pub subject: String,
-    /// What was seen.
+    /// The observation that contradicts the promise.
     pub seen: String,
 }
 
@@ -95,33 +99,33 @@
     }
 }
 
-/// Checks every promise.
-pub fn check(evidence: &Evidence) -> Vec<Breach> {
-    let mut found = Found::default();
+/// Checks all promises and returns those that were not kept.
+pub fn find_breaches(evidence: &Evidence) -> Vec<Breach> {
+    let mut findings = Findings::default();
     for call in &evidence.calls {
-        check_answer(evidence, call, &mut found);
-        check_runs(evidence, call, &mut found);
-        check_end(evidence, call, &mut found);
-        check_served(evidence, call, &mut found);
-        check_taken_back(evidence, call, &mut found);
+        check_response(evidence, call, &mut findings);
+        check_runs(evidence, call, &mut findings);
+        check_call_end(evidence, call, &mut findings);
+        check_served(evidence, call, &mut findings);
+        check_late_arrivals(evidence, call, &mut findings);
     }
     for job in &evidence.jobs {
-        check_job(job, &mut found);
-        check_job_end(evidence, job, &mut found);
-        check_quota(evidence, job, &mut found);
+        check_job_results(job, &mut findings);
+        check_outputs_and_job_end(evidence, job, &mut findings);
+        check_quota(evidence, job, &mut findings);
     }
-    check_leaving_servers(evidence, &mut found);
-    check_crashes(evidence, &mut found);
-    check_configs(evidence, &mut found);
-    check_processes(evidence, &mut found);
-    found.0
+    check_leaving_servers(evidence, &mut findings);
+    check_crashes(evidence, &mut findings);
+    check_configurations(evidence, &mut findings);
+    check_processes(evidence, &mut findings);
+    findings.0
 }
 
 #[derive(Default)]
-struct Found(Vec<Breach>);
+struct Findings(Vec<Breach>);
 
-impl Found {
-    fn breach(&mut self, promise: Promise, subject: &str, seen: impl Into<String>) {
+impl Findings {
+    fn add(&mut self, promise: Promise, subject: &str, seen: impl Into<String>) {
         self.0.push(Breach {
             promise,
             subject: subject.to_owned(),
@@ -130,72 +134,76 @@
     }
 }
 
-/// The body of a whole answer to a request.
-pub fn whole_body(request: &str, events: u64) -> Vec<u8> {
+/// Returns the body of a complete response to `request`.
+pub fn expected_body(request: &str, events: u64) -> Vec<u8> {
     let events = (1..=events).map(|event| event_text(request, event));
     events.collect::<String>().into_bytes()
 }
 
-/// The output of an item that completed.
-fn whole_output(item: &str, events: u64) -> String {
+/// Returns the output of a completed item.
+fn expected_output(item: &str, events: u64) -> String {
     let events: Vec<String> = (1..=events).map(|event| event_data(item, event)).collect();
     events.join("\n")
 }
 
-fn check_answer(evidence: &Evidence, call: &Call, found: &mut Found) {
-    let expected = whole_body(&call.id, evidence.events);
-    let wrong = match &call.end {
+fn check_response(evidence: &Evidence, call: &Call, findings: &mut Findings) {
+    let expected = expected_body(&call.id, evidence.event_count);
+    let is_wrong = match &call.end {
         CallEnd::Whole {
             status: 200, body, ..
         } => *body != expected,
         CallEnd::Broken { body, .. } => !expected.starts_with(body),
         _ => false,
     };
-    if wrong {
-        found.breach(Promise::OwnAnswer, &call.id, format!("{:?}", call.end));
+    if is_wrong {
+        findings.add(Promise::OwnAnswer, &call.id, format!("{:?}", call.end));
     }
 }
 
-fn check_runs(evidence: &Evidence, call: &Call, found: &mut Found) {
-    let runs = evidence.runs_of(&call.id).count();
-    if runs > call.kind.most_runs() {
+fn check_runs(evidence: &Evidence, call: &Call, findings: &mut Findings) {
+    let runs = evidence.runs_of_request(&call.id).count();
+    if runs > call.kind.max_runs() {
         let seen = format!("{runs} runs of a request of kind {:?}", call.kind);
-        found.breach(Promise::RunsAllowed, &call.id, seen);
+        findings.add(Promise::RunsAllowed, &call.id, seen);
     }
     let says_not_run = matches!(call.end, CallEnd::Whole { not_run: true, .. });
     if says_not_run && runs > 0 {
         let seen = format!("{runs} runs of a request answered as not run");
-        found.breach(Promise::NotRunIsTrue, &call.id, seen);
+        findings.add(Promise::NotRunIsTrue, &call.id, seen);
     }
 }
 
-fn check_end(evidence: &Evidence, call: &Call, found: &mut Found) {
-    let mut runs = evidence.runs_of(&call.id);
+fn check_call_end(evidence: &Evidence, call: &Call, findings: &mut Findings) {
+    let mut runs = evidence.runs_of_request(&call.id);
     match &call.end {
         CallEnd::Broken { reused, .. } => {
-            let excused = evidence.may_be_cut(call.front, call.sent_at, call.ended_at);
-            // A connection that was idle may close just as a request is sent on it, and a
-            // front that is stopping refuses new ones.
+            let is_excused = evidence.may_be_cut_off(call.front, call.sent_at, call.ended_at);
+            // Two failures need no fault as explanation if the request was not run: a kept
+            // connection may be closed just as a request is sent on it, and a stopping front
+            // refuses new connections.
             let run = runs.next();
-            let refused =
-                *reused || evidence.has_refused(call.front, call.connected_at, call.ended_at);
-            if !excused && (run.is_some() || !refused) {
-                let server = run.map(|seen| seen.server.as_str());
-                let (sent_ms, ended_ms) =
-                    (evidence.at_ms(call.sent_at), evidence.at_ms(call.ended_at));
+            let may_fail_without_fault = *reused
+                || evidence.has_refused_connection(call.front, call.connected_at, call.ended_at);
+            if !is_excused && (run.is_some() || !may_fail_without_fault) {
+                let server = run.map(|server_run| server_run.server.as_str());
+                let (sent_ms, ended_ms) = (
+                    evidence.elapsed_ms(call.sent_at),
+                    evidence.elapsed_ms(call.ended_at),
+                );
                 let seen = format!(
                     "sent at {sent_ms} ms, broken at front {} at {ended_ms} ms with no fault; \
                      reused: {reused}; run by {server:?}",
                     call.front
                 );
-                found.breach(Promise::NotCut, &call.id, seen);
+                findings.add(Promise::NotCut, &call.id, seen);
             }
         }
         CallEnd::Left { .. } => {
-            let by = evidence.settled_by(call.ended_at, ABANDONED_WITHIN);
-            if let Some(seen) = runs.find(|seen| goes_on_after(seen, by)) {
-                let server = &seen.server;
-                found.breach(
+            let deadline = evidence.deadline_after_faults(call.ended_at, ABANDON_TIMEOUT);
+            if let Some(server_run) = runs.find(|server_run| is_running_after(server_run, deadline))
+            {
+                let server = &server_run.server;
+                findings.add(
                     Promise::Abandoned,
                     &call.id,
                     format!("still run by {server}"),
@@ -206,81 +214,87 @@
     }
 }
 
-fn check_taken_back(evidence: &Evidence, call: &Call, found: &mut Found) {
-    let by = call.ended_at + TAKEN_BACK_WITHIN;
+fn check_late_arrivals(evidence: &Evidence, call: &Call, findings: &mut Findings) {
+    let deadline = call.ended_at + WITHDRAWAL_TIMEOUT;
     let mut arrivals = evidence.arrivals.iter();
-    let late = arrivals.find(|one| one.arrival.request_id == call.id && one.arrival.at > by);
-    let Some(late) = late else { return };
-    if evidence.was_kept(call.front, call.sent_at, late.arrival.at) {
+    let late_arrival =
+        arrivals.find(|seen| seen.arrival.request_id == call.id && seen.arrival.at > deadline);
+    let Some(late) = late_arrival else { return };
+    if evidence.had_front_fault(call.front, call.sent_at, late.arrival.at) {
         return;
     }
     let seen = format!(
         "sent to front {} at {} ms, over at {} ms, reached {} at {} ms",
         call.front,
-        evidence.at_ms(call.sent_at),
-        evidence.at_ms(call.ended_at),
+        evidence.elapsed_ms(call.sent_at),
+        evidence.elapsed_ms(call.ended_at),
         late.server,
-        evidence.at_ms(late.arrival.at)
+        evidence.elapsed_ms(late.arrival.at)
     );
-    found.breach(Promise::TakenBack, &call.id, seen);
+    findings.add(Promise::TakenBack, &call.id, seen);
 }
 
-fn goes_on_after(seen: &ServerRun, at: Instant) -> bool {
-    seen.run.ended_at.is_none_or(|ended_at| ended_at > at)
+fn is_running_after(server_run: &ServerRun, at: Instant) -> bool {
+    server_run.run.ended_at.is_none_or(|ended_at| ended_at > at)
 }
 
-fn check_served(evidence: &Evidence, call: &Call, found: &mut Found) {
-    let quiet_from = call.sent_at.checked_sub(SERVED_AGAIN_WITHIN);
-    let settled = quiet_from.is_some_and(|from| evidence.is_quiet(from, call.ended_at));
-    let served = matches!(
+fn check_served(evidence: &Evidence, call: &Call, findings: &mut Findings) {
+    let fault_free_from = call.sent_at.checked_sub(RECOVERY_TIMEOUT);
+    let has_recovered =
+        fault_free_from.is_some_and(|from| evidence.is_fault_free(from, call.ended_at));
+    let is_served = matches!(
         call.end,
         CallEnd::Whole { status: 200, .. } | CallEnd::Left { meant_to: true }
     );
-    if settled && !served && call.kind != Kind::Crashing {
+    if has_recovered && !is_served && call.kind != RequestKind::Crashing {
         let seen = format!("not served though nothing is wrong: {:?}", call.end);
-        found.breach(Promise::Served, &call.id, seen);
+        findings.add(Promise::Served, &call.id, seen);
     }
 }
 
-fn check_job(job: &Job, found: &mut Found) {
+fn check_job_results(job: &Job, findings: &mut Findings) {
     if job.ended_at.is_some() {
         return;
     }
     let id_of = |result: &Value| result["id"].as_str().unwrap_or_default().to_owned();
     let mut ids: Vec<String> = job.results.iter().map(id_of).collect();
     ids.sort();
-    let mut expected: Vec<String> = (0..job.count)
+    let mut expected: Vec<String> = (0..job.item_count)
         .map(|at| front_client::item_id(&job.id, at))
         .collect();
     expected.sort();
     if ids != expected {
-        let seen = format!("{} results of {} items: {ids:?}", ids.len(), job.count);
-        found.breach(Promise::ItemsOnce, &job.id, seen);
+        let seen = format!("{} results of {} items: {ids:?}", ids.len(), job.item_count);
+        findings.add(Promise::ItemsOnce, &job.id, seen);
     }
-    if job.read_again.as_ref() != Some(&job.results) {
+    if job.second_read.as_ref() != Some(&job.results) {
         let seen = "its results changed between two reads, or could not be read again";
-        found.breach(Promise::ItemsOnce, &job.id, seen);
+        findings.add(Promise::ItemsOnce, &job.id, seen);
     }
 }
 
-/// Checks what needs the servers' view of a job: outputs, and that an ended job rests.
-fn check_job_end(evidence: &Evidence, job: &Job, found: &mut Found) {
+/// Checks the parts of a job that need the observations of the servers: that outputs belong to
+/// their items, and that no item of an ended job starts.
+fn check_outputs_and_job_end(evidence: &Evidence, job: &Job, findings: &mut Findings) {
     for result in &job.results {
         let id = result["id"].as_str().unwrap_or_default();
-        let completed = result["state"] == "completed";
-        if completed && result["output"] != whole_output(id, evidence.events) {
-            found.breach(Promise::OwnAnswer, id, format!("its output is {result}"));
+        let is_completed = result["state"] == "completed";
+        if is_completed && result["output"] != expected_output(id, evidence.event_count) {
+            findings.add(Promise::OwnAnswer, id, format!("its output is {result}"));
         }
     }
     let Some(ended_at) = job.ended_at else { return };
-    let by = evidence.settled_by(ended_at, JOB_ENDED_WITHIN);
+    let deadline = evidence.deadline_after_faults(ended_at, JOB_END_TIMEOUT);
     let prefix = front_client::item_id(&job.id, 0);
     let prefix = prefix.trim_end_matches('0');
-    let of_job = |seen: &&ServerRun| seen.run.request_id.starts_with(prefix);
-    let late = evidence.runs.iter().filter(of_job);
-    if let Some(seen) = late.into_iter().find(|seen| seen.run.started_at > by) {
-        let item = &seen.run.request_id;
-        found.breach(
+    let is_of_job = |server_run: &&ServerRun| server_run.run.request_id.starts_with(prefix);
+    let runs_of_job = evidence.runs.iter().filter(is_of_job);
+    if let Some(server_run) = runs_of_job
+        .into_iter()
+        .find(|server_run| server_run.run.started_at > deadline)
+    {
+        let item = &server_run.run.request_id;
+        findings.add(
             Promise::JobEnds,
             &job.id,
             format!("{item} started after it"),
@@ -288,97 +302,99 @@
     }
 }
 
-/// Counts only what certainly waited while `job` was admitted: items of jobs accepted before
-/// it was submitted that first began after it was accepted. A job whose end was asked for
-/// does not count, though an item of it may still begin.
-fn check_quota(evidence: &Evidence, job: &Job, found: &mut Found) {
-    let waited_throughout = |item: &str| {
-        let starts = evidence.runs_of(item).map(|seen| seen.run.started_at);
+/// Counts only items that must have been waiting while `job` was admitted: those of jobs accepted
+/// before `job` was submitted that first started after `job` was accepted. Jobs whose end was
+/// requested are not counted, although an item of such a job may still start.
+fn check_quota(evidence: &Evidence, job: &Job, findings: &mut Findings) {
+    let was_waiting = |item: &str| {
+        let starts = evidence
+            .runs_of_request(item)
+            .map(|server_run| server_run.run.started_at);
         starts.min().is_some_and(|first| first > job.accepted_at)
     };
-    let was_ended = |other: &Job| other.ended_at.is_some_and(|at| at < job.accepted_at);
-    let before = evidence
+    let had_ended = |other: &Job| other.ended_at.is_some_and(|at| at < job.accepted_at);
+    let jobs_before = evidence
         .jobs
         .iter()
-        .filter(|other| other.accepted_at < job.submitted_at && !was_ended(other));
-    let items =
-        before.flat_map(|other| (0..other.count).map(|at| front_client::item_id(&other.id, at)));
-    let waiting = items.filter(|item| waited_throughout(item)).count() + job.count;
+        .filter(|other| other.accepted_at < job.submitted_at && !had_ended(other));
+    let items = jobs_before
+        .flat_map(|other| (0..other.item_count).map(|at| front_client::item_id(&other.id, at)));
+    let waiting = items.filter(|item| was_waiting(item)).count() + job.item_count;
     let waiting_tokens = waiting as u64 * front_client::ITEM_TOKENS;
     if evidence.quota_tokens > 0 && waiting_tokens > evidence.quota_tokens {
         let seen = format!("{waiting_tokens} tokens waited when it was accepted");
-        found.breach(Promise::Quota, &job.id, seen);
+        findings.add(Promise::Quota, &job.id, seen);
     }
 }
 
-fn check_leaving_servers(evidence: &Evidence, found: &mut Found) {
-    for seen in &evidence.runs {
-        let Some(since) = seen.leaving_since else {
+fn check_leaving_servers(evidence: &Evidence, findings: &mut Findings) {
+    for server_run in &evidence.runs {
+        let Some(since) = server_run.leaving_since else {
             continue;
         };
-        if seen.run.started_at > evidence.settled_by(since, DRAINED_WITHIN) {
-            let late_ms = seen.run.started_at.duration_since(since).as_millis();
-            let seen_there = format!(
+        if server_run.run.started_at > evidence.deadline_after_faults(since, DRAIN_TIMEOUT) {
+            let late_ms = server_run.run.started_at.duration_since(since).as_millis();
+            let seen = format!(
                 "began at {} {late_ms} ms after it was to leave",
-                seen.server
+                server_run.server
             );
-            found.breach(Promise::Drained, &seen.run.request_id, seen_there);
+            findings.add(Promise::Drained, &server_run.run.request_id, seen);
         }
     }
 }
 
-fn check_crashes(evidence: &Evidence, found: &mut Found) {
+fn check_crashes(evidence: &Evidence, findings: &mut Findings) {
     let calls = evidence.calls.iter();
-    let crashing: Vec<&Call> = calls.filter(|call| call.kind == Kind::Crashing).collect();
-    let runs = crashing.iter().flat_map(|call| evidence.runs_of(&call.id));
-    let mut starts: Vec<Instant> = runs.map(|seen| seen.run.started_at).collect();
+    let crashing: Vec<&Call> = calls
+        .filter(|call| call.kind == RequestKind::Crashing)
+        .collect();
+    let runs = crashing
+        .iter()
+        .flat_map(|call| evidence.runs_of_request(&call.id));
+    let mut starts: Vec<Instant> = runs.map(|server_run| server_run.run.started_at).collect();
     starts.sort();
-    let Some(third) = starts.get(ENOUGH_CRASHES - 1) else {
+    let Some(third_crash) = starts.get(MAX_CRASHES - 1) else {
         return;
     };
-    let by = evidence.settled_by(*third, CRASHES_KNOWN_WITHIN);
-    let after = starts.iter().filter(|at| **at > by).count();
-    if after > ENOUGH_CRASHES {
-        let seen = format!("{after} more runs; {} in all", starts.len());
-        found.breach(Promise::CrashesEnd, &crashing[0].id, seen);
+    let deadline = evidence.deadline_after_faults(*third_crash, CRASH_PROPAGATION_TIMEOUT);
+    let runs_after = starts.iter().filter(|at| **at > deadline).count();
+    if runs_after > MAX_CRASHES {
+        let seen = format!("{runs_after} more runs; {} in all", starts.len());
+        findings.add(Promise::CrashesEnd, &crashing[0].id, seen);
     }
 }
 
-fn check_configs(evidence: &Evidence, found: &mut Found) {
+fn check_configurations(evidence: &Evidence, findings: &mut Findings) {
     for (at, config) in evidence.configs.iter().enumerate() {
-        let replaced_at = evidence.configs.get(at + 1).map(|next| next.at);
-        let by = evidence.settled_by(config.at, CONFIG_WITHIN);
-        let of_version = |probe: &&crate::evidence::ConfigProbe| {
-            probe.version == config.version && replaced_at.is_none_or(|until| probe.at < until)
+        let replaced_at = evidence.configs.get(at + 1).map(|next| next.stored_at);
+        let deadline = evidence.deadline_after_faults(config.stored_at, CONFIG_TIMEOUT);
+        let is_of_version = |probe: &&crate::evidence::ConfigProbe| {
+            probe.version == config.version && replaced_at.is_none_or(|until| probe.sent_at < until)
         };
-        for probe in evidence.probes.iter().filter(of_version) {
-            if probe.routed || probe.at <= by {
+        for probe in evidence.probes.iter().filter(is_of_version) {
+            if probe.has_route || probe.sent_at <= deadline {
                 continue;
             }
-            let late_ms = probe.at.duration_since(config.at).as_millis();
+            let late_ms = probe.sent_at.duration_since(config.stored_at).as_millis();
             let subject = format!("version {}", config.version);
             let seen = format!("not in force at front {} after {late_ms} ms", probe.front);
-            found.breach(Promise::ConfigInForce, &subject, seen);
+            findings.add(Promise::ConfigInForce, &subject, seen);
         }
     }
 }
 
-fn check_processes(evidence: &Evidence, found: &mut Found) {
+fn check_processes(evidence: &Evidence, findings: &mut Findings) {
     for stop in &evidence.stops {
-        if stop.ended != Some(Ended::Exit(0)) {
-            found.breach(
-                Promise::StopsInTime,
-                &stop.host,
-                format!("{:?}", stop.ended),
-            );
+        if stop.exit != Some(ProcessExit::Exit(0)) {
+            findings.add(Promise::StopsInTime, &stop.host, format!("{:?}", stop.exit));
         }
     }
-    for (host, ended) in &evidence.unasked_ends {
-        found.breach(Promise::StaysUp, host, format!("{ended:?}"));
+    for (host, exit) in &evidence.unexpected_exits {
+        findings.add(Promise::StaysUp, host, format!("{exit:?}"));
     }
-    for (host, held) in &evidence.resources {
-        if held.memory_bytes > MOST_MEMORY_BYTES || held.open_files > MOST_OPEN_FILES {
-            found.breach(Promise::Bounded, host, format!("{held:?}"));
+    for (host, resources) in &evidence.max_resources {
+        if resources.memory_bytes > MAX_MEMORY_BYTES || resources.open_files > MAX_OPEN_FILES {
+            findings.add(Promise::Bounded, host, format!("{resources:?}"));
         }
     }
 }
--- a/crates/foxwheel-soak/src/evidence.rs
+++ b/crates/foxwheel-soak/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What callers, backend servers and the soak itself saw in a run.
+//! Observations of callers, backend servers and the soak itself during a soak run.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -6,26 +6,26 @@
 use foxwheel_server_emu::runs::{Arrival, Run};
 use serde_json::Value;
 
-use crate::process::{Ended, Resources};
+use crate::process::{ProcessExit, Resources};
 
-/// What a caller asks for.
+/// Kind of online request, by the route that it is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
-    /// May be run again.
+pub enum RequestKind {
+    /// A request that may be run again.
     Plain,
-    /// Runs once at most.
+    /// A request that runs at most once.
     Once,
-    /// A stream that may be resumed.
+    /// A stream that can be resumed.
     Stream,
-    /// A stream that runs once at most.
+    /// A stream that runs at most once.
     StreamOnce,
-    /// Crashes each server that begins to run it; may be run again.
+    /// A request that crashes each server that starts to run it. It may be run again.
     Crashing,
 }
 
-impl Kind {
-    /// Runs that its route allows.
-    pub fn most_runs(self) -> usize {
+impl RequestKind {
+    /// Returns the number of runs that the request's route allows.
+    pub fn max_runs(self) -> usize {
         match self {
             Self::Plain | Self::Stream | Self::Crashing => 2,
             Self::Once | Self::StreamOnce => 1,
@@ -33,247 +33,258 @@
     }
 }
 
-/// How a call ended.
+/// How a call ended. The report writes the names of variants and fields.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallEnd {
-    /// An answer whose body ended whole.
+    /// The response was received completely.
     Whole {
-        /// Its status.
+        /// Its status code.
         status: u16,
-        /// Whether it says that nothing was run.
+        /// Whether the response states that the request was not run.
         not_run: bool,
         /// Its body.
         body: Vec<u8>,
     },
-    /// The connection broke.
+    /// The connection failed before the response was complete.
     Broken {
-        /// What had come of a success's body.
+        /// Part of the response body that was received before. Empty if no response head was
+        /// received.
         body: Vec<u8>,
-        /// Whether the connection had served a call before.
+        /// Whether an earlier call had used the same connection.
         reused: bool,
     },
-    /// There was no connection, so nothing was sent.
+    /// The connection could not be opened or failed before the request was sent.
     NotSent,
-    /// The caller left before the end.
+    /// The caller disconnected before the response was complete.
     Left {
-        /// As it meant to from the start, not because it waited too long.
+        /// True if the caller had planned to disconnect early, false if its response timeout
+        /// elapsed.
         meant_to: bool,
     },
 }
 
-/// One call of a caller.
+/// A call of an online caller.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Its request's id.
+    /// Request id.
     pub id: String,
-    /// What it asked for.
-    pub kind: Kind,
-    /// The front's place.
+    /// Kind of the request.
+    pub kind: RequestKind,
+    /// Index of the front.
     pub front: usize,
-    /// When its caller began to connect, or took the connection it had kept.
+    /// When the caller started to connect, or started to use the connection that it had kept.
     pub connected_at: Instant,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_at: Instant,
-    /// When it ended.
+    /// When the call ended.
     pub ended_at: Instant,
-    /// How.
+    /// How the call ended.
     pub end: CallEnd,
 }
 
-/// A batch job as its client saw it.
+/// A batch job as seen by its client.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Its id.
+    /// Id of the job.
     pub id: String,
-    /// Its items.
-    pub count: usize,
-    /// When it was first submitted.
+    /// Number of items.
+    pub item_count: usize,
+    /// When the job was first submitted.
     pub submitted_at: Instant,
-    /// When it was accepted.
+    /// When the client received the acceptance.
     pub accepted_at: Instant,
-    /// When its end was confirmed, if the client ended it.
+    /// When the front confirmed the end of the job. `None` if the client did not end it.
     pub ended_at: Option<Instant>,
-    /// Its results in the order read.
+    /// Results in the order in which they were read.
     pub results: Vec<Value>,
-    /// The same, read once more from the start after all were there.
-    pub read_again: Option<Vec<Value>>,
+    /// Results of a second read from the first position, made after the first read was complete.
+    pub second_read: Option<Vec<Value>>,
 }
 
 /// A run at a backend server.
 #[derive(Debug, Clone)]
 pub struct ServerRun {
-    /// The server's id.
+    /// Id of the server.
     pub server: String,
-    /// When the server was listed as draining or its entry was removed.
+    /// When the server was listed as draining or its entry was removed. `None` if neither
+    /// happened.
     pub leaving_since: Option<Instant>,
-    /// The run.
+    /// The run as recorded by the server.
     pub run: Run,
 }
 
-/// A request that reached a backend server, whether it was run or not.
+/// A request that arrived at a backend server, whether it was run or not.
 #[derive(Debug, Clone)]
 pub struct ServerArrival {
-    /// The server's id.
+    /// Id of the server.
     pub server: String,
-    /// The request's id and when it came.
+    /// Id of the request and its time of arrival.
     pub arrival: Arrival,
 }
 
-/// Whose answers a disturbance may break.
+/// Which responses may be cut off by a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cuts {
-    /// Nobody's.
+pub enum CutScope {
+    /// No responses.
     Nothing,
-    /// Those of the front at this place.
+    /// Responses of the front with this index.
     Front(usize),
-    /// Anyone's.
+    /// Responses of any front.
     Any,
 }
 
-/// A time in which a fault was on.
+/// A period in which a fault was active.
 #[derive(Debug, Clone, Copy)]
-pub struct Disturbance {
-    /// Its begin.
+pub struct FaultPeriod {
+    /// Start of the fault.
     pub from: Instant,
-    /// Its end.
+    /// End of the fault.
     pub until: Instant,
-    /// What it may break.
-    pub cuts: Cuts,
+    /// Responses that the fault may cut off.
+    pub cut_scope: CutScope,
 }
 
-/// The operator wrote a configuration.
+/// A configuration that the operator wrote.
 #[derive(Debug, Clone, Copy)]
 pub struct ConfigWrite {
-    /// Its version.
+    /// Version of the configuration.
     pub version: u64,
-    /// When the store had it.
-    pub at: Instant,
+    /// When the store had confirmed the write.
+    pub stored_at: Instant,
 }
 
-/// A front was asked for the path that only one version routes.
+/// A request to a front for a path that only one version of the configuration routes.
 #[derive(Debug, Clone, Copy)]
 pub struct ConfigProbe {
-    /// The front's place.
+    /// Index of the front.
     pub front: usize,
-    /// The version.
+    /// Version whose route was requested.
     pub version: u64,
-    /// When it was asked.
-    pub at: Instant,
-    /// Whether it has the route.
-    pub routed: bool,
+    /// When the request was sent.
+    pub sent_at: Instant,
+    /// Whether the front routed the request.
+    pub has_route: bool,
 }
 
-/// A process was asked to stop.
+/// A process that was asked to stop.
 #[derive(Debug, Clone)]
-pub struct Stop {
-    /// Its host.
+pub struct ProcessStop {
+    /// Host of the process.
     pub host: String,
-    /// How it ended; none if not within its grace.
-    pub ended: Option<Ended>,
+    /// How the process ended. `None` if it was still running after its stop grace.
+    pub exit: Option<ProcessExit>,
 }
 
-/// Everything seen in a run.
+/// All observations of a soak run.
 #[derive(Debug, Default)]
 pub struct Evidence {
     /// Calls that ended.
     pub calls: Vec<Call>,
     /// Jobs that were accepted.
     pub jobs: Vec<Job>,
-    /// Runs of all servers.
+    /// Runs at all backend servers.
     pub runs: Vec<ServerRun>,
-    /// What reached the servers.
+    /// Requests that arrived at backend servers.
     pub arrivals: Vec<ServerArrival>,
-    /// Faults.
-    pub disturbances: Vec<Disturbance>,
-    /// Configurations.
+    /// Periods in which faults were active.
+    pub fault_periods: Vec<FaultPeriod>,
+    /// Configurations that were written, in order of version.
     pub configs: Vec<ConfigWrite>,
-    /// What fronts had in force.
+    /// Which versions of the configuration the fronts had in force.
     pub probes: Vec<ConfigProbe>,
-    /// Connections that a path had taken for the front at a place and that front refused.
-    pub refusals: Vec<(usize, Instant)>,
-    /// Planned stops.
-    pub stops: Vec<Stop>,
-    /// Processes that ended unasked, and how.
-    pub unasked_ends: Vec<(String, Ended)>,
-    /// The most that each host's process held.
-    pub resources: Vec<(String, Resources)>,
-    /// Events of a whole answer.
-    pub events: u64,
-    /// Tokens that may wait on the route of the jobs; 0 is no limit.
+    /// Connections that a proxy accepted for a front and the front refused: index of the front and
+    /// time.
+    pub refusal_times: Vec<(usize, Instant)>,
+    /// Processes that were asked to stop.
+    pub stops: Vec<ProcessStop>,
+    /// Processes that ended without being asked to: host, and how they ended.
+    pub unexpected_exits: Vec<(String, ProcessExit)>,
+    /// Highest resource use of the process on each host, sorted by host.
+    pub max_resources: Vec<(String, Resources)>,
+    /// Number of events of a complete response.
+    pub event_count: u64,
+    /// Number of tokens that may wait on the route of the jobs. 0 means no limit.
     pub quota_tokens: u64,
-    /// When the users of the fleet began; times are told from then on.
-    pub began_at: Option<Instant>,
+    /// When callers and clients started. Times in the report count from here.
+    pub started_at: Option<Instant>,
 }
 
 impl Evidence {
-    /// When something that began at `from` and takes `bound` without faults is over at the
-    /// latest: `bound` after `from` or after the last fault that came in between.
-    pub fn settled_by(&self, from: Instant, bound: Duration) -> Instant {
+    /// Returns when something that starts at `from`, and takes up to `bound` without faults, must
+    /// be complete: `bound` after `from`, or `bound` after the end of the last fault that
+    /// interrupted it.
+    pub fn deadline_after_faults(&self, from: Instant, bound: Duration) -> Instant {
         let mut quiet_from = from;
         loop {
             let quiet_until = quiet_from + bound;
-            let disturbs = |one: &&Disturbance| one.from < quiet_until && one.until > quiet_from;
-            let disturbing = self.disturbances.iter().filter(disturbs);
-            match disturbing.map(|one| one.until).max() {
+            let disturbs =
+                |period: &&FaultPeriod| period.from < quiet_until && period.until > quiet_from;
+            let disturbing = self.fault_periods.iter().filter(disturbs);
+            match disturbing.map(|period| period.until).max() {
                 Some(until) => quiet_from = until,
                 None => return quiet_until,
             }
         }
     }
 
-    /// Whether nothing disturbed the fleet between `from` and `until`.
-    pub fn is_quiet(&self, from: Instant, until: Instant) -> bool {
-        let mut disturbances = self.disturbances.iter();
-        !disturbances.any(|one| one.from < until && one.until > from)
+    /// Returns whether no fault was active between `from` and `until`.
+    pub fn is_fault_free(&self, from: Instant, until: Instant) -> bool {
+        let mut fault_periods = self.fault_periods.iter();
+        !fault_periods.any(|period| period.from < until && period.until > from)
     }
 
-    /// Whether a fault may have broken an answer of the front at `front` in this time.
-    pub fn may_be_cut(&self, front: usize, from: Instant, until: Instant) -> bool {
-        let mut disturbances = self.disturbances.iter();
-        disturbances.any(|one| {
-            let reaches = one.cuts == Cuts::Any || one.cuts == Cuts::Front(front);
-            reaches && one.from < until && one.until > from
+    /// Returns whether a fault may have cut off a response of the front with index `front` between
+    /// `from` and `until`.
+    pub fn may_be_cut_off(&self, front: usize, from: Instant, until: Instant) -> bool {
+        let mut fault_periods = self.fault_periods.iter();
+        fault_periods.any(|period| {
+            let reaches =
+                period.cut_scope == CutScope::Any || period.cut_scope == CutScope::Front(front);
+            reaches && period.from < until && period.until > from
         })
     }
 
-    /// Whether a fault kept the front at `front` itself, or its callers from it, in this time.
-    pub fn was_kept(&self, front: usize, from: Instant, until: Instant) -> bool {
-        let mut disturbances = self.disturbances.iter();
-        disturbances
-            .any(|one| one.cuts == Cuts::Front(front) && one.from < until && one.until > from)
+    /// Returns whether a fault affected the process of the front with index `front`, or the path
+    /// from its callers to it, between `from` and `until`.
+    pub fn had_front_fault(&self, front: usize, from: Instant, until: Instant) -> bool {
+        let mut fault_periods = self.fault_periods.iter();
+        fault_periods.any(|period| {
+            period.cut_scope == CutScope::Front(front) && period.from < until && period.until > from
+        })
     }
 
-    /// Whether the front at `front` refused a connection in this time.
-    pub fn has_refused(&self, front: usize, from: Instant, until: Instant) -> bool {
-        let mut refusals = self.refusals.iter();
-        refusals.any(|(by, at)| *by == front && (from..=until).contains(at))
+    /// Returns whether the front with index `front` refused a connection between `from` and
+    /// `until`.
+    pub fn has_refused_connection(&self, front: usize, from: Instant, until: Instant) -> bool {
+        let mut refusal_times = self.refusal_times.iter();
+        refusal_times.any(|(by, at)| *by == front && (from..=until).contains(at))
     }
 
-    /// Milliseconds from the begin to `at`.
-    pub fn at_ms(&self, at: Instant) -> u128 {
-        let began_at = self.began_at.unwrap_or(at);
-        at.saturating_duration_since(began_at).as_millis()
+    /// Returns the milliseconds from the start of the load to `at`.
+    pub fn elapsed_ms(&self, at: Instant) -> u128 {
+        let started_at = self.started_at.unwrap_or(at);
+        at.saturating_duration_since(started_at).as_millis()
     }
 
-    /// Runs of a request.
-    pub fn runs_of<'a>(&'a self, request: &'a str) -> impl Iterator<Item = &'a ServerRun> {
+    /// Returns the runs of a request at all servers.
+    pub fn runs_of_request<'a>(&'a self, request: &'a str) -> impl Iterator<Item = &'a ServerRun> {
         let runs = self.runs.iter();
-        runs.filter(move |seen| seen.run.request_id == request)
+        runs.filter(move |server_run| server_run.run.request_id == request)
     }
 }
 
-/// Evidence while it is gathered.
+/// Collects evidence from concurrent tasks.
 #[derive(Debug, Default)]
-pub struct Record(Mutex<Evidence>);
+pub struct Recorder(Mutex<Evidence>);
 
-impl Record {
-    /// The evidence so far.
+impl Recorder {
+    /// Locks the evidence collected so far.
     pub fn lock(&self) -> MutexGuard<'_, Evidence> {
         self.0.lock().expect("the record's lock")
     }
 
-    /// Takes the evidence out.
-    pub fn take(&self) -> Evidence {
+    /// Moves the collected evidence out.
+    pub fn take_evidence(&self) -> Evidence {
         std::mem::take(&mut *self.lock())
     }
 }
--- a/crates/foxwheel-soak/src/faults.rs
+++ b/crates/foxwheel-soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Carrying out the faults of a plan.
+//! Injects the faults of a plan into the fleet.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,137 +12,167 @@
 use serde_json::json;
 use tokio_util::sync::CancellationToken;
 
-use crate::evidence::{ConfigWrite, Cuts, Disturbance, Record, Stop};
-use crate::fleet::{self, task_error, Fleet, Operator, SoakError, FIRST_VERSION, STOP_GRACE};
+use crate::evidence::{ConfigWrite, CutScope, FaultPeriod, ProcessStop, Recorder};
+use crate::fleet::{
+    self, task_error, Fleet, Operator, SoakError, FIRST_CONFIG_VERSION, STOP_GRACE,
+};
 use crate::front_client;
-use crate::online_caller::Caller;
-use crate::plan::{Act, Fault, Route, ServerFault, Step, StoreFault, Target};
-use crate::process::Ended;
+use crate::online_caller::OnlineCaller;
+use crate::plan::{Fault, NetworkPath, ProcessFault, ProcessTarget, ServerFault, Step, StoreFault};
+use crate::process::ProcessExit;
 use crate::proxy::{FaultProxy, PathFault};
 
-/// Requests that one fault of a server meets.
-const FAULTY_RUNS: usize = 3;
+/// Number of requests that a single fault of a server affects.
+const FAULTY_REQUESTS: usize = 3;
 
-/// How long a process may take to end beyond its grace, as the signal and its end take time.
-const STOP_SLACK: Duration = Duration::from_millis(500);
+/// Time that a process may take to end beyond its stop grace, because delivering the signal and
+/// noticing the end take time.
+const STOP_GRACE_MARGIN: Duration = Duration::from_millis(500);
 
-/// How often the end of a process is looked for.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Interval at which a process is checked for its end.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Carries out faults on a fleet and notes when they were on.
+/// Injects faults into a fleet and records when they were active.
 #[derive(Clone)]
 pub struct Injector {
     /// The fleet.
     pub fleet: Rc<RefCell<Fleet>>,
-    /// Where faults are noted.
-    pub record: Arc<Record>,
+    /// Records fault periods, configurations and stops of processes.
+    pub recorder: Arc<Recorder>,
     version: Rc<Cell<u64>>,
-    crashing_callers: Rc<Cell<u32>>,
+    crashing_caller_count: Rc<Cell<u32>>,
 }
 
 impl Injector {
-    /// An injector for `fleet`.
-    pub fn new(fleet: Rc<RefCell<Fleet>>, record: Arc<Record>) -> Self {
+    /// Returns an injector for `fleet`.
+    pub fn new(fleet: Rc<RefCell<Fleet>>, recorder: Arc<Recorder>) -> Self {
         Self {
             fleet,
-            record,
-            version: Rc::new(Cell::new(FIRST_VERSION)),
-            crashing_callers: Rc::default(),
+            recorder,
+            version: Rc::new(Cell::new(FIRST_CONFIG_VERSION)),
+            crashing_caller_count: Rc::default(),
         }
     }
 
-    /// Carries out one step until its fault has ended.
-    pub async fn carry_out(self, step: Step) -> Result<(), SoakError> {
+    /// Injects the fault of one step and returns after it has ended.
+    ///
+    /// Returns an error if the soak itself fails, for example at a write to the store.
+    pub async fn inject(self, step: Step) -> Result<(), SoakError> {
         let from = Instant::now();
-        let cuts = match step.fault {
-            Fault::Process { target, act } => return self.act(target, act, step.lasts).await,
-            Fault::Path { route, fault } => self.break_path(route, fault, step.lasts).await,
-            Fault::Store(fault) => self.break_store(fault, step.lasts).await?,
-            Fault::Server { at, fault } => self.break_server(at, fault, step.lasts).await?,
-            Fault::Configure => return self.configure().await,
-            Fault::CrashingRequest => self.send_crashing(step.lasts).await?,
+        let cut_scope = match step.fault {
+            Fault::Process { target, act } => {
+                return self.apply_process_faults(target, act, step.duration).await
+            }
+            Fault::Path { route, fault } => {
+                self.apply_path_fault(route, fault, step.duration).await
+            }
+            Fault::Store(fault) => self.apply_store_fault(fault, step.duration).await?,
+            Fault::Server { at, fault } => {
+                self.apply_server_fault(at, fault, step.duration).await?
+            }
+            Fault::Configure => return self.write_next_config().await,
+            Fault::CrashingRequest => self.send_crashing_requests(step.duration).await?,
         };
-        self.note(from, cuts);
+        self.record_fault_period(from, cut_scope);
         Ok(())
     }
 
-    fn note(&self, from: Instant, cuts: Cuts) {
+    fn record_fault_period(&self, from: Instant, cut_scope: CutScope) {
         let until = Instant::now();
-        let disturbance = Disturbance { from, until, cuts };
-        self.record.lock().disturbances.push(disturbance);
+        let fault_period = FaultPeriod {
+            from,
+            until,
+            cut_scope,
+        };
+        self.recorder.lock().fault_periods.push(fault_period);
     }
 
     fn operator(&self) -> Operator {
         self.fleet.borrow().operator.clone()
     }
 
-    async fn configure(&self) -> Result<(), SoakError> {
+    async fn write_next_config(&self) -> Result<(), SoakError> {
         let version = self.version.get() + 1;
         self.version.set(version);
-        self.operator().configure(version).await?;
-        let at = Instant::now();
-        let mut evidence = self.record.lock();
-        evidence.configs.push(ConfigWrite { version, at });
+        self.operator().write_config(version).await?;
+        let stored_at = Instant::now();
+        let mut evidence = self.recorder.lock();
+        evidence.configs.push(ConfigWrite { version, stored_at });
         evidence.configs.sort_by_key(|config| config.version);
         Ok(())
     }
 
-    async fn send_crashing(&self, lasts: Duration) -> Result<Cuts, SoakError> {
-        let number = self.crashing_callers.get() + 1;
-        self.crashing_callers.set(number);
-        let caller = Caller {
+    async fn send_crashing_requests(&self, duration: Duration) -> Result<CutScope, SoakError> {
+        let number = self.crashing_caller_count.get() + 1;
+        self.crashing_caller_count.set(number);
+        let caller = OnlineCaller {
             name: format!("crashing-{number}"),
             fronts: self.fleet.borrow().fronts(),
-            record: Arc::clone(&self.record),
+            recorder: Arc::clone(&self.recorder),
         };
         let stop = CancellationToken::new();
-        let sending = actix_web::rt::spawn(caller.crash(stop.clone()));
-        tokio::time::sleep(lasts).await;
+        let sender = actix_web::rt::spawn(caller.repeat_crashing_request(stop.clone()));
+        tokio::time::sleep(duration).await;
         stop.cancel();
-        sending
+        sender
             .await
             .map_err(task_error("send the crashing request"))?;
-        Ok(Cuts::Any)
+        Ok(CutScope::Any)
     }
 
-    async fn break_path(&self, route: Route, fault: PathFault, lasts: Duration) -> Cuts {
-        let (path, cuts) = {
+    async fn apply_path_fault(
+        &self,
+        route: NetworkPath,
+        fault: PathFault,
+        duration: Duration,
+    ) -> CutScope {
+        let (path, cut_scope) = {
             let fleet = self.fleet.borrow();
-            let node = |at: usize| &fleet.nodes[at % fleet.nodes.len()];
+            let node = |index: usize| &fleet.nodes[index % fleet.nodes.len()];
             match route {
-                Route::Store(at) => (Some(node(at).store.clone()), Cuts::Nothing),
-                Route::Peers(at) => (Some(node(at).peers.clone()), Cuts::Nothing),
-                Route::Callers(at) => (node(at).callers.clone(), Cuts::Front(at)),
-                Route::Server(at) => {
-                    let place = &fleet.places[at % fleet.places.len()];
-                    (Some(place.path.clone()), Cuts::Any)
+                NetworkPath::Store(index) => {
+                    (Some(node(index).store_path.clone()), CutScope::Nothing)
+                }
+                NetworkPath::Peers(index) => {
+                    (Some(node(index).peer_path.clone()), CutScope::Nothing)
+                }
+                NetworkPath::Callers(index) => {
+                    (node(index).caller_path.clone(), CutScope::Front(index))
+                }
+                NetworkPath::Server(index) => {
+                    let server = &fleet.servers[index % fleet.servers.len()];
+                    (Some(server.proxy.clone()), CutScope::Any)
                 }
             }
         };
-        let set = |fault| {
+        let set_fault = |fault| {
             path.as_ref()
                 .inspect(|path: &&FaultProxy| path.set_fault(fault))
         };
-        set(fault);
-        tokio::time::sleep(lasts).await;
-        set(PathFault::None);
-        cuts
+        set_fault(fault);
+        tokio::time::sleep(duration).await;
+        set_fault(PathFault::None);
+        cut_scope
     }
 
-    async fn break_store(&self, fault: StoreFault, lasts: Duration) -> Result<Cuts, SoakError> {
+    async fn apply_store_fault(
+        &self,
+        fault: StoreFault,
+        duration: Duration,
+    ) -> Result<CutScope, SoakError> {
         let operator = self.operator();
         let store = &operator.store;
-        let failed = |step| move |source| SoakError::Store { step, source };
-        let refuses = |refusal| Faults {
+        let store_error = |step| move |source| SoakError::Store { step, source };
+        let refuse_with = |refusal| Faults {
             outage: true,
             refusal,
             ..Faults::default()
         };
         let faults = match fault {
-            StoreFault::Busy => refuses(Refusal::Busy),
-            StoreFault::Reset => refuses(Refusal::Reset),
-            StoreFault::Silent => refuses(Refusal::Silent),
-            StoreFault::OverRates => refuses(Refusal::RateLimited),
+            StoreFault::Busy => refuse_with(Refusal::Busy),
+            StoreFault::Reset => refuse_with(Refusal::Reset),
+            StoreFault::Silent => refuse_with(Refusal::Silent),
+            StoreFault::OverRates => refuse_with(Refusal::RateLimited),
             StoreFault::Slow => Faults {
                 delay_ms: 200,
                 ..Faults::default()
@@ -157,34 +187,34 @@
                 ..Faults::default()
             },
             StoreFault::ForgetsHistory => {
-                let dropped = store.drop_history().await;
-                dropped.map_err(failed("drop the store's history"))?;
-                return Ok(Cuts::Nothing);
+                let result = store.drop_history().await;
+                result.map_err(store_error("drop the store's history"))?;
+                return Ok(CutScope::Nothing);
             }
             StoreFault::SpoiledEntry => {
                 let spoiled = json!({"service": 7, "addr": "nowhere"});
                 let (step, key) = ("write a spoiled entry", "servers/spoiled");
-                operator.write(step, key, &spoiled).await?;
-                tokio::time::sleep(lasts).await;
-                operator.unlist("spoiled").await?;
-                return Ok(Cuts::Nothing);
+                operator.write_object(step, key, &spoiled).await?;
+                tokio::time::sleep(duration).await;
+                operator.unlist_server("spoiled").await?;
+                return Ok(CutScope::Nothing);
             }
         };
-        let set = store.set_faults(&faults).await;
-        set.map_err(failed("set the store's faults"))?;
-        tokio::time::sleep(lasts).await;
-        let cleared = store.set_faults(&Faults::default()).await;
-        cleared.map_err(failed("clear the store's faults"))?;
-        Ok(Cuts::Nothing)
+        let result = store.set_faults(&faults).await;
+        result.map_err(store_error("set the store's faults"))?;
+        tokio::time::sleep(duration).await;
+        let result = store.set_faults(&Faults::default()).await;
+        result.map_err(store_error("clear the store's faults"))?;
+        Ok(CutScope::Nothing)
     }
 
-    async fn break_server(
+    async fn apply_server_fault(
         &self,
-        at: usize,
+        index: usize,
         fault: ServerFault,
-        lasts: Duration,
-    ) -> Result<Cuts, SoakError> {
-        let faulty = match fault {
+        duration: Duration,
+    ) -> Result<CutScope, SoakError> {
+        let run_faults = match fault {
             ServerFault::Hangs => [RunFault::Silent, RunFault::SilentAfter(2)],
             ServerFault::LosesAnswers => [RunFault::LoseAnswer, RunFault::LoseAnswer],
             ServerFault::BreaksOff => [RunFault::BreakAfter(2), RunFault::BreakWithin(1)],
@@ -192,193 +222,235 @@
             ServerFault::Fails => [RunFault::Fail, RunFault::Fail],
             ServerFault::Rejects => [RunFault::Reject, RunFault::Reject],
             ServerFault::Restarts | ServerFault::Drains | ServerFault::Leaves => {
-                self.replace_server(at, fault, lasts).await?;
-                return Ok(Cuts::Any);
+                self.replace_server(index, fault, duration).await?;
+                return Ok(CutScope::Any);
             }
         };
         let script = {
             let fleet = self.fleet.borrow();
-            Arc::clone(&fleet.places[at % fleet.places.len()].server.script)
+            Arc::clone(&fleet.servers[index % fleet.servers.len()].emulator.script)
         };
-        script.extend(faulty.into_iter().cycle().take(FAULTY_RUNS));
-        tokio::time::sleep(lasts).await;
+        script.extend(run_faults.into_iter().cycle().take(FAULTY_REQUESTS));
+        tokio::time::sleep(duration).await;
         script.clear();
-        Ok(Cuts::Any)
+        Ok(CutScope::Any)
     }
 
     async fn replace_server(
         &self,
-        at: usize,
+        index: usize,
         fault: ServerFault,
-        lasts: Duration,
+        duration: Duration,
     ) -> Result<(), SoakError> {
         let operator = self.operator();
-        let (id, addr, server) = {
+        let (id, addr, emulator) = {
             let fleet = self.fleet.borrow();
-            let place = &fleet.places[at % fleet.places.len()];
-            (place.id.clone(), place.path.addr, place.server.clone())
+            let server = &fleet.servers[index % fleet.servers.len()];
+            (
+                server.id.clone(),
+                server.proxy.addr,
+                server.emulator.clone(),
+            )
         };
         let leaving_since = match fault {
             ServerFault::Drains => {
-                operator.list(&id, addr, "draining").await?;
+                operator.list_server(&id, addr, "draining").await?;
                 Some(Instant::now())
             }
             ServerFault::Leaves => {
-                operator.unlist(&id).await?;
+                operator.unlist_server(&id).await?;
                 Some(Instant::now())
             }
             _ => None,
         };
-        let next = match leaving_since {
-            Some(_) => self.fleet.borrow_mut().next_server(),
+        let replacement = match leaving_since {
+            Some(_) => self.fleet.borrow_mut().next_server_id(),
             None => {
-                server.end();
-                tokio::time::sleep(lasts).await;
+                emulator.end();
+                tokio::time::sleep(duration).await;
                 id.clone()
             }
         };
-        let next = operator.start_server(next).await?;
-        self.fleet.borrow_mut().replace(&id, next, leaving_since);
+        let replacement = operator.start_server(replacement).await?;
+        self.fleet
+            .borrow_mut()
+            .replace_server(&id, replacement, leaving_since);
         if leaving_since.is_some() {
-            tokio::time::sleep(lasts).await;
+            tokio::time::sleep(duration).await;
         }
         Ok(())
     }
 
-    async fn act(&self, target: Target, act: Act, lasts: Duration) -> Result<(), SoakError> {
-        let chosen: Vec<usize> = match target {
-            Target::One(at) => vec![at % self.fleet.borrow().nodes.len()],
-            Target::Speaker => self.speaker().await.into_iter().collect(),
-            Target::All => (0..self.fleet.borrow().nodes.len()).collect(),
+    async fn apply_process_faults(
+        &self,
+        target: ProcessTarget,
+        act: ProcessFault,
+        duration: Duration,
+    ) -> Result<(), SoakError> {
+        let targets: Vec<usize> = match target {
+            ProcessTarget::One(index) => vec![index % self.fleet.borrow().nodes.len()],
+            ProcessTarget::Speaker => self.find_store_watcher().await.into_iter().collect(),
+            ProcessTarget::All => (0..self.fleet.borrow().nodes.len()).collect(),
         };
-        let mut acting = Vec::new();
-        for at in chosen {
-            let this = self.clone();
-            acting.push(actix_web::rt::spawn(async move {
-                this.act_on(at, act, lasts).await
+        let mut tasks = Vec::new();
+        for index in targets {
+            let injector = self.clone();
+            tasks.push(actix_web::rt::spawn(async move {
+                injector.apply_process_fault(index, act, duration).await
             }));
         }
-        for one in acting {
-            one.await.map_err(task_error("signal a process"))??;
+        for task in tasks {
+            task.await.map_err(task_error("signal a process"))??;
         }
         Ok(())
     }
 
-    /// The process that has most often waited for changes of the store: it follows for others.
-    async fn speaker(&self) -> Option<usize> {
-        let metrics: Vec<_> = {
+    /// Returns the index of the process with the most completed watches of the store, which is the
+    /// one that watches the store for others. Returns `None` if no process responds within 300 ms.
+    async fn find_store_watcher(&self) -> Option<usize> {
+        let metrics_addrs: Vec<_> = {
             let fleet = self.fleet.borrow();
             let nodes = fleet.nodes.iter();
-            nodes.map(|node| node.process.metrics).collect()
+            nodes.map(|node| node.process.metrics_addr).collect()
         };
-        let mut watches = Vec::new();
-        for (at, addr) in metrics.into_iter().enumerate() {
+        let mut watch_counts = Vec::new();
+        for (index, addr) in metrics_addrs.into_iter().enumerate() {
             let page = front_client::call(addr, Method::GET, "/metrics", "metrics", &[], "");
             let page = tokio::time::timeout(Duration::from_millis(300), page).await;
             if let Ok(Ok(page)) = page {
-                watches.push((count(&page.text(), "foxwheel.store.watch.ok"), at));
+                watch_counts.push((
+                    counter_value(&page.text(), "foxwheel.store.watch.ok"),
+                    index,
+                ));
             }
         }
-        watches.into_iter().max().map(|(_, at)| at)
+        watch_counts.into_iter().max().map(|(_, index)| index)
     }
 
-    async fn act_on(&self, at: usize, act: Act, lasts: Duration) -> Result<(), SoakError> {
-        if act == Act::Reload {
-            return self.reload(at, lasts).await;
+    async fn apply_process_fault(
+        &self,
+        index: usize,
+        act: ProcessFault,
+        duration: Duration,
+    ) -> Result<(), SoakError> {
+        if act == ProcessFault::Reload {
+            return self.spoil_and_restore_settings(index, duration).await;
         }
-        if std::mem::replace(&mut self.fleet.borrow_mut().nodes[at].busy, true) {
+        if std::mem::replace(
+            &mut self.fleet.borrow_mut().nodes[index].is_under_fault,
+            true,
+        ) {
             return Ok(());
         }
         match act {
-            Act::Stop => self.stop(at, lasts).await?,
-            Act::Kill => {
+            ProcessFault::Stop => self.stop_and_restart(index, duration).await?,
+            ProcessFault::Kill => {
                 let from = Instant::now();
-                self.signal(at, Signal::SIGKILL)?;
-                self.until_ended(at, STOP_GRACE).await;
-                self.stay_down(at, from, lasts).await?;
+                self.send_signal(index, Signal::SIGKILL)?;
+                self.wait_until_ended(index, STOP_GRACE).await;
+                self.restart_after_delay(index, from, duration).await?;
             }
-            Act::Pause => {
+            ProcessFault::Pause => {
                 let from = Instant::now();
-                self.signal(at, Signal::SIGSTOP)?;
-                tokio::time::sleep(lasts).await;
-                self.signal(at, Signal::SIGCONT)?;
-                self.note(from, self.cuts_of(at));
+                self.send_signal(index, Signal::SIGSTOP)?;
+                tokio::time::sleep(duration).await;
+                self.send_signal(index, Signal::SIGCONT)?;
+                self.record_fault_period(from, self.cut_scope_of(index));
             }
-            Act::Reload => {}
+            ProcessFault::Reload => {}
         }
-        self.fleet.borrow_mut().nodes[at].busy = false;
+        self.fleet.borrow_mut().nodes[index].is_under_fault = false;
         Ok(())
     }
 
-    /// What a process that is down or stands still may cut.
-    fn cuts_of(&self, at: usize) -> Cuts {
-        match self.fleet.borrow().nodes[at].callers.is_some() {
-            true => Cuts::Front(at),
-            false => Cuts::Nothing,
+    /// Returns which responses may be cut off while this process is down or suspended.
+    fn cut_scope_of(&self, index: usize) -> CutScope {
+        match self.fleet.borrow().nodes[index].caller_path.is_some() {
+            true => CutScope::Front(index),
+            false => CutScope::Nothing,
         }
     }
 
-    /// Asks a process to stop: until it has ended, it cuts nothing.
-    async fn stop(&self, at: usize, lasts: Duration) -> Result<(), SoakError> {
+    /// Asks a process to stop, waits for its end and restarts it. The process may cut off
+    /// responses only after it has ended, so the two fault periods are recorded separately.
+    async fn stop_and_restart(&self, index: usize, duration: Duration) -> Result<(), SoakError> {
         let from = Instant::now();
-        self.signal(at, Signal::SIGTERM)?;
-        let ended = self.until_ended(at, STOP_GRACE + STOP_SLACK).await;
-        let ended_at = Instant::now() - LOOK_EVERY;
-        let host = self.fleet.borrow().nodes[at].process.host.clone();
-        self.record.lock().stops.push(Stop { host, ended });
-        if ended.is_none() {
-            self.signal(at, Signal::SIGKILL)?;
-            self.until_ended(at, STOP_GRACE).await;
+        self.send_signal(index, Signal::SIGTERM)?;
+        let exit = self
+            .wait_until_ended(index, STOP_GRACE + STOP_GRACE_MARGIN)
+            .await;
+        let ended_at = Instant::now() - EXIT_POLL_INTERVAL;
+        let host = self.fleet.borrow().nodes[index].process.host.clone();
+        self.recorder.lock().stops.push(ProcessStop { host, exit });
+        if exit.is_none() {
+            self.send_signal(index, Signal::SIGKILL)?;
+            self.wait_until_ended(index, STOP_GRACE).await;
         }
-        self.note(from, Cuts::Nothing);
-        self.stay_down(at, ended_at, lasts).await
+        self.record_fault_period(from, CutScope::Nothing);
+        self.restart_after_delay(index, ended_at, duration).await
     }
 
-    /// Starts a process that ended again after `lasts`; notes that it was down from `from`
-    /// until it listens.
-    async fn stay_down(&self, at: usize, from: Instant, lasts: Duration) -> Result<(), SoakError> {
-        tokio::time::sleep(lasts).await;
-        let listens = {
-            let node = &mut self.fleet.borrow_mut().nodes[at];
-            node.process.start_again()?;
-            node.listens
+    /// Restarts an ended process after `duration`, and records that it was down from `from` until
+    /// it listened again.
+    async fn restart_after_delay(
+        &self,
+        index: usize,
+        from: Instant,
+        duration: Duration,
+    ) -> Result<(), SoakError> {
+        tokio::time::sleep(duration).await;
+        let listen_addr = {
+            let node = &mut self.fleet.borrow_mut().nodes[index];
+            node.process.spawn()?;
+            node.listen_addr
         };
-        fleet::until_listening(listens, STOP_GRACE).await;
-        self.fleet.borrow_mut().nodes[at].process.note_listening();
-        self.note(from, self.cuts_of(at));
+        fleet::wait_until_listening(listen_addr, STOP_GRACE).await;
+        self.fleet.borrow_mut().nodes[index]
+            .process
+            .mark_listening();
+        self.record_fault_period(from, self.cut_scope_of(index));
         Ok(())
     }
 
-    async fn reload(&self, at: usize, lasts: Duration) -> Result<(), SoakError> {
+    async fn spoil_and_restore_settings(
+        &self,
+        index: usize,
+        duration: Duration,
+    ) -> Result<(), SoakError> {
         let spoiled = Some("{\"host\": ");
-        self.fleet.borrow().nodes[at]
+        self.fleet.borrow().nodes[index]
             .process
             .write_settings(spoiled)?;
-        self.signal(at, Signal::SIGHUP)?;
-        tokio::time::sleep(lasts).await;
-        self.fleet.borrow().nodes[at].process.write_settings(None)?;
-        self.signal(at, Signal::SIGHUP)
+        self.send_signal(index, Signal::SIGHUP)?;
+        tokio::time::sleep(duration).await;
+        self.fleet.borrow().nodes[index]
+            .process
+            .write_settings(None)?;
+        self.send_signal(index, Signal::SIGHUP)
     }
 
-    fn signal(&self, at: usize, signal: Signal) -> Result<(), SoakError> {
-        self.fleet.borrow_mut().nodes[at].process.signal(signal)?;
+    fn send_signal(&self, index: usize, signal: Signal) -> Result<(), SoakError> {
+        self.fleet.borrow_mut().nodes[index]
+            .process
+            .signal(signal)?;
         Ok(())
     }
 
-    async fn until_ended(&self, at: usize, patience: Duration) -> Option<Ended> {
-        let started = Instant::now();
+    async fn wait_until_ended(&self, index: usize, timeout: Duration) -> Option<ProcessExit> {
+        let started_at = Instant::now();
         loop {
-            let ended = self.fleet.borrow_mut().nodes[at].process.ended();
-            if ended.is_some() || started.elapsed() > patience {
-                return ended;
+            let exit = self.fleet.borrow_mut().nodes[index].process.exit();
+            if exit.is_some() || started_at.elapsed() > timeout {
+                return exit;
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(EXIT_POLL_INTERVAL).await;
         }
     }
 }
 
-/// What a page of metrics says of a counter; one that never rose is not there.
-fn count(page: &str, name: &str) -> u64 {
+/// Returns the value of a counter on a metrics page. A counter that was never incremented is not
+/// on the page and counts as 0.
+fn counter_value(page: &str, name: &str) -> u64 {
     let value = page.lines().find_map(|line| line.strip_prefix(name));
     value
         .and_then(|value| value.trim().parse().ok())
--- a/crates/foxwheel-soak/src/fleet.rs
+++ b/crates/foxwheel-soak/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet of a run: a store, backend servers, and the processes with a path on each of
-//! their connections.
+//! The fleet of a soak run: a store emulator, backend server emulators, and real fronts and
+//! workers whose connections all pass through proxies that can inject faults.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::Path as FilePath;
@@ -17,176 +17,188 @@
 use crate::front_client;
 use crate::network::{self, Network};
 use crate::plan::{FleetSize, Plan};
-use crate::process::{Process, ProcessError, Role, Spec};
+use crate::process::{Process, ProcessError, ProcessSpec, Role};
 use crate::proxy::FaultProxy;
 use crate::store_entries;
 
-/// Body of the requests that crash servers.
+/// Request body on which backend servers crash.
 pub const CRASHING_BODY: &str = "crash";
 
-/// Time from the signal to stop until a process must have ended.
+/// Time from the stop signal until a process must have ended.
 pub const STOP_GRACE: Duration = Duration::from_secs(6);
 
-/// How long a job's results stay readable; longer than any run.
-const RESULTS_READABLE: Duration = Duration::from_secs(600);
+/// How long the results of a job stay readable. Longer than any soak run.
+const RESULTS_RETENTION: Duration = Duration::from_secs(600);
 
-/// Events of a whole answer, and the time each takes.
-pub const EVENTS: u64 = 5;
-const STEP: Duration = Duration::from_millis(6);
+/// Number of events of a complete response.
+pub const EVENT_COUNT: u64 = 5;
+/// Time between two events of a response.
+const EVENT_INTERVAL: Duration = Duration::from_millis(6);
 
-/// Longest wait for a front to serve at the start, or for the store to take a write.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time limit for a front to serve requests after its start, and for a write to the store.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Tokens that may wait on the route of the jobs: fewer than its clients ask for at times.
+/// Number of tokens that may wait on the route of the jobs. Clients sometimes submit more than
+/// this, so that some submissions exceed the quota.
 pub const QUOTA_TOKENS: u64 = 2_500;
 
 /// The first version of the configuration.
-pub const FIRST_VERSION: u64 = 1;
+pub const FIRST_CONFIG_VERSION: u64 = 1;
 
-/// Hosts listen from this address of the network on, and are reached from its first on.
-const FIRST_BOUND_HOST: u8 = 128;
+/// The process with index 0 binds the address with this number in the loopback network. The
+/// proxies in front of it use the address with number 1.
+const FIRST_BIND_HOST: u8 = 128;
 
-/// Why a run could not be carried out; no verdict on the processes.
+/// Failure of the soak itself. It says nothing about whether the processes keep their promises.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
-    /// A file, socket or folder of the soak's own.
+    /// A file, directory or socket of the soak failed.
     #[error("cannot {step}: {source}")]
     Io {
-        /// The step.
+        /// What failed.
         step: &'static str,
-        /// The system's error.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// A process.
+    /// A process could not be started or signalled.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// The store's stand-in.
+    /// The store emulator failed.
     #[error("cannot {step}: {source}")]
     Store {
-        /// The step.
+        /// What failed.
         step: &'static str,
-        /// The client's error.
+        /// Error of the store client.
         source: StoreError,
     },
-    /// A part of the soak itself broke off.
+    /// A task of the soak panicked or was cancelled.
     #[error("cannot {step}: {source}")]
     Task {
-        /// The step.
+        /// What the task did.
         step: &'static str,
         /// How the task ended.
         source: tokio::task::JoinError,
     },
-    /// A signal came.
-    #[error("told to stop")]
-    ToldToStop,
-    /// No network is free.
-    #[error("every loopback network is taken")]
-    NoNetwork,
-    /// A front did not serve at the start.
-    #[error("front {0} never served; see its log")]
-    NeverServed(SocketAddr),
+    /// The soak received a signal to stop.
+    #[error("stopped by a signal")]
+    Interrupted,
+    /// All loopback networks are in use.
+    #[error("all loopback networks are in use")]
+    NoFreeNetwork,
+    /// A front did not serve requests after its start.
+    #[error("front {0} did not serve requests after its start; see its log")]
+    FrontNotReady(SocketAddr),
 }
 
-/// Names the step in which the system failed.
+/// Converts a system error in `step` to a [`SoakError`].
 pub fn io_error(step: &'static str) -> impl FnOnce(std::io::Error) -> SoakError {
     move |source| SoakError::Io { step, source }
 }
 
-/// Names the step whose task broke off.
+/// Converts the failure of a task in `step` to a [`SoakError`].
 pub fn task_error(step: &'static str) -> impl FnOnce(tokio::task::JoinError) -> SoakError {
     move |source| SoakError::Task { step, source }
 }
 
-/// A process with the paths that lead to it and to the store.
+/// A front or worker with the proxies on its network paths.
 #[derive(Debug)]
 pub struct Node {
     /// The process.
     pub process: Process,
-    /// From it to the store.
-    pub store: FaultProxy,
-    /// From other processes to it.
-    pub peers: FaultProxy,
-    /// From callers to it; a front's only.
-    pub callers: Option<FaultProxy>,
-    /// Where it listens once it has started.
-    pub listens: SocketAddr,
-    /// Whether it is being stopped, killed or paused: such acts come one after the other.
-    pub busy: bool,
+    /// Path from the process to the store.
+    pub store_path: FaultProxy,
+    /// Path from other processes to this one.
+    pub peer_path: FaultProxy,
+    /// Path from callers to the process. `None` for a worker.
+    pub caller_path: Option<FaultProxy>,
+    /// Address on which the process accepts connections once it is running.
+    pub listen_addr: SocketAddr,
+    /// Whether the process is being stopped, killed or suspended. Only one such fault is injected
+    /// into a process at a time.
+    pub is_under_fault: bool,
 }
 
-/// A backend server with the path to it.
+/// A backend server emulator with the proxy on its path.
 #[derive(Debug)]
-pub struct Place {
-    /// The id under which it is listed.
+pub struct ListedServer {
+    /// Id under which the server is listed in the store.
     pub id: String,
-    /// The stand-in.
-    pub server: Server,
-    /// From the processes to it.
-    pub path: FaultProxy,
-    /// Whether its end was seen, so that another is on its way.
-    pub end_seen: bool,
+    /// The emulator.
+    pub emulator: Server,
+    /// Path from all processes to the server.
+    pub proxy: FaultProxy,
+    /// Whether the end of the emulator was noticed and a replacement is being started.
+    pub crash_handled: bool,
 }
 
-/// Who writes to the store beside the processes: the operator and the servers.
+/// Writes to the store as the operator and on behalf of the backend servers.
 #[derive(Debug, Clone)]
 pub struct Operator {
-    /// The store, on a path of its own.
+    /// Client of the store whose connections have no injected faults.
     pub store: StoreClient,
-    /// Ends the servers it starts.
+    /// Cancelled to end the servers and proxies that were started.
     pub cancel: CancellationToken,
 }
 
 impl Operator {
-    /// Writes version `version` of the configuration: the usual routes and one that no other
-    /// version has.
-    pub async fn configure(&self, version: u64) -> Result<(), SoakError> {
+    /// Writes version `version` of the configuration: the usual routes, and one route that no
+    /// other version has.
+    pub async fn write_config(&self, version: u64) -> Result<(), SoakError> {
         let mut config = store_entries::config(version);
-        let own = store_entries::route(&version_name(version), "idempotent", json!({}));
+        let version_route =
+            store_entries::route(&version_route_name(version), "idempotent", json!({}));
         if let Some(routes) = config["routes"].as_array_mut() {
             for route in routes.iter_mut().filter(|route| route["kind"] == "batch") {
                 route["cap"] = QUOTA_TOKENS.into();
             }
-            routes.push(own);
+            routes.push(version_route);
         }
-        self.write("write the configuration", "config/main", &config)
+        self.write_object("write the configuration", "config/main", &config)
             .await
     }
 
-    /// Starts a backend server and lists it as ready; the id may have been another's.
-    pub async fn start_server(&self, id: String) -> Result<Place, SoakError> {
+    /// Starts a backend server and lists it as ready. The id can be that of an earlier server.
+    pub async fn start_server(&self, id: String) -> Result<ListedServer, SoakError> {
         let shape = Shape {
             id: id.clone(),
-            step: STEP,
-            events: EVENTS,
+            step: EVENT_INTERVAL,
+            events: EVENT_COUNT,
             crashes_on: Some(CRASHING_BODY.to_owned()),
             ..Shape::default()
         };
         let ip = IpAddr::V4(Ipv4Addr::LOCALHOST);
-        let server = server::start(ip, shape, self.cancel.clone()).await;
-        let server = server.map_err(io_error("start a server"))?;
-        let path = FaultProxy::open(SocketAddr::new(ip, 0), server.addr, server.ended()).await;
-        let path = path.map_err(io_error("open the path to a server"))?;
-        let place = Place {
+        let emulator = server::start(ip, shape, self.cancel.clone()).await;
+        let emulator = emulator.map_err(io_error("start a server"))?;
+        let proxy = FaultProxy::open(SocketAddr::new(ip, 0), emulator.addr, emulator.ended()).await;
+        let proxy = proxy.map_err(io_error("open the path to a server"))?;
+        let server = ListedServer {
             id,
-            server,
-            path,
-            end_seen: false,
+            emulator,
+            proxy,
+            crash_handled: false,
         };
-        self.list(&place.id, place.path.addr, "ready").await?;
-        Ok(place)
+        self.list_server(&server.id, server.proxy.addr, "ready")
+            .await?;
+        Ok(server)
     }
 
-    /// Writes a server's entry.
-    pub async fn list(&self, id: &str, addr: SocketAddr, state: &str) -> Result<(), SoakError> {
+    /// Writes the entry of a server.
+    pub async fn list_server(
+        &self,
+        id: &str,
+        addr: SocketAddr,
+        state: &str,
+    ) -> Result<(), SoakError> {
         let entry = store_entries::server_entry(addr, state);
-        self.write("list a server", &server_key(id), &entry).await
+        self.write_object("list a server", &server_key(id), &entry)
+            .await
     }
 
-    /// Removes a server's entry.
-    pub async fn unlist(&self, id: &str) -> Result<(), SoakError> {
+    /// Removes the entry of a server. Succeeds if the entry does not exist.
+    pub async fn unlist_server(&self, id: &str) -> Result<(), SoakError> {
         const STEP: &str = "remove an entry";
         let key = server_key(id);
-        until_done(STEP, || async {
+        retry_until_stored(STEP, || async {
             match self.store.delete(&key, None).await {
                 Err(StoreError::NotFound) => Ok(()),
                 other => other,
@@ -195,31 +207,31 @@
         .await
     }
 
-    /// Writes an object.
-    pub async fn write(
+    /// Writes an object to the store. `step` names the write in errors.
+    pub async fn write_object(
         &self,
         step: &'static str,
         key: &str,
         value: &serde_json::Value,
     ) -> Result<(), SoakError> {
-        until_done(step, || async {
+        retry_until_stored(step, || async {
             self.store.put(key, value, None).await.map(|_| ())
         })
         .await
     }
 }
 
-/// Repeats a write while the store's faults are on.
-async fn until_done<F, W>(step: &'static str, write: W) -> Result<(), SoakError>
+/// Retries a write for up to [`WAIT_TIMEOUT`], because faults of the store make it fail.
+async fn retry_until_stored<F, W>(step: &'static str, write: W) -> Result<(), SoakError>
 where
     W: Fn() -> F,
     F: std::future::Future<Output = Result<(), StoreError>>,
 {
-    let started = Instant::now();
+    let started_at = Instant::now();
     loop {
         match write().await {
             Ok(()) => return Ok(()),
-            Err(source) if started.elapsed() > PATIENCE => {
+            Err(source) if started_at.elapsed() > WAIT_TIMEOUT => {
                 return Err(SoakError::Store { step, source })
             }
             Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
@@ -227,32 +239,33 @@
     }
 }
 
-/// A server that is not in its place any more.
+/// A server that was replaced.
 #[derive(Debug)]
-pub struct Former {
-    /// Where it was.
-    pub place: Place,
-    /// From when on it was to get nothing new, if it was asked to leave.
+pub struct FormerServer {
+    /// The server.
+    pub server: ListedServer,
+    /// When the server was listed as draining or its entry was removed. `None` if it crashed or
+    /// was restarted.
     pub leaving_since: Option<Instant>,
 }
 
-/// Everything that a run plays with.
+/// All parts of a soak run's fleet.
 #[derive(Debug)]
 pub struct Fleet {
-    /// Who writes to the store beside the processes.
+    /// Writes to the store.
     pub operator: Operator,
     /// Fronts, then workers.
     pub nodes: Vec<Node>,
-    /// The servers that are listed as ready.
-    pub places: Vec<Place>,
-    /// Those before them.
-    pub former: Vec<Former>,
+    /// Servers that are listed as ready.
+    pub servers: Vec<ListedServer>,
+    /// Servers that were replaced.
+    pub former_servers: Vec<FormerServer>,
     network: Network,
     servers_started: usize,
 }
 
 impl Fleet {
-    /// Starts the fleet of `plan` and waits until every front serves.
+    /// Starts the fleet of `plan` and waits until every front serves requests.
     pub async fn start(
         plan: &Plan,
         programs: &FilePath,
@@ -267,16 +280,16 @@
         let mut fleet = Self {
             operator: Operator { store, cancel },
             nodes: Vec::new(),
-            places: Vec::new(),
-            former: Vec::new(),
-            network: Network::claim().ok_or(SoakError::NoNetwork)?,
+            servers: Vec::new(),
+            former_servers: Vec::new(),
+            network: Network::claim().ok_or(SoakError::NoFreeNetwork)?,
             servers_started: 0,
         };
-        fleet.operator.configure(FIRST_VERSION).await?;
+        fleet.operator.write_config(FIRST_CONFIG_VERSION).await?;
         for _ in 0..plan.size.servers {
-            let id = fleet.next_server();
-            let place = fleet.operator.start_server(id).await?;
-            fleet.places.push(place);
+            let id = fleet.next_server_id();
+            let server = fleet.operator.start_server(id).await?;
+            fleet.servers.push(server);
         }
         for at in 0..plan.size.processes() {
             let node = fleet.start_node(at, &plan.size, store_addr, programs, folder);
@@ -284,69 +297,78 @@
             fleet.nodes.push(node);
         }
         for front in fleet.fronts() {
-            until_served(front).await?;
+            wait_until_serving(front).await?;
         }
         for node in &mut fleet.nodes {
-            until_listening(node.listens, PATIENCE).await;
-            node.process.note_listening();
+            wait_until_listening(node.listen_addr, WAIT_TIMEOUT).await;
+            node.process.mark_listening();
         }
         Ok(fleet)
     }
 
-    /// Where callers reach the fronts.
+    /// Returns the addresses at which callers reach the fronts.
     pub fn fronts(&self) -> Vec<SocketAddr> {
-        let paths = self.nodes.iter().filter_map(|node| node.callers.as_ref());
+        let paths = self
+            .nodes
+            .iter()
+            .filter_map(|node| node.caller_path.as_ref());
         paths.map(|path| path.addr).collect()
     }
 
-    /// The id of a server that is to be started.
-    pub fn next_server(&mut self) -> String {
+    /// Returns the id for the next server to start.
+    pub fn next_server_id(&mut self) -> String {
         self.servers_started += 1;
         format!("server-{}", self.servers_started)
     }
 
-    /// Puts `next` where the server `id` is; beside the others if that was replaced already.
-    pub fn replace(&mut self, id: &str, next: Place, leaving_since: Option<Instant>) {
-        match self.places.iter_mut().find(|place| place.id == id) {
-            Some(place) => self.former.push(Former {
-                place: std::mem::replace(place, next),
+    /// Replaces the server with this id by `replacement`, or adds `replacement` if that server was already
+    /// replaced.
+    pub fn replace_server(
+        &mut self,
+        id: &str,
+        replacement: ListedServer,
+        leaving_since: Option<Instant>,
+    ) {
+        match self.servers.iter_mut().find(|server| server.id == id) {
+            Some(server) => self.former_servers.push(FormerServer {
+                server: std::mem::replace(server, replacement),
                 leaving_since,
             }),
-            None => self.places.push(next),
+            None => self.servers.push(replacement),
         }
     }
 
-    /// What reached every server that there was.
+    /// Returns the requests that arrived at all current and former servers.
     pub fn arrivals(&self) -> Vec<ServerArrival> {
-        let former = self.former.iter().map(|former| &former.place);
-        let all = self.places.iter().chain(former);
-        let arrivals_of = |place: &Place| {
-            let arrivals = place.server.runs.arrivals().into_iter();
-            let server = place.id.clone();
+        let former = self.former_servers.iter().map(|former| &former.server);
+        let servers = self.servers.iter().chain(former);
+        let arrivals_at_server = |server: &ListedServer| {
+            let arrivals = server.emulator.runs.arrivals().into_iter();
+            let server = server.id.clone();
             arrivals.map(move |arrival| ServerArrival {
                 server: server.clone(),
                 arrival,
             })
         };
-        all.flat_map(arrivals_of).collect()
+        servers.flat_map(arrivals_at_server).collect()
     }
 
-    /// The runs of every server that there was.
+    /// Returns the runs at all current and former servers.
     pub fn runs(&self) -> Vec<ServerRun> {
-        let present = self.places.iter().map(|place| (place, None));
-        let former = self.former.iter();
-        let former = former.map(|former| (&former.place, former.leaving_since));
-        let all = present.chain(former);
-        let runs_of = |(place, leaving_since): (&Place, Option<Instant>)| {
-            let runs = place.server.runs.all().into_iter();
-            let server = place.id.clone();
+        let current = self.servers.iter().map(|server| (server, None));
+        let former = self.former_servers.iter();
+        let former = former.map(|former| (&former.server, former.leaving_since));
+        let servers = current.chain(former);
+        let runs_of_server = |(server, leaving_since): (&ListedServer, Option<Instant>)| {
+            let runs = server.emulator.runs.all().into_iter();
+            let server = server.id.clone();
             runs.map(move |run| ServerRun {
                 server: server.clone(),
                 leaving_since,
                 run,
             })
         };
-        all.flat_map(runs_of).collect()
+        servers.flat_map(runs_of_server).collect()
     }
 
     async fn start_node(
@@ -361,88 +383,91 @@
             true => Role::Front,
             false => Role::Worker,
         };
-        let reached = self.network.host(at as u8 + 1);
-        let bound = self.network.host(at as u8 + FIRST_BOUND_HOST);
+        let proxy_ip = self.network.host(at as u8 + 1);
+        let bind_ip = self.network.host(at as u8 + FIRST_BIND_HOST);
         let cancel = &self.operator.cancel;
         let open = |from, to| FaultProxy::open(from, to, cancel.clone());
-        let any = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-        let store = open(any, store_addr).await;
-        let store = store.map_err(io_error("open the path to the store"))?;
-        let peer = |ip| SocketAddr::new(ip, network::PEER_PORT);
-        let peers = open(peer(reached), peer(bound)).await;
-        let peers = peers.map_err(io_error("open the path from peers"))?;
-        let relayed = peers.relay_datagrams(peer(bound), cancel.clone()).await;
-        relayed.map_err(io_error("relay datagrams"))?;
-        let caller = |ip| SocketAddr::new(ip, network::CALLER_PORT);
-        let callers = match role {
+        let any_port = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+        let store_path = open(any_port, store_addr).await;
+        let store_path = store_path.map_err(io_error("open the path to the store"))?;
+        let peer_addr = |ip| SocketAddr::new(ip, network::PEER_PORT);
+        let peer_path = open(peer_addr(proxy_ip), peer_addr(bind_ip)).await;
+        let peer_path = peer_path.map_err(io_error("open the path from peers"))?;
+        let relay = peer_path
+            .relay_datagrams(peer_addr(bind_ip), cancel.clone())
+            .await;
+        relay.map_err(io_error("relay datagrams"))?;
+        let caller_addr = |ip| SocketAddr::new(ip, network::CALLER_PORT);
+        let caller_path = match role {
             Role::Front => {
-                let path = open(caller(reached), caller(bound)).await;
+                let path = open(caller_addr(proxy_ip), caller_addr(bind_ip)).await;
                 Some(path.map_err(io_error("open the path from callers"))?)
             }
             Role::Worker => None,
         };
-        let front_only = |port| (role == Role::Front).then(|| SocketAddr::new(bound, port));
+        let front_port = |port| (role == Role::Front).then(|| SocketAddr::new(bind_ip, port));
         let host = format!("host-{at}");
         let settings = json!({
             "host": host, "role": role.name(),
             "availability_zone": store_entries::zone_name(at as u32 % size.zones),
-            "ip": reached, "bind_ip": bound,
+            "ip": proxy_ip, "bind_ip": bind_ip,
             "peer_ports": [network::PEER_PORT, network::PEER_PORT],
-            "seeds": [peer(self.network.host(1)), peer(self.network.host(2))],
-            "caller_address": front_only(network::CALLER_PORT),
-            "readiness_address": front_only(network::READINESS_PORT),
+            "seeds": [peer_addr(self.network.host(1)), peer_addr(self.network.host(2))],
+            "caller_address": front_port(network::CALLER_PORT),
+            "readiness_address": front_port(network::READINESS_PORT),
             "metrics_port": network::METRICS_PORT,
-            "store_address": store.addr,
+            "store_address": store_path.addr,
             "store_value_bytes": 1_048_576,
             "stop_grace_s": STOP_GRACE.as_secs_f64(),
-            "results_readable_s": RESULTS_READABLE.as_secs_f64(),
+            "results_readable_s": RESULTS_RETENTION.as_secs_f64(),
         });
-        let metrics = SocketAddr::new(bound, network::METRICS_PORT);
-        let process = Process::start(Spec {
+        let metrics_addr = SocketAddr::new(bind_ip, network::METRICS_PORT);
+        let process = Process::start(ProcessSpec {
             host,
             role,
             settings,
-            metrics,
+            metrics_addr,
             programs,
             folder,
         })?;
         Ok(Node {
             process,
-            store,
-            peers,
-            callers,
-            listens: front_only(network::CALLER_PORT).unwrap_or(metrics),
-            busy: false,
+            store_path,
+            peer_path,
+            caller_path,
+            listen_addr: front_port(network::CALLER_PORT).unwrap_or(metrics_addr),
+            is_under_fault: false,
         })
     }
 }
 
-/// Waits until connections to `addr` are taken, for `patience` at most.
-pub async fn until_listening(addr: SocketAddr, patience: Duration) {
+/// Waits until `addr` accepts connections, or until `timeout` has elapsed.
+pub async fn wait_until_listening(addr: SocketAddr, timeout: Duration) {
     let started_at = Instant::now();
-    while tokio::net::TcpStream::connect(addr).await.is_err() && started_at.elapsed() < patience {
+    while tokio::net::TcpStream::connect(addr).await.is_err() && started_at.elapsed() < timeout {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Waits until a front answers a call.
-async fn until_served(front: SocketAddr) -> Result<(), SoakError> {
-    let served = async {
+/// Waits until a front serves a request.
+async fn wait_until_serving(front: SocketAddr) -> Result<(), SoakError> {
+    let polling = async {
         for attempt in 0.. {
             let id = format!("probe-{front}-{attempt}");
-            let reply = front_client::call(front, Method::GET, "/plain/probe", &id, &[], "").await;
-            if reply.is_ok_and(|reply| reply.status == StatusCode::OK) {
+            let response =
+                front_client::call(front, Method::GET, "/plain/probe", &id, &[], "").await;
+            if response.is_ok_and(|response| response.status == StatusCode::OK) {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let waited = tokio::time::timeout(PATIENCE, served).await;
-    waited.map_err(|_| SoakError::NeverServed(front))
+    let polled = tokio::time::timeout(WAIT_TIMEOUT, polling).await;
+    polled.map_err(|_| SoakError::FrontNotReady(front))
 }
 
-/// Name of the route that only `version` has.
-pub fn version_name(version: u64) -> String {
+/// Returns the name of the route that only configuration `version` has.
+pub fn version_route_name(version: u64) -> String {
     format!("version-{version}")
 }
 
--- a/crates/foxwheel-soak/src/front_client.rs
+++ b/crates/foxwheel-soak/src/front_client.rs
@@ -1,4 +1,4 @@
-//! One caller's exchanges with a front.
+//! Client functions for online requests and batch jobs at a front.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,37 +14,37 @@
 
 use crate::store_entries::HOST;
 
-const OPTIONS: ConnectOptions = ConnectOptions {
+const CONNECT_OPTIONS: ConnectOptions = ConnectOptions {
     connect_timeout: Duration::from_secs(1),
     unacknowledged_timeout: Duration::from_secs(5),
     on_abandon: AbandonAction::Close,
 };
 
-/// An answer as its caller saw it.
+/// A response as received by its caller.
 #[derive(Debug, Clone)]
 pub struct ReceivedResponse {
-    /// Its status.
+    /// Status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers.
     pub headers: hyper::HeaderMap,
-    /// Its body.
+    /// Body, as far as it was received.
     pub body: Bytes,
-    /// Whether the body ended whole.
+    /// Whether the body was received to its end.
     pub is_complete: bool,
 }
 
 impl ReceivedResponse {
-    /// The body as text.
+    /// Returns the body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// The body as JSON; null if it is none.
+    /// Returns the body as JSON, or null if it is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// Whether it says that the request was not run and may come back.
+    /// Returns whether the response states that the request was not run and can be retried.
     pub fn says_not_run(&self) -> bool {
         let refused = [
             StatusCode::SERVICE_UNAVAILABLE,
@@ -54,12 +54,12 @@
     }
 }
 
-/// Opens a caller's connection.
+/// Opens a connection to a front. Returns an error if it is refused or takes longer than 1 second.
 pub async fn connect(front: SocketAddr) -> Result<Connection, ExchangeError> {
-    Connection::open(front, OPTIONS).await
+    Connection::open(front, CONNECT_OPTIONS).await
 }
 
-/// A caller's request.
+/// Builds a request to [`HOST`] with this request id.
 pub fn build_request(
     method: Method,
     path: &str,
@@ -79,7 +79,8 @@
     builder.body(body).expect("a valid request")
 }
 
-/// Sends one request on a connection of its own and reads the whole answer.
+/// Sends one request on a new connection and reads the response to its end. Returns an error if no
+/// response head is received.
 pub async fn call(
     front: SocketAddr,
     method: Method,
@@ -89,15 +90,15 @@
     body: &str,
 ) -> Result<ReceivedResponse, ExchangeError> {
     let mut connection = connect(front).await?;
-    let answer = connection
+    let response = connection
         .send(build_request(method, path, id, headers, body))
         .await?;
-    Ok(read_response(answer).await)
+    Ok(read_response(response).await)
 }
 
-/// Reads an answer to its end, or to where it broke.
-pub async fn read_response(answer: Response<Incoming>) -> ReceivedResponse {
-    let (head, mut body) = answer.into_parts();
+/// Reads the body of a response until it ends or the connection fails.
+pub async fn read_response(response: Response<Incoming>) -> ReceivedResponse {
+    let (head, mut body) = response.into_parts();
     let mut bytes = bytes::BytesMut::new();
     let mut is_complete = true;
     while let Some(frame) = body.frame().await {
@@ -118,15 +119,15 @@
     }
 }
 
-/// Tokens of each item of a job.
+/// Number of tokens of each item of a job.
 pub const ITEM_TOKENS: u64 = 100;
 
-/// The id of the item at `at` of a job.
+/// Returns the id of the item at position `at` of a job.
 pub fn item_id(job: &str, at: usize) -> String {
     format!("{job}-item-{at}")
 }
 
-/// The body of a submission of `count` items, named after the job.
+/// Returns the body with which a job of `count` items is submitted.
 pub fn job_body(job: &str, count: usize) -> String {
     let items: Vec<Value> = (0..count)
         .map(|at| {
@@ -139,7 +140,7 @@
     json!({ "items": items }).to_string()
 }
 
-/// Submits a job.
+/// Submits a job of `count` items. The job's id is the request id of the submission.
 pub async fn submit_job(
     front: SocketAddr,
     job: &str,
@@ -156,12 +157,13 @@
     call(front, Method::DELETE, &path, "end", &[], "").await
 }
 
-/// Reads results of a job from position `after` on; waits at the front for a first one.
+/// Reads the results of a job that follow position `after`. The front waits up to 300 ms for the
+/// first one. Returns `None` if the front does not respond with status 200.
 pub async fn read_results(front: SocketAddr, job: &str, after: usize) -> Option<Value> {
     let path = format!("/api/lots/{job}?after={after}");
     let headers = [("x-wait-ms", "300")];
-    let answer = call(front, Method::GET, &path, "read", &headers, "")
+    let response = call(front, Method::GET, &path, "read", &headers, "")
         .await
         .ok()?;
-    (answer.status == StatusCode::OK).then(|| answer.json())
+    (response.status == StatusCode::OK).then(|| response.json())
 }
--- a/crates/foxwheel-soak/src/lib.rs
+++ b/crates/foxwheel-soak/src/lib.rs
@@ -1,9 +1,10 @@
-//! A fault soak: real `foxwheel-front` and `foxwheel-worker` processes on loopback, with
-//! faults brought in from outside them, and checks of every promise from what callers and
-//! backend servers saw.
+//! A fault soak test: it runs real `foxwheel-front` and `foxwheel-worker` processes on loopback
+//! addresses, injects faults from outside of them, and checks their promises against what callers
+//! and backend servers observed.
 //!
-//! A seed gives the [`plan`]; [`run`] carries it out against a [`fleet`] while [`online_caller`]
-//! and [`batch_client`] use it; what they saw is [`evidence`], which [`checks`] reads at the end.
+//! A seed determines the [`plan`]. [`run`] carries the plan out on a [`fleet`], while
+//! [`online_caller`] and [`batch_client`] put load on it. Their observations are collected as
+//! [`evidence`], which [`checks`] evaluates at the end.
 
 pub mod args;
 pub mod batch_client;
@@ -22,7 +23,7 @@
 pub mod shrink;
 pub mod store_entries;
 
-/// The crate's modules, for `use foxwheel_soak::prelude::*`.
+/// Modules of this crate, for `use foxwheel_soak::prelude::*`.
 pub mod prelude {
     pub use crate::{checks, evidence, fleet, front_client, plan, process, proxy, run};
 }
--- a/crates/foxwheel-soak/src/main.rs
+++ b/crates/foxwheel-soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `foxwheel-soak`: real processes under faults, with checks of what they promise.
+//! `foxwheel-soak`: runs real processes under faults and checks their promises.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -28,7 +28,7 @@
         }
     };
     telemetry::init_logging();
-    match actix_web::rt::System::new().block_on(until_told_to_stop(&options)) {
+    match actix_web::rt::System::new().block_on(run_until_signal(&options)) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
@@ -38,48 +38,49 @@
     }
 }
 
-/// Runs what was asked for, unless it is told to stop: the processes it started end with it.
-async fn until_told_to_stop(options: &Options) -> Result<bool, SoakError> {
-    let told = shutdown::cancel_on_signal();
+/// Runs the plans unless a signal to stop arrives first. Dropping the runs also ends the processes
+/// that they started.
+async fn run_until_signal(options: &Options) -> Result<bool, SoakError> {
+    let signalled = shutdown::cancel_on_signal();
     tokio::select! {
-        kept = soak(options) => kept,
-        () = told.cancelled() => Err(SoakError::ToldToStop),
+        all_kept = run_plans(options) => all_kept,
+        () = signalled.cancelled() => Err(SoakError::Interrupted),
     }
 }
 
-/// Runs what was asked for; answers whether every promise was kept.
-async fn soak(options: &Options) -> Result<bool, SoakError> {
+/// Runs the plans and returns whether all promises were kept.
+async fn run_plans(options: &Options) -> Result<bool, SoakError> {
     let plans = match &options.plan {
         Some(file) => vec![read_plan(file)?],
         None => (0..options.seeds)
-            .map(|at| Plan::draw(options.seed + at, options.size.clone()))
+            .map(|offset| Plan::draw(options.seed + offset, options.size.clone()))
             .collect(),
     };
-    let mut kept = true;
+    let mut all_kept = true;
     for plan in plans {
-        let outcome = carry_out(&plan, options, "run").await?;
+        let outcome = run_plan(&plan, options, "run").await?;
         println!("{}", outcome.summary);
         for breach in &outcome.breaches {
             println!("  {breach}");
         }
-        kept &= outcome.breaches.is_empty();
+        all_kept &= outcome.breaches.is_empty();
         if let (true, Some(first)) = (options.shrink, outcome.breaches.first()) {
             shrink_plan(plan, first.promise, options).await?;
         }
     }
-    Ok(kept)
+    Ok(all_kept)
 }
 
 async fn shrink_plan(plan: Plan, promise: Promise, options: &Options) -> Result<(), SoakError> {
     let smallest = shrink::shrink(plan, promise, |smaller| async move {
-        let outcome = carry_out(&smaller, options, "shrink").await?;
+        let outcome = run_plan(&smaller, options, "shrink").await?;
         println!("{} of its faults: {}", smaller.steps.len(), outcome.summary);
         let breaches = outcome.breaches.iter();
         Ok(breaches.map(|breach| breach.promise).collect())
     });
     let smallest = smallest.await?;
     let folder = options.out.join("smallest");
-    std::fs::create_dir_all(&folder).map_err(io_error("make a folder"))?;
+    std::fs::create_dir_all(&folder).map_err(io_error("create the folder of the smallest plan"))?;
     report::write_plan(&smallest, &folder)?;
     println!(
         "{} faults break {promise:?}: {}",
@@ -89,8 +90,8 @@
     Ok(())
 }
 
-async fn carry_out(plan: &Plan, options: &Options, name: &str) -> Result<Outcome, SoakError> {
-    let program = std::env::current_exe().map_err(io_error("find the programs"))?;
+async fn run_plan(plan: &Plan, options: &Options, name: &str) -> Result<Outcome, SoakError> {
+    let program = std::env::current_exe().map_err(io_error("find the folder of the programs"))?;
     let folders = Folders {
         programs: program.parent().map(PathBuf::from).unwrap_or_default(),
         run: options.out.join(format!("{name}-{}", plan.seed)),
--- a/crates/foxwheel-soak/src/network.rs
+++ b/crates/foxwheel-soak/src/network.rs
@@ -1,39 +1,40 @@
-//! Loopback networks: each fleet has one, with an address for every host.
+//! Loopback networks. Each fleet has its own, with one address for every host, because processes
+//! use the same ports on all hosts.
 
 use std::net::{IpAddr, Ipv4Addr, TcpListener};
 
-/// Port for talk between the processes, on each host's own address.
+/// Port for messages between processes, on the address of each host.
 pub const PEER_PORT: u16 = 27_660;
 
-/// Port for callers, on each host's own address.
+/// Port for callers, on the address of each front.
 pub const CALLER_PORT: u16 = 27_661;
 
-/// Port on which the platform asks whether a front is ready.
+/// Port on which the platform asks a front whether it is ready.
 pub const READINESS_PORT: u16 = 27_662;
 
-/// Port of the metrics, on each host's own address.
+/// Port for metrics, on the address of each host.
 pub const METRICS_PORT: u16 = 27_664;
 
-/// Whoever listens here on a network's last address has the network.
+/// Port on the last address of a network. Listening on it claims the network.
 const CLAIM_PORT: u16 = 27_659;
 
-/// Networks that fleets may have at one time.
-const NETWORKS: u32 = 240;
+/// Number of networks, which limits how many fleets can run at the same time on one machine.
+const NETWORK_COUNT: u32 = 240;
 
-/// A network of its own: `127.27.NUMBER.*`. Given back when dropped.
+/// A claimed loopback network `127.27.NUMBER.0/24`. Dropping it releases the claim.
 #[derive(Debug)]
 pub struct Network {
     number: u8,
-    /// Held so that no other fleet, also of another process, takes the same.
+    /// Kept open so that no other fleet of this or another process claims the same network.
     _claim: TcpListener,
 }
 
 impl Network {
-    /// Takes a network that nobody has; none if all are taken.
+    /// Claims a free network. Returns `None` if all are in use.
     pub fn claim() -> Option<Self> {
         let first = std::process::id();
-        (0..NETWORKS).find_map(|at| {
-            let number = 10 + ((first + at) % NETWORKS) as u8;
+        (0..NETWORK_COUNT).find_map(|at| {
+            let number = 10 + ((first + at) % NETWORK_COUNT) as u8;
             let claim = TcpListener::bind((address(number, 255), CLAIM_PORT)).ok()?;
             let network = Self {
                 number,
@@ -43,7 +44,7 @@
         })
     }
 
-    /// Address `host` of the network; 255 is its claim.
+    /// Returns the address with this number in the network. 255 is the address used to claim it.
     pub fn host(&self, host: u8) -> IpAddr {
         address(self.number, host)
     }
--- a/crates/foxwheel-soak/src/online_caller.rs
+++ b/crates/foxwheel-soak/src/online_caller.rs
@@ -1,4 +1,5 @@
-//! Callers of online requests: each sends one after the other, over a connection it keeps.
+//! Callers of online requests. Each caller sends one request at a time and keeps its connection
+//! open between requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,91 +11,97 @@
 use rand::{RngExt, SeedableRng};
 use tokio_util::sync::CancellationToken;
 
-use crate::evidence::{Call, CallEnd, Kind, Record};
+use crate::evidence::{Call, CallEnd, Recorder, RequestKind};
 use crate::fleet::CRASHING_BODY;
 use crate::front_client;
 
-/// How long a caller waits for a whole answer; longer than a route's own limit.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Time limit for a complete response. It is longer than the timeout of the routes.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Share of callers that leave early, and when.
-const LEAVING_SHARE: f64 = 0.1;
-const LEAVES_AFTER_MS: std::ops::Range<u64> = 5..40;
+/// Probability that a caller disconnects before its response is complete.
+const DISCONNECT_SHARE: f64 = 0.1;
+/// Range of times after which such a caller disconnects, in milliseconds.
+const DISCONNECT_DELAY_MS: std::ops::Range<u64> = 5..40;
 
-/// Pause between the calls of one caller.
-const PAUSE_MS: std::ops::Range<u64> = 5..60;
+/// Range of pauses between two calls of a caller, in milliseconds.
+const CALL_INTERVAL_MS: std::ops::Range<u64> = 5..60;
 
-/// A caller.
-pub struct Caller {
-    /// Its name, the first part of its requests' ids.
+/// A caller that sends online requests of random kinds to random fronts.
+pub struct OnlineCaller {
+    /// Name of the caller. The ids of its requests start with it.
     pub name: String,
-    /// Where it finds the fronts.
+    /// Addresses of the fronts.
     pub fronts: Vec<SocketAddr>,
-    /// Where its calls are noted.
-    pub record: Arc<Record>,
+    /// Records the caller's calls.
+    pub recorder: Arc<Recorder>,
 }
 
-/// A connection to the front at a place.
-struct Line {
+/// A connection to the front with index `front`.
+struct KeptConnection {
     front: usize,
     connection: Connection,
     reused: bool,
 }
 
-impl Caller {
-    /// Calls until `stop` fires.
+impl OnlineCaller {
+    /// Makes calls until `stop` is cancelled.
     pub async fn run(self, seed: u64, stop: CancellationToken) {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut line = None;
+        let mut kept_connection = None;
         let mut number = 0;
         while !stop.is_cancelled() {
             number += 1;
             let id = format!("{}-{number}", self.name);
             let kind = draw_kind(&mut rng);
             let front = rng.random_range(0..self.fronts.len());
-            let leaves = rng.random_bool(LEAVING_SHARE);
-            let leaves_after_ms = rng.random_range(LEAVES_AFTER_MS);
-            let leaves = leaves.then(|| Duration::from_millis(leaves_after_ms));
-            line = self.call(id, kind, front, leaves, line).await;
-            let pause = Duration::from_millis(rng.random_range(PAUSE_MS));
+            let disconnect_after = rng.random_bool(DISCONNECT_SHARE);
+            let disconnect_after_ms = rng.random_range(DISCONNECT_DELAY_MS);
+            let disconnect_after =
+                disconnect_after.then(|| Duration::from_millis(disconnect_after_ms));
+            kept_connection = self
+                .make_call(id, kind, front, disconnect_after, kept_connection)
+                .await;
+            let pause = Duration::from_millis(rng.random_range(CALL_INTERVAL_MS));
             tokio::time::sleep(pause).await;
         }
     }
 
-    /// Sends the crashing request again and again until `stop` fires.
-    pub async fn crash(self, stop: CancellationToken) {
+    /// Keeps sending the request that crashes servers, to all fronts in turn, until `stop` is
+    /// cancelled.
+    pub async fn repeat_crashing_request(self, stop: CancellationToken) {
         let mut number = 0;
         while !stop.is_cancelled() {
             let front = number % self.fronts.len();
             number += 1;
             let id = format!("{}-{number}", self.name);
-            self.call(id, Kind::Crashing, front, None, None).await;
+            self.make_call(id, RequestKind::Crashing, front, None, None)
+                .await;
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
 
-    /// Makes one call, on the kept connection while that is open; answers the connection if
-    /// it can be kept.
-    async fn call(
+    /// Makes one call, on the kept connection if that is still open. Returns the connection if the
+    /// next call can use it.
+    async fn make_call(
         &self,
         id: String,
-        kind: Kind,
+        kind: RequestKind,
         front: usize,
-        leaves_after: Option<Duration>,
-        kept: Option<Line>,
-    ) -> Option<Line> {
+        disconnect_after: Option<Duration>,
+        kept: Option<KeptConnection>,
+    ) -> Option<KeptConnection> {
         let connected_at = Instant::now();
-        let mut kept = kept.filter(|line| line.connection.is_ready());
+        let mut kept = kept.filter(|kept| kept.connection.is_ready());
         if kept.is_none() {
-            let connected = front_client::connect(self.fronts[front]).await;
-            kept = connected.ok().map(|connection| Line {
+            let opened = front_client::connect(self.fronts[front]).await;
+            kept = opened.ok().map(|connection| KeptConnection {
                 front,
                 connection,
                 reused: false,
             });
         }
         let sent_at = Instant::now();
-        let note = |front, end| {
+        let record_call = |front, end| {
             let call = Call {
                 id: id.clone(),
                 kind,
@@ -104,38 +111,42 @@
                 ended_at: Instant::now(),
                 end,
             };
-            self.record.lock().calls.push(call);
+            self.recorder.lock().calls.push(call);
         };
-        let Some(mut line) = kept else {
-            note(front, CallEnd::NotSent);
+        let Some(mut kept_connection) = kept else {
+            record_call(front, CallEnd::NotSent);
             return None;
         };
-        let waits = leaves_after.unwrap_or(PATIENCE);
-        let exchanged = exchange(&mut line, &id, kind);
-        let end = match tokio::time::timeout(waits, exchanged).await {
+        let timeout = disconnect_after.unwrap_or(RESPONSE_TIMEOUT);
+        let sending = send_request(&mut kept_connection, &id, kind);
+        let end = match tokio::time::timeout(timeout, sending).await {
             Ok(end) => end,
             Err(_) => CallEnd::Left {
-                meant_to: leaves_after.is_some(),
+                meant_to: disconnect_after.is_some(),
             },
         };
-        let goes_on = matches!(end, CallEnd::Whole { .. });
-        note(line.front, end);
-        line.reused = true;
-        goes_on.then_some(line)
+        let keeps_connection = matches!(end, CallEnd::Whole { .. });
+        record_call(kept_connection.front, end);
+        kept_connection.reused = true;
+        keeps_connection.then_some(kept_connection)
     }
 }
 
-async fn exchange(line: &mut Line, id: &str, kind: Kind) -> CallEnd {
+async fn send_request(
+    kept_connection: &mut KeptConnection,
+    id: &str,
+    kind: RequestKind,
+) -> CallEnd {
     let (method, path, body) = match kind {
-        Kind::Plain => (Method::GET, "/plain/a", ""),
-        Kind::Once => (Method::POST, "/once/a", "once"),
-        Kind::Stream => (Method::POST, "/stream/a", "stream"),
-        Kind::StreamOnce => (Method::POST, "/stream-once/a", "stream"),
-        Kind::Crashing => (Method::POST, "/plain/crash", CRASHING_BODY),
+        RequestKind::Plain => (Method::GET, "/plain/a", ""),
+        RequestKind::Once => (Method::POST, "/once/a", "once"),
+        RequestKind::Stream => (Method::POST, "/stream/a", "stream"),
+        RequestKind::StreamOnce => (Method::POST, "/stream-once/a", "stream"),
+        RequestKind::Crashing => (Method::POST, "/plain/crash", CRASHING_BODY),
     };
     let request = front_client::build_request(method, path, id, &[], body);
-    let reused = line.reused;
-    let head = match line.connection.send(request).await {
+    let reused = kept_connection.reused;
+    let head = match kept_connection.connection.send(request).await {
         Ok(head) => head,
         Err(e) if e.is_not_sent() => return CallEnd::NotSent,
         Err(_) => {
@@ -145,23 +156,23 @@
             }
         }
     };
-    let answer = front_client::read_response(head).await;
-    let body = answer.body.to_vec();
-    match answer.is_complete {
+    let response = front_client::read_response(head).await;
+    let body = response.body.to_vec();
+    match response.is_complete {
         true => CallEnd::Whole {
-            status: answer.status.as_u16(),
-            not_run: answer.says_not_run(),
+            status: response.status.as_u16(),
+            not_run: response.says_not_run(),
             body,
         },
         false => CallEnd::Broken { body, reused },
     }
 }
 
-fn draw_kind(rng: &mut StdRng) -> Kind {
+fn draw_kind(rng: &mut StdRng) -> RequestKind {
     match rng.random_range(0..4) {
-        0 => Kind::Plain,
-        1 => Kind::Once,
-        2 => Kind::Stream,
-        _ => Kind::StreamOnce,
+        0 => RequestKind::Plain,
+        1 => RequestKind::Once,
+        2 => RequestKind::Stream,
+        _ => RequestKind::StreamOnce,
     }
 }
--- a/crates/foxwheel-soak/src/plan.rs
+++ b/crates/foxwheel-soak/src/plan.rs
@@ -1,4 +1,7 @@
-//! What a run does, drawn from a seed: how large the fleet is, and which faults come when.
+//! Plan of a soak run, drawn from a seed: the size of the fleet, and which faults are injected
+//! when.
+//!
+//! Plans are stored as JSON and replayed later, so the names of fields and variants are fixed.
 
 use std::time::Duration;
 
@@ -9,212 +12,216 @@
 
 use crate::proxy::PathFault;
 
-/// How large a fleet is and how long its faults last.
+/// Size of a fleet, and how long faults are injected into it.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetSize {
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: u32,
-    /// Fronts.
+    /// Number of fronts.
     pub fronts: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Backend servers.
+    /// Number of backend servers.
     pub servers: usize,
-    /// Callers of online requests.
+    /// Number of online callers.
     pub callers: usize,
-    /// Time in which faults come.
+    /// Period in which faults start and end.
     #[serde(rename = "faults_for_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub injection_duration: Duration,
 }
 
 impl FleetSize {
-    /// Processes of the fleet.
+    /// Returns the number of fronts and workers.
     pub fn processes(&self) -> usize {
         self.fronts + self.workers
     }
 }
 
-/// Which processes a signal is for.
+/// Which processes a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Target {
-    /// The one at this place, fronts before workers.
+pub enum ProcessTarget {
+    /// The process with this index, counting fronts before workers.
     One(usize),
-    /// The one that speaks to the store for its zone.
+    /// The process that watches the store for its zone.
     Speaker,
-    /// All at once.
+    /// All processes at once.
     All,
 }
 
-/// What is done to processes; each lives normally again after the fault's time.
+/// Fault of a process. The process runs normally again when the fault has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Act {
-    /// Asked to stop, and started again once it has.
+pub enum ProcessFault {
+    /// Asks the process to stop, and restarts it after it has ended.
     Stop,
-    /// Killed, and started again.
+    /// Kills the process and restarts it.
     Kill,
-    /// Stands still.
+    /// Suspends the process with SIGSTOP.
     Pause,
-    /// Told to reload, with settings that are spoiled meanwhile.
+    /// Makes the process reload invalid settings, and the valid ones when the fault ends.
     Reload,
 }
 
-/// A path that a fault is on.
+/// A network path into which a fault is injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Route {
-    /// From the process at this place to the store.
+pub enum NetworkPath {
+    /// From the process with this index to the store.
     Store(usize),
-    /// From other processes to the one at this place.
+    /// From other processes to the process with this index.
     Peers(usize),
-    /// From callers to the front at this place.
+    /// From callers to the front with this index.
     Callers(usize),
-    /// To the server at this place.
+    /// From all processes to the server with this index.
     Server(usize),
 }
 
-/// What the store's stand-in does wrong.
+/// Fault of the store emulator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoreFault {
-    /// Answers that it is busy.
+    /// Responds that it is busy.
     Busy,
-    /// Breaks every connection.
+    /// Resets every connection.
     Reset,
-    /// Never answers.
+    /// Never responds.
     Silent,
-    /// Answers that its rates are exceeded.
+    /// Responds that its rate limits are exceeded.
     OverRates,
-    /// Answers late.
+    /// Responds with a delay.
     Slow,
-    /// Hands changes out late.
+    /// Delivers changes to watchers with a delay.
     LateNews,
-    /// Loses the answer of every third write, done at once or late.
+    /// Loses the response to every third write.
     LosesAnswers {
-        /// Whether such a write is done only after the answer is lost.
+        /// Whether such a write is applied only after its response was lost, instead of at once.
         late: bool,
     },
-    /// Forgets the changes it had kept for those that follow them.
+    /// Drops the history of changes from which watchers resume.
     ForgetsHistory,
-    /// Lists an entry that another writer spoiled.
+    /// Lists a server entry that another writer has overwritten with invalid content.
     SpoiledEntry,
 }
 
-/// What a backend server does.
+/// Fault of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerFault {
-    /// Never answers the next requests.
+    /// Never responds to the next requests.
     Hangs,
-    /// Runs the next requests and loses their answers.
+    /// Runs the next requests and loses their responses.
     LosesAnswers,
-    /// Breaks the next answers off.
+    /// Cuts off the next responses.
     BreaksOff,
-    /// Answers the next requests with another's id, or without a signature.
+    /// Responds to the next requests with the id of another request, or without a signature.
     Garbles,
     /// Fails the next requests.
     Fails,
     /// Rejects the next requests as not run.
     Rejects,
-    /// Ends without a word, and starts again under its id.
+    /// Ends without notice and starts again under the same id.
     Restarts,
-    /// Is listed as draining; another takes its place.
+    /// Is listed as draining, and another server is started to replace it.
     Drains,
-    /// Its entry is removed; another takes its place.
+    /// Is removed from the store, and another server is started to replace it.
     Leaves,
 }
 
-/// One fault.
+/// A fault. Logs write the names of variants and fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// Done to processes.
+    /// A fault of one or more processes.
     Process {
-        /// Which ones.
-        target: Target,
-        /// What.
-        act: Act,
+        /// Which processes.
+        target: ProcessTarget,
+        /// What happens to them.
+        act: ProcessFault,
     },
-    /// On a path.
+    /// A fault of a network path.
     Path {
-        /// Which one.
-        route: Route,
-        /// What it does.
+        /// Which path.
+        route: NetworkPath,
+        /// How the path misbehaves.
         fault: PathFault,
     },
-    /// Of the store.
+    /// A fault of the store.
     Store(StoreFault),
-    /// Of the server at a place.
+    /// A fault of a backend server.
     Server {
-        /// Which one.
+        /// Index of the server.
         at: usize,
-        /// What it does.
+        /// How the server misbehaves.
         fault: ServerFault,
     },
-    /// No fault: the operator writes a configuration.
+    /// Not a fault: the operator writes a new version of the configuration.
     Configure,
-    /// A caller sends a request that crashes the servers that run it, again and again.
+    /// A caller keeps sending a request that crashes the servers that run it.
     CrashingRequest,
 }
 
-/// A fault at its time.
+/// A fault and when it is active.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// When it begins, after the start of the faults.
+    /// Start of the fault, relative to the start of fault injection.
     #[serde(rename = "at_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
-    pub at: Duration,
-    /// How long it lasts; what happens at once ignores it.
+    pub start_after: Duration,
+    /// Duration of the fault. Not used by faults that happen at one moment.
     #[serde(rename = "lasts_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
-    pub lasts: Duration,
-    /// What it is.
+    pub duration: Duration,
+    /// The fault.
     pub fault: Fault,
 }
 
-/// A run: everything but the machine's own timing.
+/// Plan of a soak run. A seed fixes everything but the timing of the machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The seed, which also draws what callers ask for.
+    /// Seed of the plan and of the random choices of callers and clients.
     pub seed: u64,
-    /// The fleet.
+    /// Size of the fleet.
     pub size: FleetSize,
-    /// The faults, by the time they begin; they overlap.
+    /// Faults in order of their start. They can overlap.
     pub steps: Vec<Step>,
 }
 
-/// Mean time between the beginnings of faults.
-const MEAN_GAP: Duration = Duration::from_millis(450);
+/// Mean time between the starts of two faults.
+const MEAN_FAULT_INTERVAL: Duration = Duration::from_millis(450);
 
-/// Shortest and longest fault, in milliseconds.
-const LASTS_MS: std::ops::Range<u64> = 150..2_500;
+/// Range of fault durations, in milliseconds.
+const FAULT_DURATION_MS: std::ops::Range<u64> = 150..2_500;
 
 impl Plan {
-    /// The plan of `seed` for a fleet of `size`.
+    /// Draws the plan of `seed` for a fleet of `size`.
     pub fn draw(seed: u64, size: FleetSize) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut steps = Vec::new();
-        let mut at = Duration::ZERO;
+        let mut start_after = Duration::ZERO;
         loop {
-            at += MEAN_GAP.mul_f64(rng.random_range(0.2..1.8));
-            let lasts = Duration::from_millis(rng.random_range(LASTS_MS));
-            if at + lasts > size.injection_duration {
+            start_after += MEAN_FAULT_INTERVAL.mul_f64(rng.random_range(0.2..1.8));
+            let duration = Duration::from_millis(rng.random_range(FAULT_DURATION_MS));
+            if start_after + duration > size.injection_duration {
                 break;
             }
             let fault = draw_fault(&mut rng, &size);
-            // Whole milliseconds, as the plan's file has them.
-            let at = Duration::from_millis(at.as_millis() as u64);
-            steps.push(Step { at, lasts, fault });
+            // Plan files store whole milliseconds.
+            let start_after = Duration::from_millis(start_after.as_millis() as u64);
+            steps.push(Step {
+                start_after,
+                duration,
+                fault,
+            });
         }
         Self { seed, size, steps }
     }
 }
 
-fn one_of<T: Copy>(rng: &mut StdRng, choices: &[T]) -> T {
+fn choose<T: Copy>(rng: &mut StdRng, choices: &[T]) -> T {
     choices[rng.random_range(0..choices.len())]
 }
 
@@ -222,9 +229,15 @@
     match rng.random_range(0..100) {
         0..30 => Fault::Process {
             target: draw_target(rng, size),
-            act: one_of(
+            act: choose(
                 rng,
-                &[Act::Stop, Act::Stop, Act::Kill, Act::Pause, Act::Reload],
+                &[
+                    ProcessFault::Stop,
+                    ProcessFault::Stop,
+                    ProcessFault::Kill,
+                    ProcessFault::Pause,
+                    ProcessFault::Reload,
+                ],
             ),
         },
         30..55 => Fault::Path {
@@ -241,20 +254,20 @@
     }
 }
 
-fn draw_target(rng: &mut StdRng, size: &FleetSize) -> Target {
+fn draw_target(rng: &mut StdRng, size: &FleetSize) -> ProcessTarget {
     match rng.random_range(0..10) {
-        0 => Target::All,
-        1..3 => Target::Speaker,
-        _ => Target::One(rng.random_range(0..size.processes())),
+        0 => ProcessTarget::All,
+        1..3 => ProcessTarget::Speaker,
+        _ => ProcessTarget::One(rng.random_range(0..size.processes())),
     }
 }
 
-fn draw_route(rng: &mut StdRng, size: &FleetSize) -> Route {
+fn draw_route(rng: &mut StdRng, size: &FleetSize) -> NetworkPath {
     match rng.random_range(0..4) {
-        0 => Route::Store(rng.random_range(0..size.processes())),
-        1 => Route::Peers(rng.random_range(0..size.processes())),
-        2 => Route::Callers(rng.random_range(0..size.fronts)),
-        _ => Route::Server(rng.random_range(0..size.servers)),
+        0 => NetworkPath::Store(rng.random_range(0..size.processes())),
+        1 => NetworkPath::Peers(rng.random_range(0..size.processes())),
+        2 => NetworkPath::Callers(rng.random_range(0..size.fronts)),
+        _ => NetworkPath::Server(rng.random_range(0..size.servers)),
     }
 }
 
@@ -271,7 +284,7 @@
 
 fn draw_store_fault(rng: &mut StdRng) -> StoreFault {
     let late = rng.random();
-    one_of(
+    choose(
         rng,
         &[
             StoreFault::Busy,
@@ -288,7 +301,7 @@
 }
 
 fn draw_server_fault(rng: &mut StdRng) -> ServerFault {
-    one_of(
+    choose(
         rng,
         &[
             ServerFault::Hangs,
--- a/crates/foxwheel-soak/src/process.rs
+++ b/crates/foxwheel-soak/src/process.rs
@@ -1,4 +1,4 @@
-//! A front or worker as a process of its own, started from its binary.
+//! Starts a front or worker from its program as a process of its own.
 
 use std::net::SocketAddr;
 use std::os::unix::process::ExitStatusExt;
@@ -9,17 +9,17 @@
 use nix::unistd::Pid;
 use serde_json::Value;
 
-/// What a process does.
+/// Role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Answers callers.
+    /// Serves callers.
     Front,
     /// Runs batch jobs.
     Worker,
 }
 
 impl Role {
-    /// The role's program.
+    /// Returns the name of the role's program.
     pub fn program(self) -> &'static str {
         match self {
             Self::Front => "foxwheel-front",
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The role's name in the settings.
+    /// Returns the role's name in the settings.
     pub fn name(self) -> &'static str {
         match self {
             Self::Front => "front",
@@ -36,96 +36,97 @@
     }
 }
 
-/// Why a process could not be started or signalled.
+/// A process could not be started or signalled, or its files could not be written.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot {step} {host}: {source}")]
 pub struct ProcessError {
-    /// The step.
+    /// What failed.
     pub step: &'static str,
-    /// The host meant.
+    /// Host of the process.
     pub host: String,
-    /// The system's error.
+    /// Error of the system.
     pub source: std::io::Error,
 }
 
-/// Memory and files that a process holds.
+/// Resource use of a process. Reports write the names of the type and its fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Resources {
-    /// Resident memory of its own, without the program.
+    /// Anonymous resident memory, which excludes the program's own file.
     pub memory_bytes: u64,
-    /// Open files, sockets among them.
+    /// Number of open files, including sockets.
     pub open_files: usize,
 }
 
-/// A process on a host; it may live several times, one after the other.
+/// A front or worker on a host. It can be started several times, one after the other.
 #[derive(Debug)]
 pub struct Process {
-    /// The host's name.
+    /// Name of the host.
     pub host: String,
-    /// What it does.
+    /// Role of the process.
     pub role: Role,
-    /// Its log, of all its lives.
-    pub log: PathBuf,
-    /// Where its metrics are served.
-    pub metrics: SocketAddr,
+    /// Log file. All starts of the process append to it.
+    pub log_file: PathBuf,
+    /// Address at which the process serves its metrics.
+    pub metrics_addr: SocketAddr,
     program: PathBuf,
     settings_file: PathBuf,
     settings: Value,
     child: Option<Child>,
-    /// Whether it has listened since it was started last.
+    /// Whether the process has listened since its last start.
     has_listened: bool,
 }
 
-/// Where things of a process are and what it is.
+/// What is needed to start a process.
 #[derive(Debug)]
-pub struct Spec<'a> {
-    /// The host's name.
+pub struct ProcessSpec<'a> {
+    /// Name of the host.
     pub host: String,
-    /// What it does.
+    /// Role of the process.
     pub role: Role,
-    /// Its settings.
+    /// Settings of the process.
     pub settings: Value,
-    /// Where its metrics are served.
-    pub metrics: SocketAddr,
-    /// The folder of the programs.
+    /// Address at which the process serves its metrics.
+    pub metrics_addr: SocketAddr,
+    /// Directory of the programs.
     pub programs: &'a Path,
-    /// The folder for its settings and log.
+    /// Directory for the settings file and the log file.
     pub folder: &'a Path,
 }
 
 impl Process {
-    /// Starts a process; its settings file and log are in the spec's folder.
-    pub fn start(spec: Spec<'_>) -> Result<Self, ProcessError> {
+    /// Starts a process. Its settings file and log file are created in the directory of the spec.
+    pub fn start(spec: ProcessSpec<'_>) -> Result<Self, ProcessError> {
         let mut process = Self {
-            log: spec.folder.join(format!("{}.log", spec.host)),
+            log_file: spec.folder.join(format!("{}.log", spec.host)),
             settings_file: spec.folder.join(format!("{}.json", spec.host)),
             program: spec.programs.join(spec.role.program()),
             host: spec.host,
             role: spec.role,
-            metrics: spec.metrics,
+            metrics_addr: spec.metrics_addr,
             settings: spec.settings,
             child: None,
             has_listened: false,
         };
-        process.start_again()?;
+        process.spawn()?;
         Ok(process)
     }
 
-    /// Starts it again after it ended, with its own settings; the log goes on.
-    pub fn start_again(&mut self) -> Result<(), ProcessError> {
+    /// Starts the process, for the first time or again after it has ended, with its valid
+    /// settings. The log file is continued.
+    pub fn spawn(&mut self) -> Result<(), ProcessError> {
         self.write_settings(None)?;
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
-            .open(&self.log)
+            .open(&self.log_file)
             .map_err(self.error("open the log of"))?;
-        let errors = log.try_clone().map_err(self.error("open the log of"))?;
+        let stderr = log.try_clone().map_err(self.error("open the log of"))?;
         let child = Command::new(&self.program)
             .arg("--settings")
             .arg(&self.settings_file)
             .stdin(Stdio::null())
             .stdout(log)
-            .stderr(errors)
+            .stderr(stderr)
             .spawn()
             .map_err(self.error("start"))?;
         self.child = Some(child);
@@ -133,20 +134,20 @@
         Ok(())
     }
 
-    /// Notes that it listens.
-    pub fn note_listening(&mut self) {
+    /// Records that the process listens.
+    pub fn mark_listening(&mut self) {
         self.has_listened = true;
     }
 
-    /// Writes its settings file: the settings, or `spoiled` in their place.
-    pub fn write_settings(&self, spoiled: Option<&str>) -> Result<(), ProcessError> {
-        let text = spoiled.map_or_else(|| self.settings.to_string(), str::to_owned);
+    /// Writes the settings file: the settings of the process, or `replacement` instead of them.
+    pub fn write_settings(&self, replacement: Option<&str>) -> Result<(), ProcessError> {
+        let text = replacement.map_or_else(|| self.settings.to_string(), str::to_owned);
         std::fs::write(&self.settings_file, text).map_err(self.error("write the settings of"))
     }
 
-    /// Sends a signal; false if it has ended.
+    /// Sends a signal to the process. Returns false if the process has ended.
     pub fn signal(&mut self, signal: Signal) -> Result<bool, ProcessError> {
-        if self.ended().is_some() {
+        if self.exit().is_some() {
             return Ok(false);
         }
         let Some(pid) = self.pid() else {
@@ -157,17 +158,18 @@
         Ok(true)
     }
 
-    /// How it ended; none while it lives.
-    pub fn ended(&mut self) -> Option<Ended> {
+    /// Returns how the process ended, or `None` while it is running.
+    pub fn exit(&mut self) -> Option<ProcessExit> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         Some(match status.signal() {
-            Some(number) => Ended::Signal(number),
-            None => Ended::Exit(status.code().unwrap_or_default()),
+            Some(number) => ProcessExit::Signal(number),
+            None => ProcessExit::Exit(status.code().unwrap_or_default()),
         })
     }
 
-    /// What it holds now; none if it has ended or has not listened yet. While the kernel
-    /// still loads its program, it shows the files of whoever started it.
+    /// Returns the current resource use, or `None` if the process has ended or has not listened
+    /// yet. Until the kernel has loaded the program, `/proc` shows the open files of the parent
+    /// process instead.
     pub fn resources(&self) -> Option<Resources> {
         if !self.has_listened {
             return None;
@@ -195,19 +197,19 @@
     }
 }
 
-/// How a process ended.
+/// How a process ended. Reports write the names of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
-    /// By itself, with this code.
+pub enum ProcessExit {
+    /// The process exited with this code.
     Exit(i32),
-    /// By this signal.
+    /// The process was terminated by this signal.
     Signal(i32),
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
         if let Some(child) = &mut self.child {
-            // It may have ended already.
+            // The process may already have ended.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/crates/foxwheel-soak/src/proxy.rs
+++ b/crates/foxwheel-soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! Loopback paths that can be broken: a TCP proxy and a UDP relay.
+//! Proxies that inject network faults into a loopback path: a TCP proxy and a UDP relay.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -11,41 +11,42 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// What a path does to what goes over it.
+/// Fault of a network path. Plan files and logs write the names of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PathFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Everything arrives this many milliseconds later.
+    /// All data arrives this many milliseconds later.
     Delay(u64),
-    /// Connections break, new ones too.
+    /// Open connections are reset, and so are new ones.
     Reset,
-    /// Nothing arrives, in either direction, until the fault ends.
+    /// No data arrives in either direction until the fault ends.
     Silence,
-    /// What goes towards the target arrives; what comes back does not until the fault ends.
+    /// Data to the target arrives. Data from the target does not arrive until the fault ends.
     OneWay,
-    /// A few bytes arrive at a time.
+    /// Data arrives in pieces of a few bytes.
     Drip,
-    /// The connection breaks after this many bytes of answers.
+    /// A connection is reset after this many bytes from the target.
     CutAfter(usize),
 }
 
-/// Bytes of one drip, and the pause after it.
+/// Size of the pieces into which [`PathFault::Drip`] splits data.
 const DRIP_BYTES: usize = 64;
+/// Pause after each of these pieces.
 const DRIP_PAUSE: Duration = Duration::from_millis(2);
 
-/// Bytes read at once.
+/// Size of the buffer for reads.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// One path: whatever reaches `addr` is passed on to its target.
+/// A proxy that forwards everything received at `addr` to its target.
 #[derive(Debug, Clone)]
 pub struct FaultProxy {
-    /// Where the path begins.
+    /// Address of the proxy.
     pub addr: SocketAddr,
     fault: watch::Sender<PathFault>,
-    refusals: Arc<Mutex<Vec<Instant>>>,
+    refusal_times: Arc<Mutex<Vec<Instant>>>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,194 +56,198 @@
 }
 
 impl FaultProxy {
-    /// Opens a TCP path from `addr` (port 0: any) to `target`. Cancelling `cancel` closes it:
-    /// connections to it are refused then.
+    /// Opens a TCP proxy that listens on `addr`, on a free port if the port is 0, and forwards to
+    /// `target`. Cancelling `cancel` closes its connections and refuses new ones.
     pub async fn open(
         addr: SocketAddr,
         target: SocketAddr,
         cancel: CancellationToken,
     ) -> std::io::Result<Self> {
         let listener = TcpListener::bind(addr).await?;
-        let path = Self {
+        let proxy = Self {
             addr: listener.local_addr()?,
             fault: watch::channel(PathFault::None).0,
-            refusals: Arc::default(),
+            refusal_times: Arc::default(),
         };
-        let fault = path.fault.subscribe();
-        let refusals = Arc::clone(&path.refusals);
+        let fault = proxy.fault.subscribe();
+        let refusal_times = Arc::clone(&proxy.refusal_times);
         tokio::spawn(async move {
             loop {
                 let accepted = tokio::select! {
                     () = cancel.cancelled() => return,
                     accepted = listener.accept() => accepted,
                 };
-                let Ok((near, _)) = accepted else { continue };
+                let Ok((client, _)) = accepted else { continue };
                 let (fault, cancel) = (fault.clone(), cancel.clone());
-                let refusals = Arc::clone(&refusals);
+                let refusal_times = Arc::clone(&refusal_times);
                 tokio::spawn(async move {
-                    let passed = tokio::select! {
+                    let forwarded = tokio::select! {
                         () = cancel.cancelled() => return,
-                        passed = pass(near, target, fault) => passed,
+                        forwarded = forward_connection(client, target, fault) => forwarded,
                     };
-                    if passed.is_err() {
-                        refusals
+                    if forwarded.is_err() {
+                        refusal_times
                             .lock()
-                            .expect("the refusals' lock")
+                            .expect("the lock of the refusal times")
                             .push(Instant::now());
                     }
                 });
             }
         });
-        Ok(path)
+        Ok(proxy)
     }
 
-    /// Passes datagrams on too, under the same faults.
+    /// Also relays UDP datagrams from `addr` to `target`, under the same faults.
     pub async fn relay_datagrams(
         &self,
         target: SocketAddr,
         cancel: CancellationToken,
     ) -> std::io::Result<()> {
-        let near = UdpSocket::bind(self.addr).await?;
-        let far = Arc::new(UdpSocket::bind((target.ip(), 0)).await?);
+        let client_socket = UdpSocket::bind(self.addr).await?;
+        let target_socket = Arc::new(UdpSocket::bind((target.ip(), 0)).await?);
         let fault = self.fault.subscribe();
         tokio::spawn(async move {
             let mut buffer = vec![0; usize::from(u16::MAX)];
             loop {
                 let received = tokio::select! {
                     () = cancel.cancelled() => return,
-                    received = near.recv_from(&mut buffer) => received,
+                    received = client_socket.recv_from(&mut buffer) => received,
                 };
                 let Ok((length, _)) = received else { continue };
                 let delay = match *fault.borrow() {
                     PathFault::Delay(ms) => Duration::from_millis(ms),
-                    // Towards the target a one-way path is whole.
+                    // A one-way fault only affects data from the target.
                     PathFault::None | PathFault::OneWay => Duration::ZERO,
                     _ => continue,
                 };
-                let (far, datagram) = (far.clone(), buffer[..length].to_vec());
+                let (target_socket, datagram) = (target_socket.clone(), buffer[..length].to_vec());
                 tokio::spawn(async move {
                     tokio::time::sleep(delay).await;
-                    // A process that is down loses what is sent to it.
-                    let _ = far.send_to(&datagram, target).await;
+                    // A datagram to a process that is down is lost.
+                    let _ = target_socket.send_to(&datagram, target).await;
                 });
             }
         });
         Ok(())
     }
 
-    /// When the target refused connections that the path had already taken.
-    pub fn refusals(&self) -> Vec<Instant> {
-        self.refusals.lock().expect("the refusals' lock").clone()
+    /// Returns when the target refused a connection that the proxy had already accepted.
+    pub fn refusal_times(&self) -> Vec<Instant> {
+        self.refusal_times
+            .lock()
+            .expect("the lock of the refusal times")
+            .clone()
     }
 
-    /// Sets what the path does from now on.
+    /// Sets the fault of the path.
     pub fn set_fault(&self, fault: PathFault) {
         self.fault.send_replace(fault);
     }
 
-    /// Breaks open connections and closes new ones at once.
+    /// Resets open connections and all new ones, until the fault is changed.
     pub fn reset_connections(&self) {
         self.set_fault(PathFault::Reset);
     }
 
-    /// Makes it whole again.
+    /// Ends the fault.
     pub fn clear_fault(&self) {
         self.set_fault(PathFault::None);
     }
 }
 
-/// Passes one connection on until it ends; an error if the target refused it.
-async fn pass(
-    near: TcpStream,
+/// Forwards one connection until it ends. Returns an error if the target refuses the connection.
+async fn forward_connection(
+    client: TcpStream,
     target: SocketAddr,
     fault: watch::Receiver<PathFault>,
 ) -> std::io::Result<()> {
     if *fault.borrow() == PathFault::Reset {
-        reset(&near);
+        reset_on_close(&client);
         return Ok(());
     }
-    let far = TcpStream::connect(target).await;
-    let far = far.inspect_err(|_| reset(&near))?;
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
-    let mut broken = fault.clone();
-    let there = copy(near_in, far_out, Direction::ToTarget, fault.clone());
-    let back = copy(far_in, near_out, Direction::FromTarget, fault.clone());
-    let copied = async { tokio::try_join!(there, back) };
+    let target = TcpStream::connect(target).await;
+    let target = target.inspect_err(|_| reset_on_close(&client))?;
+    let (client_in, client_out) = client.into_split();
+    let (target_in, target_out) = target.into_split();
+    let mut fault_changes = fault.clone();
+    let requests = forward_bytes(client_in, target_out, Direction::ToTarget, fault.clone());
+    let responses = forward_bytes(target_in, client_out, Direction::FromTarget, fault.clone());
+    let forwarding = async { tokio::try_join!(requests, responses) };
     tokio::select! {
-        // Either side may hang up, and takes the other with it.
-        _ = copied => {}
-        // The sender ends with the path.
-        _ = broken.wait_for(|fault| *fault == PathFault::Reset) => {}
+        // When one side fails, the other is closed too.
+        _ = forwarding => {}
+        // The wait also ends when the proxy is dropped.
+        _ = fault_changes.wait_for(|fault| *fault == PathFault::Reset) => {}
     }
     Ok(())
 }
 
-/// The connection cannot go on.
-struct Broken;
+/// The connection was reset or failed.
+struct ConnectionBroken;
 
-/// Closes a connection so that its peer sees it break.
-fn reset(stream: &TcpStream) {
-    // A peer that is gone already sees nothing.
+/// Makes the connection send a reset to its peer when it is closed.
+fn reset_on_close(stream: &TcpStream) {
+    // An error does not matter: a peer that has closed the connection does not see the reset.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Whether the peer of a connection reset it.
-fn was_reset(stream: &TcpStream) -> bool {
+/// Returns whether the peer has reset the connection.
+fn has_been_reset(stream: &TcpStream) -> bool {
     !matches!(stream.take_error(), Ok(None))
 }
 
-/// Copies one direction until it ends; the other may go on, as after a half-close.
-async fn copy(
+/// Forwards one direction until it ends. The other direction may continue, as after a half-close.
+async fn forward_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     direction: Direction,
     mut fault: watch::Receiver<PathFault>,
-) -> Result<(), Broken> {
+) -> Result<(), ConnectionBroken> {
     let mut buffer = vec![0; BUFFER_BYTES];
-    let mut answered = 0;
+    let mut response_bytes = 0;
     loop {
-        let length = from.read(&mut buffer).await.map_err(|_| Broken)?;
+        let length = from.read(&mut buffer).await.map_err(|_| ConnectionBroken)?;
         if length == 0 {
-            return to.shutdown().await.map_err(|_| Broken);
+            return to.shutdown().await.map_err(|_| ConnectionBroken);
         }
-        let holds_back = |fault: &PathFault| match fault {
+        let is_held_back_by = |fault: &PathFault| match fault {
             PathFault::Silence => true,
             PathFault::OneWay => direction == Direction::FromTarget,
             _ => false,
         };
-        let held_back = holds_back(&fault.borrow());
-        let passes = fault.wait_for(|fault| !holds_back(fault)).await;
-        let now = *passes.map_err(|_| Broken)?;
-        if held_back && was_reset(from.as_ref()) {
-            // What did not arrive is the sender's to send again, and it dropped it.
-            return Err(Broken);
+        let was_held_back = is_held_back_by(&fault.borrow());
+        let released = fault.wait_for(|fault| !is_held_back_by(fault)).await;
+        let current_fault = *released.map_err(|_| ConnectionBroken)?;
+        if was_held_back && has_been_reset(from.as_ref()) {
+            // TCP would have left these bytes with the sender for retransmission, and the sender
+            // discarded them when it reset the connection.
+            return Err(ConnectionBroken);
         }
         let mut piece = &buffer[..length];
-        match now {
+        match current_fault {
             PathFault::Delay(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
             PathFault::CutAfter(bytes) if direction == Direction::FromTarget => {
-                let left = bytes.saturating_sub(answered);
+                let left = bytes.saturating_sub(response_bytes);
                 piece = &piece[..left.min(length)];
             }
             _ => {}
         }
-        answered += piece.len();
-        let written = match now {
-            PathFault::Drip => drip(&mut to, piece).await,
+        response_bytes += piece.len();
+        let written = match current_fault {
+            PathFault::Drip => write_slowly(&mut to, piece).await,
             _ => to.write_all(piece).await,
         };
-        written.map_err(|_| Broken)?;
+        written.map_err(|_| ConnectionBroken)?;
         if piece.len() < length {
-            reset(to.as_ref());
-            return Err(Broken);
+            reset_on_close(to.as_ref());
+            return Err(ConnectionBroken);
         }
     }
 }
 
-async fn drip(to: &mut OwnedWriteHalf, bytes: &[u8]) -> std::io::Result<()> {
-    for drop in bytes.chunks(DRIP_BYTES) {
-        to.write_all(drop).await?;
+async fn write_slowly(to: &mut OwnedWriteHalf, bytes: &[u8]) -> std::io::Result<()> {
+    for chunk in bytes.chunks(DRIP_BYTES) {
+        to.write_all(chunk).await?;
         tokio::time::sleep(DRIP_PAUSE).await;
     }
     Ok(())
--- a/crates/foxwheel-soak/src/run.rs
+++ b/crates/foxwheel-soak/src/run.rs
@@ -1,4 +1,5 @@
-//! One run: a fleet, its users, the faults of a plan, and the checks.
+//! Carries out one soak run: starts the fleet and its load, injects the faults of a plan, and
+//! checks the evidence.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -12,197 +13,203 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use crate::batch_client::Client;
-use crate::checks::{self, Breach, SERVED_AGAIN_WITHIN};
-use crate::evidence::{ConfigProbe, Cuts, Disturbance, Evidence, Record, Stop};
+use crate::batch_client::BatchClient;
+use crate::checks::{self, Breach, RECOVERY_TIMEOUT};
+use crate::evidence::{ConfigProbe, CutScope, Evidence, FaultPeriod, ProcessStop, Recorder};
 use crate::faults::Injector;
 use crate::fleet::{self, io_error, task_error, Fleet, SoakError, STOP_GRACE};
 use crate::front_client;
-use crate::online_caller::Caller;
+use crate::online_caller::OnlineCaller;
 use crate::plan::Plan;
 use crate::process::{Process, Resources};
 use crate::report;
 
-/// Time before the first fault.
-const WARM_UP: Duration = Duration::from_secs(1);
+/// Time under load before the first fault.
+const WARM_UP_DURATION: Duration = Duration::from_secs(1);
 
-/// Time in which all must be served, after the last fault and the time to recover.
-const QUIET: Duration = Duration::from_secs(2);
+/// Time under load, after the recovery from the last fault, in which all calls must be served.
+const FAULT_FREE_DURATION: Duration = Duration::from_secs(2);
 
-/// Time for the jobs that are open at the end.
-const JOBS_END_WITHIN: Duration = Duration::from_secs(25);
+/// Time in which jobs that are open at the end of the load must finish.
+const JOBS_END_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// Clients of jobs.
-const CLIENTS: usize = 3;
+/// Number of clients that submit batch jobs.
+const BATCH_CLIENT_COUNT: usize = 3;
 
-/// How often fronts are asked what they have in force, and processes what they hold.
-const PROBE_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which fronts are probed for their configuration and processes for their resources.
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest wait for the answer to such a question.
-const PROBE_PATIENCE: Duration = Duration::from_millis(500);
+/// Time limit for the response to a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A platform replaces a server that crashed after this.
-const REPLACED_AFTER: Duration = Duration::from_millis(600);
+/// Time after which a crashed server is replaced, as the platform does.
+const SERVER_REPLACEMENT_DELAY: Duration = Duration::from_millis(600);
 
-/// How often the run says how far it is.
-const PROGRESS_EVERY: Duration = Duration::from_secs(5);
+/// Interval of progress messages.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Where a run finds and leaves things.
+/// Directories of a soak run.
 #[derive(Debug, Clone)]
 pub struct Folders {
-    /// The programs `foxwheel-front` and `foxwheel-worker`.
+    /// Directory of the programs `foxwheel-front` and `foxwheel-worker`.
     pub programs: PathBuf,
-    /// Plan, settings, logs, metrics and report of this run.
+    /// Directory in which this run writes its plan, settings, logs, metrics and report.
     pub run: PathBuf,
 }
 
-/// What became of a run.
+/// Result of a soak run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Promises that were broken.
+    /// Promises that were not kept.
     pub breaches: Vec<Breach>,
-    /// Calls, jobs and runs seen.
+    /// Numbers of calls, jobs and runs, in one line.
     pub summary: String,
 }
 
-/// Carries out `plan`; everything of the run is in `folders.run` afterwards.
+/// Carries out `plan` and writes all files of the run to `folders.run`.
+///
+/// Returns an error if the run could not be carried out. Broken promises are not errors.
 pub async fn run(plan: &Plan, folders: &Folders) -> Result<Outcome, SoakError> {
-    std::fs::create_dir_all(&folders.run).map_err(io_error("make the run's folder"))?;
+    std::fs::create_dir_all(&folders.run).map_err(io_error("create the run's folder"))?;
     report::write_plan(plan, &folders.run)?;
     let fleet = Fleet::start(plan, &folders.programs, &folders.run).await?;
-    let mut run = Running::start(plan, fleet);
-    let injected = run.inject(plan).await;
-    let settled = run.settle(plan).await;
-    run.stop_all(&folders.run).await?;
-    injected.and(settled)?;
-    let evidence = run.evidence();
-    let breaches = checks::check(&evidence);
-    let logs = run.logs();
-    let summary = report::write(plan, &evidence, &breaches, &logs, &folders.run)?;
+    let mut run = ActiveRun::start(plan, fleet);
+    let injected = run.inject_faults(plan).await;
+    let recovered = run.wait_for_recovery(plan).await;
+    run.stop_processes(&folders.run).await?;
+    injected.and(recovered)?;
+    let evidence = run.collect_evidence();
+    let breaches = checks::find_breaches(&evidence);
+    let log_files = run.log_files();
+    let summary = report::write_report(plan, &evidence, &breaches, &log_files, &folders.run)?;
     Ok(Outcome { breaches, summary })
 }
 
-struct Running {
+struct ActiveRun {
     fleet: Rc<RefCell<Fleet>>,
-    record: Arc<Record>,
+    recorder: Arc<Recorder>,
     started_at: Instant,
-    stop_users: CancellationToken,
-    give_up: CancellationToken,
-    stop_watching: CancellationToken,
+    stop_load: CancellationToken,
+    give_up_jobs: CancellationToken,
+    stop_monitoring: CancellationToken,
     callers: Vec<JoinHandle<()>>,
     clients: Vec<JoinHandle<()>>,
 }
 
-impl Running {
+impl ActiveRun {
     fn start(plan: &Plan, fleet: Fleet) -> Self {
         let mut run = Self {
             fleet: Rc::new(RefCell::new(fleet)),
-            record: Arc::default(),
+            recorder: Arc::default(),
             started_at: Instant::now(),
-            stop_users: CancellationToken::new(),
-            give_up: CancellationToken::new(),
-            stop_watching: CancellationToken::new(),
+            stop_load: CancellationToken::new(),
+            give_up_jobs: CancellationToken::new(),
+            stop_monitoring: CancellationToken::new(),
             callers: Vec::new(),
             clients: Vec::new(),
         };
         let fronts = run.fleet.borrow().fronts();
-        for at in 0..plan.size.callers {
-            let caller = Caller {
-                name: format!("call-{:x}-{at}", plan.seed),
+        for index in 0..plan.size.callers {
+            let caller = OnlineCaller {
+                name: format!("call-{:x}-{index}", plan.seed),
                 fronts: fronts.clone(),
-                record: Arc::clone(&run.record),
+                recorder: Arc::clone(&run.recorder),
             };
-            let seed = plan.seed.wrapping_add(at as u64);
-            let calling = caller.run(seed, run.stop_users.clone());
-            run.callers.push(actix_web::rt::spawn(calling));
+            let seed = plan.seed.wrapping_add(index as u64);
+            let calls = caller.run(seed, run.stop_load.clone());
+            run.callers.push(actix_web::rt::spawn(calls));
         }
-        for at in 0..CLIENTS {
-            let client = Client {
-                name: format!("job-{:x}-{at}", plan.seed),
+        for index in 0..BATCH_CLIENT_COUNT {
+            let client = BatchClient {
+                name: format!("job-{:x}-{index}", plan.seed),
                 fronts: fronts.clone(),
-                record: Arc::clone(&run.record),
+                recorder: Arc::clone(&run.recorder),
             };
-            let seed = plan.seed.wrapping_sub(at as u64 + 1);
-            let (stop, give_up) = (run.stop_users.clone(), run.give_up.clone());
-            let calling = client.run(seed, stop, give_up);
-            run.clients.push(actix_web::rt::spawn(calling));
+            let seed = plan.seed.wrapping_sub(index as u64 + 1);
+            let (stop, give_up_jobs) = (run.stop_load.clone(), run.give_up_jobs.clone());
+            let calls = client.run(seed, stop, give_up_jobs);
+            run.clients.push(actix_web::rt::spawn(calls));
         }
-        for (at, front) in fronts.into_iter().enumerate() {
-            let (record, stop) = (Arc::clone(&run.record), run.stop_watching.clone());
-            actix_web::rt::spawn(probe_config(at, front, record, stop));
+        for (index, front) in fronts.into_iter().enumerate() {
+            let (recorder, stop) = (Arc::clone(&run.recorder), run.stop_monitoring.clone());
+            actix_web::rt::spawn(probe_config(index, front, recorder, stop));
         }
-        let (fleet, record) = (Rc::clone(&run.fleet), Arc::clone(&run.record));
-        actix_web::rt::spawn(watch(fleet, record, run.stop_watching.clone()));
+        let (fleet, recorder) = (Rc::clone(&run.fleet), Arc::clone(&run.recorder));
+        actix_web::rt::spawn(monitor_fleet(fleet, recorder, run.stop_monitoring.clone()));
         run
     }
 
-    /// Carries out the plan's steps at their times and waits until the last has ended.
-    async fn inject(&self, plan: &Plan) -> Result<(), SoakError> {
-        tokio::time::sleep(WARM_UP).await;
-        let injector = Injector::new(Rc::clone(&self.fleet), Arc::clone(&self.record));
-        let begin = tokio::time::Instant::now();
-        let mut under_way = Vec::new();
-        let mut said_at = begin;
+    /// Injects the faults of the plan at their times and waits until the last one has ended.
+    async fn inject_faults(&self, plan: &Plan) -> Result<(), SoakError> {
+        tokio::time::sleep(WARM_UP_DURATION).await;
+        let injector = Injector::new(Rc::clone(&self.fleet), Arc::clone(&self.recorder));
+        let injection_start = tokio::time::Instant::now();
+        let mut injections = Vec::new();
+        let mut printed_at = injection_start;
         for step in plan.steps.iter().cloned() {
-            tokio::time::sleep_until(begin + step.at).await;
-            log::info!("fault at {} ms: {:?}", step.at.as_millis(), step.fault);
-            under_way.push(actix_web::rt::spawn(injector.clone().carry_out(step)));
-            if said_at.elapsed() >= PROGRESS_EVERY {
-                said_at = tokio::time::Instant::now();
-                self.say_progress(plan);
+            tokio::time::sleep_until(injection_start + step.start_after).await;
+            log::info!(
+                "fault at {} ms: {:?}",
+                step.start_after.as_millis(),
+                step.fault
+            );
+            injections.push(actix_web::rt::spawn(injector.clone().inject(step)));
+            if printed_at.elapsed() >= PROGRESS_INTERVAL {
+                printed_at = tokio::time::Instant::now();
+                self.print_progress(plan);
             }
         }
-        for step in under_way {
-            step.await.map_err(task_error("carry out a fault"))??;
+        for step in injections {
+            step.await.map_err(task_error("inject a fault"))??;
         }
         Ok(())
     }
 
-    fn say_progress(&self, plan: &Plan) {
-        let evidence = self.record.lock();
+    fn print_progress(&self, plan: &Plan) {
+        let evidence = self.recorder.lock();
         eprintln!(
             "seed {}: {} s: {} calls, {} jobs, {} faults over",
             plan.seed,
             self.started_at.elapsed().as_secs(),
             evidence.calls.len(),
             evidence.jobs.len(),
-            evidence.disturbances.len(),
+            evidence.fault_periods.len(),
         );
     }
 
-    /// Lets the fleet recover under load, then lets its users end.
-    async fn settle(&mut self, plan: &Plan) -> Result<(), SoakError> {
-        tokio::time::sleep(SERVED_AGAIN_WITHIN + QUIET).await;
-        self.stop_users.cancel();
-        join(std::mem::take(&mut self.callers)).await?;
-        let clients = join(std::mem::take(&mut self.clients));
+    /// Lets the fleet recover under load, then stops callers and clients and waits for open jobs.
+    async fn wait_for_recovery(&mut self, plan: &Plan) -> Result<(), SoakError> {
+        tokio::time::sleep(RECOVERY_TIMEOUT + FAULT_FREE_DURATION).await;
+        self.stop_load.cancel();
+        join_tasks(std::mem::take(&mut self.callers)).await?;
+        let clients = join_tasks(std::mem::take(&mut self.clients));
         tokio::pin!(clients);
-        let ended = tokio::time::timeout(JOBS_END_WITHIN, &mut clients).await;
-        let joined = match ended {
+        let finished = tokio::time::timeout(JOBS_END_TIMEOUT, &mut clients).await;
+        let joined = match finished {
             Ok(joined) => joined,
             Err(_) => {
-                self.give_up.cancel();
+                self.give_up_jobs.cancel();
                 clients.await
             }
         };
-        self.say_progress(plan);
+        self.print_progress(plan);
         joined
     }
 
-    /// Keeps every process's metrics, then stops them all.
-    async fn stop_all(&self, folder: &Path) -> Result<(), SoakError> {
-        self.stop_watching.cancel();
-        let metrics: Vec<(String, SocketAddr)> = {
+    /// Saves the metrics of every process, then stops all processes.
+    async fn stop_processes(&self, folder: &Path) -> Result<(), SoakError> {
+        self.stop_monitoring.cancel();
+        let metrics_addrs: Vec<(String, SocketAddr)> = {
             let fleet = self.fleet.borrow();
             let processes = fleet.nodes.iter().map(|node| &node.process);
-            let page_of = |process: &Process| (process.host.clone(), process.metrics);
-            processes.map(page_of).collect()
+            let host_and_addr = |process: &Process| (process.host.clone(), process.metrics_addr);
+            processes.map(host_and_addr).collect()
         };
-        for (host, addr) in metrics {
+        for (host, addr) in metrics_addrs {
             let page = front_client::call(addr, Method::GET, "/metrics", "metrics", &[], "");
-            if let Ok(Ok(page)) = tokio::time::timeout(PROBE_PATIENCE, page).await {
+            if let Ok(Ok(page)) = tokio::time::timeout(PROBE_TIMEOUT, page).await {
                 let file = folder.join(format!("{host}.metrics"));
-                std::fs::write(file, page.body).map_err(io_error("keep metrics"))?;
+                std::fs::write(file, page.body).map_err(io_error("save metrics"))?;
             }
         }
         for node in &mut self.fleet.borrow_mut().nodes {
@@ -210,153 +217,171 @@
         }
         tokio::time::sleep(STOP_GRACE).await;
         for node in &mut self.fleet.borrow_mut().nodes {
-            let (host, ended) = (node.process.host.clone(), node.process.ended());
-            self.record.lock().stops.push(Stop { host, ended });
+            let (host, exit) = (node.process.host.clone(), node.process.exit());
+            self.recorder.lock().stops.push(ProcessStop { host, exit });
         }
         self.fleet.borrow().operator.cancel.cancel();
         Ok(())
     }
 
-    fn evidence(&self) -> Evidence {
-        let mut evidence = self.record.take();
+    fn collect_evidence(&self) -> Evidence {
+        let mut evidence = self.recorder.take_evidence();
         let fleet = self.fleet.borrow();
         evidence.runs = fleet.runs();
         evidence.arrivals = fleet.arrivals();
-        let paths = fleet.nodes.iter().filter_map(|node| node.callers.as_ref());
-        evidence.refusals = paths
+        let paths = fleet
+            .nodes
+            .iter()
+            .filter_map(|node| node.caller_path.as_ref());
+        evidence.refusal_times = paths
             .enumerate()
-            .flat_map(|(at, path)| path.refusals().into_iter().map(move |when| (at, when)))
+            .flat_map(|(front, path)| path.refusal_times().into_iter().map(move |at| (front, at)))
             .collect();
-        evidence.events = fleet::EVENTS;
+        evidence.event_count = fleet::EVENT_COUNT;
         evidence.quota_tokens = fleet::QUOTA_TOKENS;
-        evidence.began_at = Some(self.started_at);
+        evidence.started_at = Some(self.started_at);
         evidence
     }
 
-    fn logs(&self) -> Vec<PathBuf> {
+    fn log_files(&self) -> Vec<PathBuf> {
         let fleet = self.fleet.borrow();
         let nodes = fleet.nodes.iter();
-        nodes.map(|node| node.process.log.clone()).collect()
+        nodes.map(|node| node.process.log_file.clone()).collect()
     }
 }
 
-async fn join(tasks: Vec<JoinHandle<()>>) -> Result<(), SoakError> {
+async fn join_tasks(tasks: Vec<JoinHandle<()>>) -> Result<(), SoakError> {
     for task in tasks {
-        task.await.map_err(task_error("use the fleet"))?;
+        task.await.map_err(task_error("run a caller or client"))?;
     }
     Ok(())
 }
 
-/// Asks the front at `at` for the newest version's own path, again and again.
-async fn probe_config(at: usize, addr: SocketAddr, record: Arc<Record>, stop: CancellationToken) {
+/// Repeatedly requests the route that only the newest configuration has from the front with index
+/// `front_index`.
+async fn probe_config(
+    front_index: usize,
+    addr: SocketAddr,
+    recorder: Arc<Recorder>,
+    stop: CancellationToken,
+) {
     while !stop.is_cancelled() {
-        tokio::time::sleep(PROBE_EVERY).await;
-        let newest = record.lock().configs.last().map(|config| config.version);
+        tokio::time::sleep(PROBE_INTERVAL).await;
+        let newest = recorder.lock().configs.last().map(|config| config.version);
         let Some(version) = newest else { continue };
-        let asked_at = Instant::now();
-        let path = format!("/{}/probe", fleet::version_name(version));
-        let answer = front_client::call(addr, Method::GET, &path, "probe-version", &[], "");
-        let Ok(Ok(answer)) = tokio::time::timeout(PROBE_PATIENCE, answer).await else {
+        let probed_at = Instant::now();
+        let path = format!("/{}/probe", fleet::version_route_name(version));
+        let response = front_client::call(addr, Method::GET, &path, "probe-version", &[], "");
+        let Ok(Ok(response)) = tokio::time::timeout(PROBE_TIMEOUT, response).await else {
             continue;
         };
-        let routed = match answer.status {
+        let has_route = match response.status {
             StatusCode::OK => true,
             StatusCode::NOT_FOUND => false,
             _ => continue,
         };
-        record.lock().probes.push(ConfigProbe {
-            front: at,
+        recorder.lock().probes.push(ConfigProbe {
+            front: front_index,
             version,
-            at: asked_at,
-            routed,
+            sent_at: probed_at,
+            has_route,
         });
     }
 }
 
-/// Does what the platform would: replaces servers that crashed; notes processes that ended
-/// unasked, and what each holds.
-async fn watch(fleet: Rc<RefCell<Fleet>>, record: Arc<Record>, stop: CancellationToken) {
+/// Replaces crashed servers, as the platform would, and records unexpected exits and the resource
+/// use of processes.
+async fn monitor_fleet(
+    fleet: Rc<RefCell<Fleet>>,
+    recorder: Arc<Recorder>,
+    stop: CancellationToken,
+) {
     while !stop.is_cancelled() {
-        tokio::time::sleep(PROBE_EVERY).await;
-        for id in newly_ended(&fleet) {
-            let replaced = replace_ended(Rc::clone(&fleet), Arc::clone(&record), id);
+        tokio::time::sleep(PROBE_INTERVAL).await;
+        for id in take_crashed_servers(&fleet) {
+            let replacement = replace_crashed_server(Rc::clone(&fleet), Arc::clone(&recorder), id);
             actix_web::rt::spawn(async move {
-                if let Err(e) = replaced.await {
-                    log::error!("a server that ended was not replaced: {e}");
+                if let Err(e) = replacement.await {
+                    log::error!("cannot replace a crashed server: {e}");
                 }
             });
         }
-        note_processes(&fleet, &record);
+        record_process_states(&fleet, &recorder);
     }
 }
 
-/// Servers whose end was not seen before.
-fn newly_ended(fleet: &Rc<RefCell<Fleet>>) -> Vec<String> {
+/// Returns the ids of crashed servers that were not returned before.
+fn take_crashed_servers(fleet: &Rc<RefCell<Fleet>>) -> Vec<String> {
     let mut fleet = fleet.borrow_mut();
-    let places = fleet.places.iter_mut();
-    let ended = places.filter(|place| place.server.has_ended() && !place.end_seen);
-    ended
-        .map(|place| {
-            place.end_seen = true;
-            place.id.clone()
+    let servers = fleet.servers.iter_mut();
+    let crashed = servers.filter(|server| server.emulator.has_ended() && !server.crash_handled);
+    crashed
+        .map(|server| {
+            server.crash_handled = true;
+            server.id.clone()
         })
         .collect()
 }
 
-async fn replace_ended(
+async fn replace_crashed_server(
     fleet: Rc<RefCell<Fleet>>,
-    record: Arc<Record>,
+    recorder: Arc<Recorder>,
     id: String,
 ) -> Result<(), SoakError> {
-    let from = Instant::now() - PROBE_EVERY * 2;
-    tokio::time::sleep(REPLACED_AFTER).await;
-    let (operator, still_ended) = {
+    let from = Instant::now() - PROBE_INTERVAL * 2;
+    tokio::time::sleep(SERVER_REPLACEMENT_DELAY).await;
+    let (operator, is_still_down) = {
         let fleet = fleet.borrow();
-        let mut places = fleet.places.iter();
-        let still_ended = places.any(|place| place.id == id && place.server.has_ended());
-        (fleet.operator.clone(), still_ended)
+        let mut servers = fleet.servers.iter();
+        let is_still_down = servers.any(|server| server.id == id && server.emulator.has_ended());
+        (fleet.operator.clone(), is_still_down)
     };
-    if still_ended {
-        operator.unlist(&id).await?;
-        let next = fleet.borrow_mut().next_server();
-        let next = operator.start_server(next).await?;
-        fleet.borrow_mut().replace(&id, next, None);
+    if is_still_down {
+        operator.unlist_server(&id).await?;
+        let replacement_id = fleet.borrow_mut().next_server_id();
+        let replacement_server = operator.start_server(replacement_id).await?;
+        fleet
+            .borrow_mut()
+            .replace_server(&id, replacement_server, None);
     }
-    record.lock().disturbances.push(Disturbance {
+    recorder.lock().fault_periods.push(FaultPeriod {
         from,
         until: Instant::now(),
-        cuts: Cuts::Any,
+        cut_scope: CutScope::Any,
     });
     Ok(())
 }
 
-fn note_processes(fleet: &Rc<RefCell<Fleet>>, record: &Record) {
-    let mut evidence = record.lock();
+fn record_process_states(fleet: &Rc<RefCell<Fleet>>, recorder: &Recorder) {
+    let mut evidence = recorder.lock();
     for node in &mut fleet.borrow_mut().nodes {
         let host = &node.process.host;
-        if let Some(held) = node.process.resources() {
-            note_most(&mut evidence.resources, host, held);
+        if let Some(resources) = node.process.resources() {
+            record_max_resources(&mut evidence.max_resources, host, resources);
         }
-        let known = evidence.unasked_ends.iter().any(|(known, _)| known == host);
-        if node.busy || known {
+        let is_recorded = evidence
+            .unexpected_exits
+            .iter()
+            .any(|(recorded, _)| recorded == host);
+        if node.is_under_fault || is_recorded {
             continue;
         }
         let host = host.clone();
-        if let Some(ended) = node.process.ended() {
-            evidence.unasked_ends.push((host, ended));
+        if let Some(exit) = node.process.exit() {
+            evidence.unexpected_exits.push((host, exit));
         }
     }
 }
 
-fn note_most(most: &mut Vec<(String, Resources)>, host: &str, held: Resources) {
-    let at = match most.binary_search_by(|(known, _)| known.as_str().cmp(host)) {
-        Ok(at) => at,
-        Err(at) => {
-            most.insert(at, (host.to_owned(), held));
-            at
+fn record_max_resources(maxima: &mut Vec<(String, Resources)>, host: &str, resources: Resources) {
+    let index = match maxima.binary_search_by(|(entry_host, _)| entry_host.as_str().cmp(host)) {
+        Ok(index) => index,
+        Err(index) => {
+            maxima.insert(index, (host.to_owned(), resources));
+            index
         }
     };
-    let known = &mut most[at].1;
-    known.memory_bytes = known.memory_bytes.max(held.memory_bytes);
-    known.open_files = known.open_files.max(held.open_files);
+    let maximum = &mut maxima[index].1;
+    maximum.memory_bytes = maximum.memory_bytes.max(resources.memory_bytes);
+    maximum.open_files = maximum.open_files.max(resources.open_files);
 }
--- a/crates/foxwheel-soak/src/shrink.rs
+++ b/crates/foxwheel-soak/src/shrink.rs
@@ -1,44 +1,48 @@
-//! Finding the few faults of a plan that are enough to break a promise.
+//! Searches for a smaller set of faults of a plan that still breaks a promise.
 
 use crate::checks::Promise;
 use crate::fleet::SoakError;
 use crate::plan::Plan;
 
-/// Runs of a smaller plan before it counts as not breaking the promise: a run depends on the
-/// machine's timing too.
-const TRIES: usize = 2;
+/// Number of runs in which a candidate plan must keep the promise before it is rejected, because
+/// the outcome of a run also depends on the timing of the machine.
+const RUNS_PER_CANDIDATE: usize = 2;
 
-/// Leaves faults out of `plan` while `breaks` still says that the promise breaks: halves
-/// first, then ever smaller parts.
+/// Removes faults from `plan` as long as the promise is still broken, first in halves, then in
+/// ever smaller groups. `run_plan` runs a plan and returns the promises that it broke.
 pub async fn shrink<F>(
     plan: Plan,
     promise: Promise,
-    mut breaks: impl FnMut(Plan) -> F,
+    mut run_plan: impl FnMut(Plan) -> F,
 ) -> Result<Plan, SoakError>
 where
     F: std::future::Future<Output = Result<Vec<Promise>, SoakError>>,
 {
     let mut smallest = plan;
-    let mut part = smallest.steps.len().div_ceil(2);
-    while part > 0 {
-        let mut from = 0;
-        while from < smallest.steps.len() {
+    let mut chunk_len = smallest.steps.len().div_ceil(2);
+    while chunk_len > 0 {
+        let mut start = 0;
+        while start < smallest.steps.len() {
             let mut smaller = smallest.clone();
-            let until = (from + part).min(smaller.steps.len());
-            smaller.steps.drain(from..until);
+            let end = (start + chunk_len).min(smaller.steps.len());
+            smaller.steps.drain(start..end);
             let mut still_breaks = false;
-            for _ in 0..TRIES {
-                still_breaks = breaks(smaller.clone()).await?.contains(&promise);
+            for _ in 0..RUNS_PER_CANDIDATE {
+                still_breaks = run_plan(smaller.clone()).await?.contains(&promise);
                 if still_breaks {
                     break;
                 }
             }
             match still_breaks {
                 true => smallest = smaller,
-                false => from = until,
+                false => start = end,
             }
         }
-        part = if part == 1 { 0 } else { part.div_ceil(2) };
+        chunk_len = if chunk_len == 1 {
+            0
+        } else {
+            chunk_len.div_ceil(2)
+        };
     }
     Ok(smallest)
 }
--- a/crates/foxwheel-soak/src/store_entries.rs
+++ b/crates/foxwheel-soak/src/store_entries.rs
@@ -1,17 +1,17 @@
-//! What the operator and the backend servers write to the store: a configuration with one
+//! Objects that the operator and the backend servers write to the store: a configuration with one
 //! route of each kind, and entries of servers.
 
 use std::net::SocketAddr;
 
 use serde_json::{json, Value};
 
-/// Host header of every route.
+/// Host header of all routes.
 pub const HOST: &str = "calls.example";
 
-/// Service of every route.
+/// Service of all routes.
 pub const SERVICE: &str = "model";
 
-/// Name of the zone `number`, counted from 0.
+/// Returns the name of the availability zone with this number, counted from 0.
 pub fn zone_name(number: u32) -> String {
     match number {
         0 => "hall".to_owned(),
@@ -19,7 +19,7 @@
     }
 }
 
-/// The entry of a backend server of [`SERVICE`].
+/// Returns the entry of a backend server of [`SERVICE`] in the first zone.
 pub fn server_entry(addr: SocketAddr, state: &str) -> Value {
     json!({
         "service": SERVICE, "addr": addr, "zone": zone_name(0), "version": "v1", "slots": 8,
@@ -27,8 +27,8 @@
     })
 }
 
-/// A configuration: the routes `plain`, `once`, `stream`, `stream-once` and `batch`, in this
-/// order, each for the paths that begin with its name.
+/// Returns a configuration with the routes `plain`, `once`, `stream`, `stream-once` and `batch`,
+/// in this order. Each matches the paths that start with its name.
 pub fn config(version: u64) -> Value {
     json!({
         "version": version,
@@ -50,8 +50,8 @@
     })
 }
 
-/// A route for the paths that begin with `name`; `more` adds fields or replaces the usual
-/// ones.
+/// Returns a route for the paths that start with `name`. The fields of `more` are added to the
+/// default fields or override them.
 pub fn route(name: &str, kind: &str, more: Value) -> Value {
     let mut route = json!({
         "name": name, "host": HOST, "path_prefix": format!("/{name}/"), "kind": kind,
