--- a/crates/foxwheel-soak/tests/checks.rs
+++ b/crates/foxwheel-soak/tests/checks.rs
@@ -5,13 +5,13 @@
 use foxwheel_server_emu::runs::{Arrival, Run};
 use foxwheel_server_emu::server::event_data;
 use foxwheel_soak::checks::{self, Promise};
-use foxwheel_soak::evidence::{Call, CallEnd, ConfigProbe, ConfigWrite, Cuts, Disturbance};
-use foxwheel_soak::evidence::{Evidence, Job, Kind, ServerArrival, ServerRun, Stop};
+use foxwheel_soak::evidence::{Call, CallEnd, ConfigProbe, ConfigWrite, CutScope, FaultPeriod};
+use foxwheel_soak::evidence::{Evidence, Job, ProcessStop, RequestKind, ServerArrival, ServerRun};
 use foxwheel_soak::front_client;
-use foxwheel_soak::process::{Ended, Resources};
+use foxwheel_soak::process::{ProcessExit, Resources};
 use serde_json::{json, Value};
 
-const EVENTS: u64 = 3;
+const EVENT_COUNT: u64 = 3;
 
 /// Evidence of a run that began at `began`.
 struct Case {
@@ -23,8 +23,8 @@
     fn new() -> Self {
         let began = Instant::now();
         let evidence = Evidence {
-            events: EVENTS,
-            began_at: Some(began),
+            event_count: EVENT_COUNT,
+            started_at: Some(began),
             ..Evidence::default()
         };
         Self { began, evidence }
@@ -34,7 +34,7 @@
         self.began + Duration::from_millis(ms)
     }
 
-    fn call(&mut self, id: &str, kind: Kind, sent_ms: u64, end: CallEnd) {
+    fn call(&mut self, id: &str, kind: RequestKind, sent_ms: u64, end: CallEnd) {
         let sent_at = self.at(sent_ms);
         self.evidence.calls.push(Call {
             id: id.to_owned(),
@@ -74,15 +74,19 @@
         });
     }
 
-    fn disturb(&mut self, from_ms: u64, until_ms: u64, cuts: Cuts) {
+    fn disturb(&mut self, from_ms: u64, until_ms: u64, cut_scope: CutScope) {
         let (from, until) = (self.at(from_ms), self.at(until_ms));
-        let disturbance = Disturbance { from, until, cuts };
-        self.evidence.disturbances.push(disturbance);
+        let disturbance = FaultPeriod {
+            from,
+            until,
+            cut_scope,
+        };
+        self.evidence.fault_periods.push(disturbance);
     }
 
     /// The promises broken, each once.
     fn broken(&self) -> Vec<Promise> {
-        let breaches = checks::check(&self.evidence).into_iter();
+        let breaches = checks::find_breaches(&self.evidence).into_iter();
         let mut broken: Vec<Promise> = breaches.map(|breach| breach.promise).collect();
         broken.dedup();
         broken
@@ -93,7 +97,7 @@
     CallEnd::Whole {
         status: 200,
         not_run: false,
-        body: checks::whole_body(id, EVENTS),
+        body: checks::expected_body(id, EVENT_COUNT),
     }
 }
 
@@ -113,34 +117,34 @@
 fn a_whole_run_breaks_nothing() {
     let mut case = Case::new();
     case.run("a", 10_000, Some(10_050));
-    case.call("a", Kind::Once, 10_000, whole("a"));
+    case.call("a", RequestKind::Once, 10_000, whole("a"));
     assert_eq!(case.broken(), []);
 }
 
 #[test]
 fn an_answer_of_another_request_or_out_of_order() {
-    let part = |id: &str| checks::whole_body(id, EVENTS)[..28].to_vec();
+    let part = |id: &str| checks::expected_body(id, EVENT_COUNT)[..28].to_vec();
     let cases = [
         ("another's answer", whole("b")),
         ("another's events before a break", broken(part("b"), false)),
     ];
     for (name, end) in cases {
         let mut case = Case::new();
-        case.disturb(9_000, 10_050, Cuts::Any);
-        case.call("a", Kind::Plain, 10_000, end);
+        case.disturb(9_000, 10_050, CutScope::Any);
+        case.call("a", RequestKind::Plain, 10_000, end);
         assert_eq!(case.broken(), [Promise::OwnAnswer], "{name}");
     }
     let mut case = Case::new();
-    case.disturb(9_000, 10_050, Cuts::Any);
-    case.call("a", Kind::Plain, 10_000, broken(part("a"), false));
+    case.disturb(9_000, 10_050, CutScope::Any);
+    case.call("a", RequestKind::Plain, 10_000, broken(part("a"), false));
     assert_eq!(case.broken(), []);
 }
 
 #[test]
 fn a_refusal_that_is_not_true() {
     let mut case = Case::new();
-    case.disturb(9_000, 10_050, Cuts::Any);
-    case.call("a", Kind::Once, 10_000, refused());
+    case.disturb(9_000, 10_050, CutScope::Any);
+    case.call("a", RequestKind::Once, 10_000, refused());
     assert_eq!(case.broken(), []);
     case.run("a", 10_000, Some(10_050));
     assert_eq!(case.broken(), [Promise::NotRunIsTrue]);
@@ -148,7 +152,11 @@
 
 #[test]
 fn more_runs_than_the_route_allows() {
-    for (kind, allowed) in [(Kind::Once, 1), (Kind::StreamOnce, 1), (Kind::Plain, 2)] {
+    for (kind, allowed) in [
+        (RequestKind::Once, 1),
+        (RequestKind::StreamOnce, 1),
+        (RequestKind::Plain, 2),
+    ] {
         let mut case = Case::new();
         case.call("a", kind, 10_000, whole("a"));
         for _ in 0..allowed {
@@ -166,32 +174,44 @@
     let cases = [
         (
             "a fault at its own front",
-            Cuts::Front(0),
+            CutScope::Front(0),
             false,
             false,
             true,
         ),
         (
             "a fault at another front",
-            Cuts::Front(1),
+            CutScope::Front(1),
             false,
             true,
             false,
         ),
-        ("a stop, connection new", Cuts::Nothing, false, false, false),
-        ("a stop, connection kept", Cuts::Nothing, true, false, true),
+        (
+            "a stop, connection new",
+            CutScope::Nothing,
+            false,
+            false,
+            false,
+        ),
+        (
+            "a stop, connection kept",
+            CutScope::Nothing,
+            true,
+            false,
+            true,
+        ),
         (
             "a stop, connection kept, run",
-            Cuts::Nothing,
+            CutScope::Nothing,
             true,
             true,
             false,
         ),
     ];
-    for (name, cuts, reused, ran, allowed) in cases {
+    for (name, cut_scope, reused, ran, allowed) in cases {
         let mut case = Case::new();
-        case.disturb(9_000, 10_050, cuts);
-        case.call("a", Kind::Once, 10_000, broken(Vec::new(), reused));
+        case.disturb(9_000, 10_050, cut_scope);
+        case.call("a", RequestKind::Once, 10_000, broken(Vec::new(), reused));
         if ran {
             case.run("a", 10_000, Some(10_050));
         }
@@ -203,10 +223,10 @@
         assert_eq!(case.broken(), expected, "{name}");
     }
     let mut case = Case::new();
-    case.disturb(9_000, 10_050, Cuts::Nothing);
-    case.call("a", Kind::Once, 10_000, broken(Vec::new(), false));
+    case.disturb(9_000, 10_050, CutScope::Nothing);
+    case.call("a", RequestKind::Once, 10_000, broken(Vec::new(), false));
     let refusal = (0, case.at(10_020));
-    case.evidence.refusals.push(refusal);
+    case.evidence.refusal_times.push(refusal);
     assert_eq!(case.broken(), [], "the front refused the connection");
 }
 
@@ -217,8 +237,8 @@
         ("after it", 4_000, vec![Promise::Served]),
     ] {
         let mut case = Case::new();
-        case.disturb(0, until_ms, Cuts::Any);
-        case.call("a", Kind::Plain, 10_000, refused());
+        case.disturb(0, until_ms, CutScope::Any);
+        case.call("a", RequestKind::Plain, 10_000, refused());
         assert_eq!(case.broken(), expected, "{name}");
     }
 }
@@ -226,18 +246,20 @@
 fn job(case: &Case, id: &str, results: Vec<Value>) -> Job {
     Job {
         id: id.to_owned(),
-        count: 2,
+        item_count: 2,
         submitted_at: case.at(0),
         accepted_at: case.at(0),
         ended_at: None,
-        read_again: Some(results.clone()),
+        second_read: Some(results.clone()),
         results,
     }
 }
 
 fn result(job: &str, at: usize) -> Value {
     let id = front_client::item_id(job, at);
-    let output: Vec<String> = (1..=EVENTS).map(|event| event_data(&id, event)).collect();
+    let output: Vec<String> = (1..=EVENT_COUNT)
+        .map(|event| event_data(&id, event))
+        .collect();
     json!({"id": id, "state": "completed", "output": output.join("\n")})
 }
 
@@ -263,10 +285,10 @@
             vec![Promise::OwnAnswer],
         ),
     ];
-    for (name, results, read_again, expected) in cases {
+    for (name, results, second_read, expected) in cases {
         let mut case = Case::new();
         let mut job = job(&case, "j", results);
-        job.read_again = read_again;
+        job.second_read = second_read;
         case.evidence.jobs.push(job);
         assert_eq!(case.broken(), expected, "{name}");
     }
@@ -279,7 +301,7 @@
         ("a fault until shortly before", 3_000, vec![]),
     ] {
         let mut case = Case::new();
-        case.disturb(0, fault_until_ms, Cuts::Nothing);
+        case.disturb(0, fault_until_ms, CutScope::Nothing);
         let mut job = job(&case, "j", Vec::new());
         job.ended_at = Some(case.at(100));
         case.evidence.jobs.push(job);
@@ -330,7 +352,7 @@
     let mut case = Case::new();
     let left = CallEnd::Left { meant_to: true };
     case.run("a", 10_000, Some(10_500));
-    case.call("a", Kind::Stream, 10_000, left);
+    case.call("a", RequestKind::Stream, 10_000, left);
     assert_eq!(case.broken(), []);
     case.run("a", 10_000, None);
     assert_eq!(case.broken(), [Promise::Abandoned]);
@@ -338,17 +360,20 @@
 
 #[test]
 fn a_configuration_not_in_force_or_gone_back() {
-    let probe = |case: &Case, at_ms, routed| ConfigProbe {
+    let probe = |case: &Case, at_ms, has_route| ConfigProbe {
         front: 0,
         version: 2,
-        at: case.at(at_ms),
-        routed,
+        sent_at: case.at(at_ms),
+        has_route,
     };
     let mut case = Case::new();
-    let at = case.at(0);
-    case.evidence.configs.push(ConfigWrite { version: 2, at });
-    for (at_ms, routed) in [(100, false), (900, true), (4_000, true)] {
-        let probe = probe(&case, at_ms, routed);
+    let stored_at = case.at(0);
+    case.evidence.configs.push(ConfigWrite {
+        version: 2,
+        stored_at,
+    });
+    for (at_ms, has_route) in [(100, false), (900, true), (4_000, true)] {
+        let probe = probe(&case, at_ms, has_route);
         case.evidence.probes.push(probe);
     }
     assert_eq!(case.broken(), []);
@@ -358,7 +383,7 @@
     // Its route goes with the next version.
     let next = ConfigWrite {
         version: 3,
-        at: case.at(4_200),
+        stored_at: case.at(4_200),
     };
     case.evidence.configs.push(next);
     assert_eq!(case.broken(), []);
@@ -367,8 +392,8 @@
 #[test]
 fn a_crashing_request_that_is_run_on_and_on() {
     let mut case = Case::new();
-    case.call("c", Kind::Crashing, 0, broken(Vec::new(), false));
-    case.disturb(0, 200, Cuts::Any);
+    case.call("c", RequestKind::Crashing, 0, broken(Vec::new(), false));
+    case.disturb(0, 200, CutScope::Any);
     for at in 0..9 {
         case.run("c", at * 100, Some(at * 100 + 10));
     }
@@ -384,30 +409,33 @@
 fn processes_that_overstay_end_or_grow() {
     let host = || "host-1".to_owned();
     let mut case = Case::new();
-    let ended = Some(Ended::Exit(0));
-    let stop = Stop {
-        host: host(),
-        ended,
-    };
+    let exit = Some(ProcessExit::Exit(0));
+    let stop = ProcessStop { host: host(), exit };
     case.evidence.stops.push(stop);
     let held = Resources {
-        memory_bytes: checks::MOST_MEMORY_BYTES,
-        open_files: checks::MOST_OPEN_FILES,
+        memory_bytes: checks::MAX_MEMORY_BYTES,
+        open_files: checks::MAX_OPEN_FILES,
     };
-    case.evidence.resources.push((host(), held));
+    case.evidence.max_resources.push((host(), held));
     assert_eq!(case.broken(), []);
-    for ended in [None, Some(Ended::Exit(101)), Some(Ended::Signal(6))] {
-        case.evidence.stops[0].ended = ended;
-        assert_eq!(case.broken(), [Promise::StopsInTime], "{ended:?}");
+    for exit in [
+        None,
+        Some(ProcessExit::Exit(101)),
+        Some(ProcessExit::Signal(6)),
+    ] {
+        case.evidence.stops[0].exit = exit;
+        assert_eq!(case.broken(), [Promise::StopsInTime], "{exit:?}");
     }
     case.evidence.stops.clear();
-    case.evidence.resources[0].1.open_files += 1;
+    case.evidence.max_resources[0].1.open_files += 1;
     assert_eq!(case.broken(), [Promise::Bounded]);
-    case.evidence.resources[0].1 = held;
-    case.evidence.resources[0].1.memory_bytes += 1;
+    case.evidence.max_resources[0].1 = held;
+    case.evidence.max_resources[0].1.memory_bytes += 1;
     assert_eq!(case.broken(), [Promise::Bounded]);
-    case.evidence.resources.clear();
-    case.evidence.unasked_ends.push((host(), Ended::Exit(101)));
+    case.evidence.max_resources.clear();
+    case.evidence
+        .unexpected_exits
+        .push((host(), ProcessExit::Exit(101)));
     assert_eq!(case.broken(), [Promise::StaysUp]);
 }
 
@@ -416,11 +444,17 @@
 fn a_bound_starts_again_with_each_fault() {
     let mut case = Case::new();
     let bound = Duration::from_millis(1_000);
-    assert_eq!(case.evidence.settled_by(case.at(0), bound), case.at(1_000));
-    case.disturb(500, 900, Cuts::Nothing);
-    case.disturb(1_800, 2_000, Cuts::Nothing);
-    case.disturb(3_100, 3_200, Cuts::Nothing);
-    assert_eq!(case.evidence.settled_by(case.at(0), bound), case.at(3_000));
+    assert_eq!(
+        case.evidence.deadline_after_faults(case.at(0), bound),
+        case.at(1_000)
+    );
+    case.disturb(500, 900, CutScope::Nothing);
+    case.disturb(1_800, 2_000, CutScope::Nothing);
+    case.disturb(3_100, 3_200, CutScope::Nothing);
+    assert_eq!(
+        case.evidence.deadline_after_faults(case.at(0), bound),
+        case.at(3_000)
+    );
 }
 
 #[test]
@@ -428,15 +462,15 @@
     let left = || CallEnd::Left { meant_to: true };
     let mut case = Case::new();
     // It ends at 10.1 s.
-    case.call("a", Kind::Plain, 10_000, left());
+    case.call("a", RequestKind::Plain, 10_000, left());
     case.arrive("a", 10_050);
     case.arrive("a", 11_000);
     assert_eq!(case.broken(), []);
     case.arrive("a", 11_200);
     assert_eq!(case.broken(), [Promise::TakenBack]);
     // A fault of the server's path is no excuse, a front that stood still is one.
-    case.disturb(10_000, 11_000, Cuts::Any);
+    case.disturb(10_000, 11_000, CutScope::Any);
     assert_eq!(case.broken(), [Promise::TakenBack]);
-    case.disturb(10_000, 11_000, Cuts::Front(0));
+    case.disturb(10_000, 11_000, CutScope::Front(0));
     assert_eq!(case.broken(), []);
 }
--- a/crates/foxwheel-soak/tests/plan.rs
+++ b/crates/foxwheel-soak/tests/plan.rs
@@ -16,9 +16,9 @@
         assert_eq!(plan, Plan::draw(seed, args::default_size()));
         let mut last = Duration::ZERO;
         for step in &plan.steps {
-            assert!(step.at >= last, "by time");
-            assert!(step.at + step.lasts <= plan.size.injection_duration);
-            last = step.at;
+            assert!(step.start_after >= last, "by time");
+            assert!(step.start_after + step.duration <= plan.size.injection_duration);
+            last = step.start_after;
         }
         let text = serde_json::to_string(&plan).expect("it encodes");
         let read: Plan = serde_json::from_str(&text).expect("it decodes");
--- a/crates/foxwheel-soak/tests/process.rs
+++ b/crates/foxwheel-soak/tests/process.rs
@@ -1,11 +1,11 @@
-//! What is read of a process of its own.
+//! What is read of a process of its open_sockets.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
 use std::time::Duration;
 
-use foxwheel_soak::process::{Process, Role, Spec};
+use foxwheel_soak::process::{Process, ProcessSpec, Role};
 use serde_json::json;
 
 /// A front seemed to hold 986 open files, with less memory than any other process. Right after
@@ -13,7 +13,7 @@
 /// of a process with 900 sockets 2,675 were seen with them.
 #[test]
 fn a_process_that_is_just_started_is_not_taken_for_its_starter() {
-    let own: Vec<TcpListener> = (0..300)
+    let open_sockets: Vec<TcpListener> = (0..300)
         .map(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port"))
         .collect();
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("process");
@@ -22,25 +22,25 @@
     std::fs::write(&program, "#!/bin/sh\nexec sleep 20\n").expect("a program");
     let executable = std::fs::Permissions::from_mode(0o755);
     std::fs::set_permissions(&program, executable).expect("a program");
-    for life in 0..50 {
-        let mut process = Process::start(Spec {
+    for start in 0..50 {
+        let mut process = Process::start(ProcessSpec {
             host: "host-0".to_owned(),
             role: Role::Front,
             settings: json!({}),
-            metrics: SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1),
+            metrics_addr: SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1),
             programs: &folder,
             folder: &folder,
         })
         .expect("it starts");
-        let held = process.resources();
-        assert!(held.is_none(), "life {life}: {held:?}");
-        if life == 0 {
+        let resources = process.resources();
+        assert!(resources.is_none(), "start {start}: {resources:?}");
+        if start == 0 {
             std::thread::sleep(Duration::from_millis(500));
-            process.note_listening();
-            let held = process.resources().expect("it lives");
+            process.mark_listening();
+            let resources = process.resources().expect("it lives");
             assert!(
-                held.open_files < own.len() && held.memory_bytes > 0,
-                "{held:?}"
+                resources.open_files < open_sockets.len() && resources.memory_bytes > 0,
+                "{resources:?}"
             );
         }
     }
--- a/crates/foxwheel-soak/tests/proxy.rs
+++ b/crates/foxwheel-soak/tests/proxy.rs
@@ -113,7 +113,7 @@
     let path = path.expect("a path");
     let mut stream = TcpStream::connect(path.addr).await.expect("connected");
     let came = tokio::time::timeout(PATIENCE, echoed(&mut stream, &[7; 300])).await;
-    assert_eq!((came.expect("it ends"), path.refusals().len()), (0, 1));
+    assert_eq!((came.expect("it ends"), path.refusal_times().len()), (0, 1));
 }
 
 #[actix_web::test]
