--- a/crates/foxwheel-core/src/declarations.rs
+++ b/crates/foxwheel-core/src/declarations.rs
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Signal {
-    /// Number of sequences that wait in the engine, as of its last report. Reports lag behind.
+    /// Number of sequences that wait in the engine, as of its last report, which lags behind.
     EngineWaiting,
     /// Percentage of the engine's prefix cache in use, as of its last report.
     CacheUsedPercent,
--- a/crates/foxwheel-core/src/http.rs
+++ b/crates/foxwheel-core/src/http.rs
@@ -92,7 +92,7 @@
 
 /// How long a server keeps an idle connection open. This is longer than in awc's pool (15 s), so
 /// that the client closes it first. If the server closed it first, it could do so while the client
-/// sends its next request, which would then fail without a fault.
+/// sends its next request, which would then fail although neither side has a fault.
 pub const SERVER_KEEP_ALIVE: Duration = Duration::from_secs(75);
 
 /// Options of [`serve`].
--- a/crates/foxwheel-policy/src/batch/schedule.rs
+++ b/crates/foxwheel-policy/src/batch/schedule.rs
@@ -39,7 +39,7 @@
     }
 
     /// Returns the estimated remaining run time of an item of whose output `events` events have
-    /// been received. Returns zero as long as no run has been recorded.
+    /// been received. Returns zero until a run and a complete output have been recorded.
     pub fn remaining_run_time(&self, events: u64) -> Duration {
         let full_output_events = self.full_output_events.get().unwrap_or_default();
         let remaining_events = (full_output_events - events as f64).max(0.0);
