--- a/crates/foxwheel-ctl/src/losses/summary.rs
+++ b/crates/foxwheel-ctl/src/losses/summary.rs
@@ -48,7 +48,7 @@
             points,
         })
     });
-    foxwheel_plot::draw(
+    foxwheel_plot::draw_line_plot(
         path,
         "late, refused, failed and run again, per second",
         "seconds from the first line",
--- a/crates/foxwheel-load/src/model_report.rs
+++ b/crates/foxwheel-load/src/model_report.rs
@@ -61,7 +61,7 @@
             })
             .collect(),
     });
-    foxwheel_plot::draw(
+    foxwheel_plot::draw_line_plot(
         &folder.join("first-token.svg"),
         "time to first token (ms)",
         "percent of requests served",
--- a/crates/foxwheel-load/src/plot.rs
+++ b/crates/foxwheel-load/src/plot.rs
@@ -18,7 +18,7 @@
             .map(|s| (s.second as f64, s.ttft_p95_ms))
             .collect(),
     });
-    foxwheel_plot::draw(
+    foxwheel_plot::draw_line_plot(
         &folder.join("timeline.svg"),
         "p95 time to first token, per second (ms)",
         LOAD_SECONDS,
@@ -32,7 +32,7 @@
             .map(|p| (p.at_s, p.finished as f64))
             .collect(),
     };
-    foxwheel_plot::draw(
+    foxwheel_plot::draw_line_plot(
         &folder.join("batch.svg"),
         "batch items finished",
         LOAD_SECONDS,
@@ -46,7 +46,7 @@
             .map(|w| (w.start_s as f64, w.burn_rate))
             .collect(),
     });
-    foxwheel_plot::draw(
+    foxwheel_plot::draw_line_plot(
         &folder.join("burn.svg"),
         "error budget burn rate, per window",
         LOAD_SECONDS,
