--- a/crates/foxwheel-ctl/src/apply.rs
+++ b/crates/foxwheel-ctl/src/apply.rs
@@ -1,7 +1,10 @@
-//! Applying declarations: each object is written only if it is still at the version this
-//! command read, so two operators racing cannot silently overwrite each other.
+//! Applies declarations to the platform store.
 //!
-//! Deployments not named in the file are left as they are; the rules are replaced whole.
+//! Each object is written only if it is still at the version that this command read, so two
+//! operators who apply at the same time cannot silently overwrite each other's changes.
+//!
+//! Deployments that the file does not name stay unchanged. The list of rules is replaced as a
+//! whole.
 
 use std::path::Path;
 
@@ -12,25 +15,26 @@
 
 use crate::CtlError;
 
-/// One object that apply would write.
+/// A write of one object that differs from its declaration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Change {
-    /// The store key.
+    /// Store key of the object.
     pub key: String,
-    /// The version read; 0 when absent.
+    /// Version of the stored object when it was compared; 0 if it does not exist.
     pub from_version: Version,
     /// The value to write.
     pub value: serde_json::Value,
 }
 
-/// Reads and checks a declarations file.
+/// Reads and validates a declarations file. Returns an error if it cannot be read, is not valid
+/// JSON, or a declaration is invalid.
 pub fn read_manifest(path: &Path) -> Result<Manifest, CtlError> {
     let mut manifest: Manifest = settings::load(path)?;
     manifest.normalize();
     Ok(manifest)
 }
 
-fn desired(manifest: &Manifest) -> Vec<(String, serde_json::Value)> {
+fn declared_objects(manifest: &Manifest) -> Vec<(String, serde_json::Value)> {
     let mut objects: Vec<(String, serde_json::Value)> = manifest
         .deployments
         .iter()
@@ -51,10 +55,11 @@
     objects
 }
 
-/// What apply would change: every object whose stored value differs.
+/// Returns a change for every declared object whose stored value is missing or differs, without
+/// writing anything. Fails if the store cannot be read.
 pub async fn diff(store: &StoreClient, manifest: &Manifest) -> Result<Vec<Change>, CtlError> {
     let mut changes = Vec::new();
-    for (key, value) in desired(manifest) {
+    for (key, value) in declared_objects(manifest) {
         let (current, version) = match store.get(&key).await {
             Ok(object) => (Some(object.value), object.version),
             Err(StoreError::NotFound) => (None, 0),
@@ -71,7 +76,11 @@
     Ok(changes)
 }
 
-/// Writes `changes`, each conditional on the version it was read at.
+/// Writes `changes` in order, each on the condition that the object is still at
+/// [`Change::from_version`], and returns the keys with their new versions.
+///
+/// Stops at the first write that fails; the writes before it stay. If the store's response to a
+/// write was lost, the object is read back, and the write counts as done if the value is there.
 pub async fn apply(
     store: &StoreClient,
     changes: &[Change],
@@ -84,7 +93,7 @@
         {
             Ok(object) => written.push((change.key.clone(), object.version)),
             Err(StoreError::Conflict { current_version }) => {
-                return Err(CtlError::Raced {
+                return Err(CtlError::ConcurrentChange {
                     key: change.key.clone(),
                     current_version,
                 })
@@ -102,7 +111,7 @@
                             step: "apply",
                             peer: store.base_url().to_owned(),
                             detail: format!(
-                                "{} not written; nothing after it was tried",
+                                "{} was not written; later objects were not tried",
                                 change.key
                             ),
                         }))
--- a/crates/foxwheel-ctl/src/args.rs
+++ b/crates/foxwheel-ctl/src/args.rs
@@ -1,10 +1,10 @@
-//! The command line of `foxwheel-ctl`.
+//! Parsing of the `foxwheel-ctl` command line.
 
 use std::path::PathBuf;
 
 use crate::{burn, CtlError};
 
-/// The usage text.
+/// Text of `--help`, which also follows every error about the command line.
 pub const USAGE: &str = "usage: foxwheel-ctl [--store URL] [--gateway URL] COMMAND
 
 commands:
@@ -26,14 +26,14 @@
 
 defaults: --store http://127.0.0.1:7100 --gateway http://127.0.0.1:7000";
 
-/// What to list with `get`.
+/// Kind of stored objects that `get` prints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
-    /// Deployment declarations.
+pub enum ObjectKind {
+    /// Deployments.
     Deployments,
-    /// The ordered rules.
+    /// The ordered list of rules, which is a single object.
     Rules,
-    /// Membership leases.
+    /// Membership leases of hosts.
     Members,
     /// Batch job records.
     Jobs,
@@ -47,7 +47,7 @@
     /// `diff -f FILE`.
     Diff(PathBuf),
     /// `get KIND`.
-    Get(Kind),
+    Get(ObjectKind),
     /// `batch create -f FILE`.
     BatchCreate(PathBuf),
     /// `batch status ID`.
@@ -60,21 +60,21 @@
     Explain {
         /// Id of a request, batch item or job.
         id: String,
-        /// Log files.
+        /// Paths of the log files to search.
         logs: Vec<PathBuf>,
     },
-    /// `losses LOG...`.
+    /// `losses [--plot FILE.svg] LOG...`.
     Losses {
-        /// Where to draw the losses over time; nowhere if none.
+        /// SVG file to plot the losses over time into; `None` for no plot.
         plot: Option<PathBuf>,
-        /// Log files.
+        /// Paths of the log files to read.
         logs: Vec<PathBuf>,
     },
-    /// `burn METRICS...`.
+    /// `burn [--target SHARE] METRICS...`.
     Burn {
-        /// Share of requests that must be on time.
+        /// Share of requests that must be on time, at least 0 and below 1.
         target: f64,
-        /// Files of metrics.
+        /// Paths of files that hold the metrics of one front each.
         files: Vec<PathBuf>,
     },
     /// `--help`.
@@ -83,22 +83,23 @@
     Version,
 }
 
-/// The whole command line.
+/// The parsed command line.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Args {
-    /// The platform store's base URL.
+    /// Base URL of the platform store.
     pub store_url: String,
-    /// A gateway's base URL.
+    /// Base URL of a gateway.
     pub gateway_url: String,
-    /// What to do.
+    /// The command to run.
     pub command: Command,
 }
 
-fn usage(message: impl Into<String>) -> CtlError {
+fn usage_error(message: impl Into<String>) -> CtlError {
     CtlError::Usage(format!("{}\n\n{USAGE}", message.into()))
 }
 
-/// Parses the arguments after the program name.
+/// Parses `args`, the arguments after the program name. Returns [`CtlError::Usage`] if an
+/// argument is unknown, missing or invalid.
 pub fn parse(args: impl IntoIterator<Item = std::ffi::OsString>) -> Result<Args, CtlError> {
     use lexopt::prelude::*;
     let mut parser = lexopt::Parser::from_args(args);
@@ -106,19 +107,37 @@
     let mut gateway_url = "http://127.0.0.1:7000".to_owned();
     let mut file: Option<PathBuf> = None;
     let mut plot: Option<PathBuf> = None;
-    let mut words: Vec<String> = Vec::new();
+    let mut positional: Vec<String> = Vec::new();
     let mut target = burn::DEFAULT_TARGET;
-    let bad = |e: lexopt::Error| usage(e.to_string());
-    while let Some(arg) = parser.next().map_err(bad)? {
+    let parse_error = |e: lexopt::Error| usage_error(e.to_string());
+    while let Some(arg) = parser.next().map_err(parse_error)? {
         match arg {
-            Long("store") => store_url = parser.value().map_err(bad)?.string().map_err(bad)?,
-            Long("gateway") => gateway_url = parser.value().map_err(bad)?.string().map_err(bad)?,
-            Short('f') | Long("file") => file = Some(PathBuf::from(parser.value().map_err(bad)?)),
-            Long("plot") => plot = Some(PathBuf::from(parser.value().map_err(bad)?)),
+            Long("store") => {
+                store_url = parser
+                    .value()
+                    .map_err(parse_error)?
+                    .string()
+                    .map_err(parse_error)?
+            }
+            Long("gateway") => {
+                gateway_url = parser
+                    .value()
+                    .map_err(parse_error)?
+                    .string()
+                    .map_err(parse_error)?
+            }
+            Short('f') | Long("file") => {
+                file = Some(PathBuf::from(parser.value().map_err(parse_error)?))
+            }
+            Long("plot") => plot = Some(PathBuf::from(parser.value().map_err(parse_error)?)),
             Long("target") => {
-                target = parser.value().map_err(bad)?.parse().map_err(bad)?;
+                target = parser
+                    .value()
+                    .map_err(parse_error)?
+                    .parse()
+                    .map_err(parse_error)?;
                 if !(0.0..1.0).contains(&target) {
-                    return Err(usage("--target must be at least 0 and below 1"));
+                    return Err(usage_error("--target must be at least 0 and below 1"));
                 }
             }
             Short('h') | Long("help") => {
@@ -135,23 +154,24 @@
                     command: Command::Version,
                 })
             }
-            Value(word) => words.push(word.string().map_err(bad)?),
-            _ => return Err(bad(arg.unexpected())),
+            Value(value) => positional.push(value.string().map_err(parse_error)?),
+            _ => return Err(parse_error(arg.unexpected())),
         }
     }
-    let need_file = |file: Option<PathBuf>| file.ok_or_else(|| usage("this command needs -f FILE"));
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let command = match words.as_slice() {
-        ["apply"] => Command::Apply(need_file(file)?),
-        ["diff"] => Command::Diff(need_file(file)?),
+    let require_file =
+        |file: Option<PathBuf>| file.ok_or_else(|| usage_error("this command needs -f FILE"));
+    let positional: Vec<&str> = positional.iter().map(String::as_str).collect();
+    let command = match positional.as_slice() {
+        ["apply"] => Command::Apply(require_file(file)?),
+        ["diff"] => Command::Diff(require_file(file)?),
         ["get", kind] => Command::Get(match *kind {
-            "deployments" => Kind::Deployments,
-            "rules" => Kind::Rules,
-            "members" => Kind::Members,
-            "jobs" => Kind::Jobs,
-            other => return Err(usage(format!("unknown kind `{other}`"))),
+            "deployments" => ObjectKind::Deployments,
+            "rules" => ObjectKind::Rules,
+            "members" => ObjectKind::Members,
+            "jobs" => ObjectKind::Jobs,
+            other => return Err(usage_error(format!("unknown kind `{other}`"))),
         }),
-        ["batch", "create"] => Command::BatchCreate(need_file(file)?),
+        ["batch", "create"] => Command::BatchCreate(require_file(file)?),
         ["batch", "status", id] => Command::BatchStatus((*id).to_owned()),
         ["batch", "cancel", id] => Command::BatchCancel((*id).to_owned()),
         ["batch", "results", id] => Command::BatchResults((*id).to_owned()),
@@ -163,15 +183,22 @@
             plot,
             logs: logs.iter().map(PathBuf::from).collect(),
         },
-        ["losses"] => return Err(usage("losses needs log files")),
+        ["losses"] => return Err(usage_error("losses needs at least one log file")),
         ["burn", files @ ..] if !files.is_empty() => Command::Burn {
             target,
             files: files.iter().map(PathBuf::from).collect(),
         },
-        ["burn"] => return Err(usage("burn needs files of metrics")),
-        ["explain", ..] => return Err(usage("explain needs an id and log files")),
-        [] => return Err(usage("no command given")),
-        other => return Err(usage(format!("unknown command `{}`", other.join(" ")))),
+        ["burn"] => return Err(usage_error("burn needs at least one metrics file")),
+        ["explain", ..] => {
+            return Err(usage_error("explain needs an id and at least one log file"))
+        }
+        [] => return Err(usage_error("no command given")),
+        other => {
+            return Err(usage_error(format!(
+                "unknown command `{}`",
+                other.join(" ")
+            )))
+        }
     };
     Ok(Args {
         store_url,
--- a/crates/foxwheel-ctl/src/batch.rs
+++ b/crates/foxwheel-ctl/src/batch.rs
@@ -1,21 +1,22 @@
-//! Calls to a gateway's batch API.
+//! Client of a gateway's batch API.
 
 use std::path::Path;
 use std::time::Duration;
 
 use crate::CtlError;
 
-/// How long one call to the gateway may take.
+/// Timeout of one call to the gateway.
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A client of one gateway.
+/// A client of one gateway. Each call returns the body of the response as text, or
+/// [`CtlError::Gateway`] if the gateway cannot be reached or does not return a success status.
 pub struct GatewayClient {
     base_url: String,
     http: awc::Client,
 }
 
 impl GatewayClient {
-    /// A client of the gateway at `base_url`.
+    /// Creates a client of the gateway at `base_url`, e.g. `http://127.0.0.1:7000`.
     pub fn new(base_url: &str) -> Self {
         Self {
             base_url: base_url.trim_end_matches('/').to_owned(),
@@ -28,25 +29,29 @@
         step: &'static str,
         request: awc::SendClientRequest,
     ) -> Result<String, CtlError> {
-        let failed = |detail: String| CtlError::Gateway {
+        let gateway_error = |detail: String| CtlError::Gateway {
             step,
             peer: self.base_url.clone(),
             detail,
         };
-        let mut response = request.await.map_err(|e| failed(e.to_string()))?;
+        let mut response = request.await.map_err(|e| gateway_error(e.to_string()))?;
         let body = response
             .body()
             .limit(256 * 1024 * 1024)
             .await
-            .map_err(|e| failed(e.to_string()))?;
+            .map_err(|e| gateway_error(e.to_string()))?;
         let text = String::from_utf8_lossy(&body).into_owned();
         if !response.status().is_success() {
-            return Err(failed(format!("status {}: {text}", response.status())));
+            return Err(gateway_error(format!(
+                "status {}: {text}",
+                response.status()
+            )));
         }
         Ok(text)
     }
 
-    /// `POST /v1/batches` with the request in `file`.
+    /// Creates a batch job (`POST /v1/batches`) from the JSON request in `file`. Returns
+    /// [`CtlError::Usage`] if the file cannot be read or is not JSON.
     pub async fn create(&self, file: &Path) -> Result<String, CtlError> {
         let text = std::fs::read_to_string(file)
             .map_err(|e| CtlError::Usage(format!("cannot read {}: {e}", file.display())))?;
@@ -57,19 +62,19 @@
             .await
     }
 
-    /// `GET /v1/batches/{id}`.
+    /// Returns the state and counts of a job (`GET /v1/batches/{id}`).
     pub async fn status(&self, id: &str) -> Result<String, CtlError> {
         let url = format!("{}/v1/batches/{id}", self.base_url);
         self.call("batch status", self.http.get(url).send()).await
     }
 
-    /// `POST /v1/batches/{id}/cancel`.
+    /// Cancels a job (`POST /v1/batches/{id}/cancel`).
     pub async fn cancel(&self, id: &str) -> Result<String, CtlError> {
         let url = format!("{}/v1/batches/{id}/cancel", self.base_url);
         self.call("cancel batch", self.http.post(url).send()).await
     }
 
-    /// `GET /v1/batches/{id}/results`.
+    /// Returns the results of a job, one JSON object a line (`GET /v1/batches/{id}/results`).
     pub async fn results(&self, id: &str) -> Result<String, CtlError> {
         let url = format!("{}/v1/batches/{id}/results", self.base_url);
         self.call("batch results", self.http.get(url).send()).await
--- a/crates/foxwheel-ctl/src/explain/mod.rs
+++ b/crates/foxwheel-ctl/src/explain/mod.rs
@@ -1,20 +1,24 @@
-//! From a request's id to its cause, by the structured logs of several processes.
+//! Explains what happened to a request, batch item or job, from the structured logs of several
+//! processes.
 //!
-//! The lines that name the id, its job or its items are put in order of time, together with
-//! what the same processes learned meanwhile of the servers involved, of the store and of
-//! their configuration. Clocks of hosts may differ: pairs of lines of which one must come
-//! first (a front accepts a job before a worker takes it) shift the later host's clock.
+//! [`timeline`] lists the log lines that name the id, its job or its items in order of time.
+//! Between them it shows what the same processes logged at that time about the servers involved,
+//! the platform store and their own configuration. The last line states the cause.
+//!
+//! Clocks of hosts may differ. [`clock_alignment`] therefore uses pairs of events whose order is
+//! known (a front accepts a job before a worker takes it over) to correct the clock that lags.
 
-pub mod clocks;
-pub mod story;
+pub mod clock_alignment;
+pub mod timeline;
 
 use std::path::PathBuf;
 
 use crate::{log_lines, CtlError};
 
-/// Reads the log files and tells the story of `id`.
+/// Reads the log files and returns the timeline of `id` as text. Fails if a file cannot be read or
+/// no line names `id`.
 pub fn explain(id: &str, files: &[PathBuf]) -> Result<String, CtlError> {
     let mut lines = log_lines::read_all(files)?;
-    clocks::align(&mut lines);
-    story::tell(id, &lines).ok_or_else(|| CtlError::UnknownId(id.to_owned()))
+    clock_alignment::align_clocks(&mut lines);
+    timeline::format_timeline(id, &lines).ok_or_else(|| CtlError::UnknownId(id.to_owned()))
 }
--- a/crates/foxwheel-ctl/src/log_lines.rs
+++ b/crates/foxwheel-ctl/src/log_lines.rs
@@ -1,4 +1,4 @@
-//! Structured log lines of several processes.
+//! Reads the structured (JSON) log lines of processes. Logs of older builds must stay readable.
 
 use std::path::PathBuf;
 
@@ -7,61 +7,61 @@
 
 use crate::CtlError;
 
-/// One line of a process's log.
+/// One log line of a process.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Line {
+pub struct LogLine {
     /// `INFO` or `WARN`.
     pub level: String,
-    /// Time of its host's clock, in milliseconds since the Unix epoch.
+    /// Time by the clock of the host, in milliseconds since the Unix epoch.
     pub unix_ms: i64,
-    /// The process's host.
+    /// Host that the process runs on.
     pub node: String,
-    /// What happened.
+    /// Fixed text that names the event.
     pub message: String,
-    /// The inputs that decided it.
+    /// Details of the event, by key.
     #[serde(default)]
     pub fields: Map<String, Value>,
 }
 
-impl Line {
-    /// A field as text.
-    pub fn field(&self, name: &str) -> Option<&str> {
+impl LogLine {
+    /// Returns a field as text; `None` if it is missing or not a string.
+    pub fn text_field(&self, name: &str) -> Option<&str> {
         self.fields.get(name).and_then(Value::as_str)
     }
 
-    /// A field as a whole number.
-    pub fn number(&self, name: &str) -> Option<u64> {
+    /// Returns a field as a number; `None` if it is missing or not a non-negative integer.
+    pub fn number_field(&self, name: &str) -> Option<u64> {
         self.fields.get(name).and_then(Value::as_u64)
     }
 
-    /// A field as a truth value.
-    pub fn flag(&self, name: &str) -> Option<bool> {
+    /// Returns a field as a boolean; `None` if it is missing or of another type.
+    pub fn bool_field(&self, name: &str) -> Option<bool> {
         self.fields.get(name).and_then(Value::as_bool)
     }
 
-    /// Whether a field holds exactly this text.
-    pub fn has(&self, name: &str, text: &str) -> bool {
-        self.field(name) == Some(text)
+    /// Returns whether the field `name` is a string equal to `text`.
+    pub fn field_equals(&self, name: &str, text: &str) -> bool {
+        self.text_field(name) == Some(text)
     }
 
-    /// The fields as `name=value`, in order of their names.
-    pub fn shown_fields(&self) -> String {
-        let shown = self.fields.iter().map(|(name, value)| match value {
+    /// Formats the fields as `name=value`, separated by spaces and sorted by name.
+    pub fn format_fields(&self) -> String {
+        let pairs = self.fields.iter().map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
             other => format!("{name}={other}"),
         });
-        shown.collect::<Vec<_>>().join(" ")
+        pairs.collect::<Vec<_>>().join(" ")
     }
 }
 
-/// How a line begins.
-const START: &str = "{\"level\":";
+/// How every log line begins: `level` is its first key.
+const LINE_START: &str = "{\"level\":";
 
-/// Every whole line of a log. Text around the lines (a collector's prefix) and lines that
-/// were cut are passed over.
-pub fn parse_all(text: &str) -> Vec<Line> {
-    let starts = text.match_indices(START).map(|(at, _)| at);
-    starts
+/// Returns every complete log line in `text`. Skips text between the lines, such as the prefix of
+/// a log collector, and lines that were cut off.
+pub fn parse_all(text: &str) -> Vec<LogLine> {
+    let offsets = text.match_indices(LINE_START).map(|(at, _)| at);
+    offsets
         .filter_map(|at| {
             let mut values = serde_json::Deserializer::from_str(&text[at..]).into_iter();
             values.next()?.ok()
@@ -69,9 +69,9 @@
         .collect()
 }
 
-/// The lines of several log files, in the order of the files. Bytes that are no text are
-/// passed over with their line; fails on a file that cannot be read.
-pub fn read_all(files: &[PathBuf]) -> Result<Vec<Line>, CtlError> {
+/// Returns the log lines of several files, in the order of the files. Bytes that are not UTF-8 are
+/// replaced by U+FFFD. Fails if a file cannot be read.
+pub fn read_all(files: &[PathBuf]) -> Result<Vec<LogLine>, CtlError> {
     let mut lines = Vec::new();
     for file in files {
         let text = std::fs::read(file).map_err(|source| CtlError::File {
--- a/crates/foxwheel-ctl/src/losses/mod.rs
+++ b/crates/foxwheel-ctl/src/losses/mod.rs
@@ -1,28 +1,28 @@
-//! What callers lost: requests and results that came late, were refused, failed or ran
-//! again, summed from the logs of several processes.
+//! Counts losses in the logs of several processes: requests and results that were late, refused,
+//! failed or run again.
 //!
-//! [`account`] finds the losses and their reasons, [`summary`] sums them by reason, server,
-//! process and second, as text and as a plot. `foxwheel-ctl explain` tells a single case.
+//! [`collection`] finds the losses and the reason of each, [`summary`] counts them by reason,
+//! server, host and second, as text and as a plot. `foxwheel-ctl explain` shows a single case.
 
-pub mod account;
+pub mod collection;
 pub mod summary;
 
 use std::path::{Path, PathBuf};
 
-use crate::explain::clocks;
+use crate::explain::clock_alignment;
 use crate::{log_lines, CtlError};
 
-/// Reads the log files and sums the losses in them; draws them over time into `plot` if one
-/// is given. Fails on a file that cannot be read or written.
+/// Reads the log files and returns the summary of their losses as text. If `plot` is given, also
+/// plots the losses over time into that SVG file. Fails if a file cannot be read or written.
 pub fn report(files: &[PathBuf], plot: Option<&Path>) -> Result<String, CtlError> {
     let mut lines = log_lines::read_all(files)?;
-    clocks::align(&mut lines);
-    let account = account::Account::of(&lines);
+    clock_alignment::align_clocks(&mut lines);
+    let collected = collection::CollectedLosses::from_lines(&lines);
     if let Some(path) = plot {
-        summary::draw(&account, path).map_err(|source| CtlError::Plot {
+        summary::plot_losses(&collected, path).map_err(|source| CtlError::Plot {
             path: path.display().to_string(),
             detail: source.to_string(),
         })?;
     }
-    Ok(summary::text(&account))
+    Ok(summary::format_summary(&collected))
 }
--- a/crates/foxwheel-ctl/src/losses/summary.rs
+++ b/crates/foxwheel-ctl/src/losses/summary.rs
@@ -1,48 +1,50 @@
-//! Sums of losses as text and as a plot.
+//! Shows losses as a text summary and as a plot.
 
 use std::fmt::Write;
 use std::path::Path;
 
 use foxwheel_plot::{Line, PlotError};
 
-use crate::losses::account::{Account, Loss, LossKind};
+use crate::losses::collection::{CollectedLosses, Loss, LossKind};
 
-/// Servers, hosts and seconds shown for each kind: those with the most losses.
-const MOST_SHOWN: usize = 8;
+/// Largest number of servers, hosts and seconds listed for each kind; those with the most losses
+/// come first.
+const MAX_ROWS: usize = 8;
 
-/// Shown where no server was concerned.
+/// Listed in place of a server for losses that name none.
 const NO_SERVER: &str = "(none)";
 
-/// The account as text: for each kind of loss its sum, then its reasons, and the servers,
-/// hosts and seconds with most of it.
-pub fn text(account: &Account) -> String {
-    let lost: u64 = account.losses.iter().map(|loss| loss.count).sum();
-    let mut text = format!("on time {}, lost or run again {lost}\n", account.on_time);
+/// Returns the summary as text: for each kind of loss the total, all reasons, and the servers,
+/// hosts and seconds with the most losses.
+pub fn format_summary(collected: &CollectedLosses) -> String {
+    let lost: u64 = collected.losses.iter().map(|loss| loss.count).sum();
+    let mut text = format!("on time {}, lost or run again {lost}\n", collected.on_time);
     for kind in LossKind::ALL {
-        let losses: Vec<&Loss> = of_kind(account, kind).collect();
+        let losses: Vec<&Loss> = losses_of_kind(collected, kind).collect();
         if losses.is_empty() {
             continue;
         }
-        let sum: u64 = losses.iter().map(|loss| loss.count).sum();
+        let total: u64 = losses.iter().map(|loss| loss.count).sum();
         // Writing to a string cannot fail.
-        let _ = writeln!(text, "\n{}: {sum}", kind.name());
-        let reasons = sums(&losses, |loss| loss.reason.clone());
-        write_sums(&mut text, "by reason", &reasons, reasons.len());
+        let _ = writeln!(text, "\n{}: {total}", kind.name());
+        let reasons = count_by(&losses, |loss| loss.reason.clone());
+        write_counts(&mut text, "by reason", &reasons, reasons.len());
         let server = |loss: &Loss| loss.server.clone().unwrap_or(NO_SERVER.to_owned());
-        write_sums(&mut text, "by server", &sums(&losses, server), MOST_SHOWN);
+        write_counts(&mut text, "by server", &count_by(&losses, server), MAX_ROWS);
         let host = |loss: &Loss| loss.host.clone();
-        write_sums(&mut text, "by host", &sums(&losses, host), MOST_SHOWN);
-        let second = |loss: &Loss| second_of(account, loss);
-        let seconds = sums(&losses, |loss| format!("{} s", second(loss)));
-        write_sums(&mut text, "by second", &seconds, MOST_SHOWN);
+        write_counts(&mut text, "by host", &count_by(&losses, host), MAX_ROWS);
+        let second = |loss: &Loss| second_of_loss(collected, loss);
+        let seconds = count_by(&losses, |loss| format!("{} s", second(loss)));
+        write_counts(&mut text, "by second", &seconds, MAX_ROWS);
     }
     text
 }
 
-/// Draws losses for each second into an SVG file, a line for each kind that occurs.
-pub fn draw(account: &Account, path: &Path) -> Result<(), PlotError> {
+/// Plots the losses of each second into an SVG file, with one line for each kind that occurs.
+/// Fails if the file cannot be written.
+pub fn plot_losses(collected: &CollectedLosses, path: &Path) -> Result<(), PlotError> {
     let lines = LossKind::ALL.into_iter().filter_map(|kind| {
-        let points = per_second(account, kind);
+        let points = losses_per_second(collected, kind);
         (!points.is_empty()).then(|| Line {
             label: kind.name().to_owned(),
             points,
@@ -56,11 +58,12 @@
     )
 }
 
-/// Losses of a kind for each second up to the last one; empty if there are none.
-fn per_second(account: &Account, kind: LossKind) -> Vec<(f64, f64)> {
+/// Returns the points of the plot, (second, number of losses), for every second up to the last
+/// loss of the kind; empty if there is none.
+fn losses_per_second(collected: &CollectedLosses, kind: LossKind) -> Vec<(f64, f64)> {
     let mut counts: Vec<u64> = Vec::new();
-    for loss in of_kind(account, kind) {
-        let second = second_of(account, loss) as usize;
+    for loss in losses_of_kind(collected, kind) {
+        let second = second_of_loss(collected, loss) as usize;
         if counts.len() <= second {
             counts.resize(second + 1, 0);
         }
@@ -72,36 +75,39 @@
         .collect()
 }
 
-fn of_kind(account: &Account, kind: LossKind) -> impl Iterator<Item = &Loss> {
-    account.losses.iter().filter(move |loss| loss.kind == kind)
+fn losses_of_kind(collected: &CollectedLosses, kind: LossKind) -> impl Iterator<Item = &Loss> {
+    collected
+        .losses
+        .iter()
+        .filter(move |loss| loss.kind == kind)
 }
 
-/// The second of a loss, counted from the first line.
-fn second_of(account: &Account, loss: &Loss) -> u64 {
-    (loss.unix_ms - account.first_unix_ms).max(0) as u64 / 1_000
+/// Returns in which second after the first log line the loss was logged, counted from 0.
+fn second_of_loss(collected: &CollectedLosses, loss: &Loss) -> u64 {
+    (loss.unix_ms - collected.first_unix_ms).max(0) as u64 / 1_000
 }
 
-/// Counts by what `key` gives, the largest first.
-fn sums(losses: &[&Loss], key: impl Fn(&Loss) -> String) -> Vec<(String, u64)> {
-    let mut sums: Vec<(String, u64)> = Vec::new();
+/// Groups the losses by `key` and returns the number in each group, the largest first.
+fn count_by(losses: &[&Loss], key: impl Fn(&Loss) -> String) -> Vec<(String, u64)> {
+    let mut counts: Vec<(String, u64)> = Vec::new();
     for loss in losses {
         let key = key(loss);
-        match sums.binary_search_by(|(known, _)| known.cmp(&key)) {
-            Ok(at) => sums[at].1 += loss.count,
-            Err(at) => sums.insert(at, (key, loss.count)),
+        match counts.binary_search_by(|(known, _)| known.cmp(&key)) {
+            Ok(at) => counts[at].1 += loss.count,
+            Err(at) => counts.insert(at, (key, loss.count)),
         }
     }
-    // Stable: equal counts stay in the order of their keys.
-    sums.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
-    sums
+    // The sort is stable: groups of equal size stay sorted by key.
+    counts.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
+    counts
 }
 
-fn write_sums(text: &mut String, title: &str, sums: &[(String, u64)], most: usize) {
+fn write_counts(text: &mut String, title: &str, counts: &[(String, u64)], max_rows: usize) {
     let _ = writeln!(text, "  {title}");
-    for (key, count) in sums.iter().take(most) {
+    for (key, count) in counts.iter().take(max_rows) {
         let _ = writeln!(text, "    {count:>7}  {key}");
     }
-    let rest = sums.len().saturating_sub(most);
+    let rest = counts.len().saturating_sub(max_rows);
     if rest > 0 {
         let _ = writeln!(text, "             and {rest} more");
     }
--- a/crates/foxwheel-ctl/src/main.rs
+++ b/crates/foxwheel-ctl/src/main.rs
@@ -1,7 +1,9 @@
-//! `foxwheel-ctl`: the operators' command line.
+//! The `foxwheel-ctl` binary: runs one command and prints its result.
+//!
+//! The exit code is 2 for a wrong command line and 1 for a command that failed.
 
 use foxwheel_core::keys;
-use foxwheel_ctl::args::{self, Command, Kind};
+use foxwheel_ctl::args::{self, Command, ObjectKind};
 use foxwheel_ctl::{apply, batch::GatewayClient, burn, explain, losses, CtlError};
 use foxwheel_store::client::StoreClient;
 
@@ -35,10 +37,10 @@
         }
         Command::Get(kind) => {
             let prefix = match kind {
-                Kind::Deployments => keys::DEPLOYMENTS_PREFIX,
-                Kind::Rules => keys::RULES_KEY,
-                Kind::Members => keys::MEMBERS_PREFIX,
-                Kind::Jobs => keys::JOBS_PREFIX,
+                ObjectKind::Deployments => keys::DEPLOYMENTS_PREFIX,
+                ObjectKind::Rules => keys::RULES_KEY,
+                ObjectKind::Members => keys::MEMBERS_PREFIX,
+                ObjectKind::Jobs => keys::JOBS_PREFIX,
             };
             let listed = store.list(prefix).await?;
             for object in listed.objects {
--- a/crates/foxwheel-ctl/tests/ctl_contract.rs
+++ b/crates/foxwheel-ctl/tests/ctl_contract.rs
@@ -1,5 +1,5 @@
-//! Contract of `foxwheel-ctl`: exit codes, messages and what it leaves in the store, with
-//! its fault cases in tables.
+//! Contract of the `foxwheel-ctl` binary: its exit codes, its messages and the objects it leaves in
+//! the platform store, also when the input is invalid or the store fails.
 
 use std::path::PathBuf;
 use std::process::Output;
@@ -13,18 +13,19 @@
 use tokio::process::Command;
 use tokio_util::sync::CancellationToken;
 
-const GOOD: &str = r#"{
+const VALID_MANIFEST: &str = r#"{
   "deployments": [{"name": "draftsman", "backend": "model", "models": ["draftsman"], "zones": ["suwon-hall"], "replicas": 2}],
   "rules": [{"name": "all", "then": {"action": "route", "deployment": "draftsman", "class": "online"}}]
 }"#;
 
-struct Bench {
-    store: StoreClient,
+/// A stand-in platform store, a client of it and a folder for files.
+struct TestStore {
+    client: StoreClient,
     cancel: CancellationToken,
     folder: PathBuf,
 }
 
-impl Bench {
+impl TestStore {
     fn start(name: &str) -> Self {
         let cancel = CancellationToken::new();
         let (addr, server) =
@@ -33,21 +34,21 @@
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::create_dir_all(&folder).expect("folder");
         Self {
-            store: StoreClient::new(format!("http://{addr}")),
+            client: StoreClient::new(format!("http://{addr}")),
             cancel,
             folder,
         }
     }
 
-    fn file(&self, name: &str, text: &str) -> String {
+    fn write_file(&self, name: &str, text: &str) -> String {
         let path = self.folder.join(name);
         std::fs::write(&path, text).expect("file");
         path.display().to_string()
     }
 
-    async fn ctl(&self, args: &[&str]) -> Output {
+    async fn run_ctl(&self, args: &[&str]) -> Output {
         Command::new(env!("CARGO_BIN_EXE_foxwheel-ctl"))
-            .args(["--store", self.store.base_url()])
+            .args(["--store", self.client.base_url()])
             .args(args)
             .output()
             .await
@@ -55,62 +56,66 @@
     }
 }
 
-impl Drop for Bench {
+impl Drop for TestStore {
     fn drop(&mut self) {
         self.cancel.cancel();
     }
 }
 
-fn text(bytes: &[u8]) -> String {
+fn to_text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
 #[actix_web::test]
-async fn apply_is_idempotent_and_shows_what_changed() {
-    let bench = Bench::start("idempotent");
-    let file = bench.file("fleet.json", GOOD);
-    let diff = bench.ctl(&["diff", "-f", &file]).await;
-    assert!(text(&diff.stdout).contains("config/deployments/draftsman"));
-    let first = bench.ctl(&["apply", "-f", &file]).await;
-    assert!(first.status.success(), "{}", text(&first.stderr));
-    let again = bench.ctl(&["apply", "-f", &file]).await;
-    assert!(again.status.success());
-    assert_eq!(text(&again.stdout).trim(), "no changes");
-    let got = bench.ctl(&["get", "rules"]).await;
-    assert!(text(&got.stdout).contains("\"name\":\"all\""));
+async fn second_apply_of_the_same_file_changes_nothing() {
+    let test_store = TestStore::start("idempotent");
+    let file = test_store.write_file("fleet.json", VALID_MANIFEST);
+    let diff = test_store.run_ctl(&["diff", "-f", &file]).await;
+    assert!(to_text(&diff.stdout).contains("config/deployments/draftsman"));
+    let first_apply = test_store.run_ctl(&["apply", "-f", &file]).await;
+    assert!(
+        first_apply.status.success(),
+        "{}",
+        to_text(&first_apply.stderr)
+    );
+    let second_apply = test_store.run_ctl(&["apply", "-f", &file]).await;
+    assert!(second_apply.status.success());
+    assert_eq!(to_text(&second_apply.stdout).trim(), "no changes");
+    let rules = test_store.run_ctl(&["get", "rules"]).await;
+    assert!(to_text(&rules.stdout).contains("\"name\":\"all\""));
 }
 
 #[actix_web::test]
-async fn bad_input_gets_a_clear_error_and_changes_nothing() {
-    let bench = Bench::start("bad-input");
-    let undeclared = GOOD.replace(
+async fn invalid_input_is_named_in_the_error_and_writes_nothing() {
+    let test_store = TestStore::start("bad-input");
+    let undeclared_deployment = VALID_MANIFEST.replace(
         "\"deployment\": \"draftsman\"",
         "\"deployment\": \"nobody\"",
     );
-    let unknown_field = GOOD.replace("\"replicas\"", "\"replica_count\"");
-    let twice = GOOD.replace(
+    let unknown_field = VALID_MANIFEST.replace("\"replicas\"", "\"replica_count\"");
+    let duplicate_rule = VALID_MANIFEST.replace(
         "\"rules\": [",
         "\"rules\": [{\"name\": \"all\", \"then\": {\"action\": \"reject\", \"status\": 404, \"message\": \"no\"}}, ",
     );
-    // (case, file text, what the message names)
+    // (case, file content, text that the message must contain)
     let files = [
         ("not JSON", "{", "line 1"),
         ("unknown field", &unknown_field, "replica_count"),
         (
             "undeclared deployment",
-            &undeclared,
+            &undeclared_deployment,
             "rules[0].then.deployment",
         ),
-        ("a rule name twice", &twice, "rules[1].name"),
+        ("duplicate rule name", &duplicate_rule, "rules[1].name"),
     ];
-    for (case, content, named) in files {
-        let file = bench.file("bad.json", content);
-        let out = bench.ctl(&["apply", "-f", &file]).await;
+    for (case, content, expected) in files {
+        let file = test_store.write_file("bad.json", content);
+        let out = test_store.run_ctl(&["apply", "-f", &file]).await;
         assert_eq!(out.status.code(), Some(1), "case '{case}'");
-        let message = text(&out.stderr);
-        assert!(message.contains(named), "case '{case}': {message}");
+        let message = to_text(&out.stderr);
+        assert!(message.contains(expected), "case '{case}': {message}");
     }
-    // (case, arguments, exit code, what the message names)
+    // (case, arguments, exit code, text that the message must contain)
     let commands: [(&str, &[&str], i32, &str); 5] = [
         ("no command", &[], 2, "no command"),
         ("unknown command", &["conjure"], 2, "conjure"),
@@ -123,22 +128,22 @@
             "none.json",
         ),
     ];
-    for (case, args, code, named) in commands {
-        let out = bench.ctl(args).await;
+    for (case, args, code, expected) in commands {
+        let out = test_store.run_ctl(args).await;
         assert_eq!(out.status.code(), Some(code), "case '{case}'");
-        let message = text(&out.stderr);
-        assert!(message.contains(named), "case '{case}': {message}");
+        let message = to_text(&out.stderr);
+        assert!(message.contains(expected), "case '{case}': {message}");
     }
-    let stored = bench.store.stats().await.expect("stats").objects;
-    assert_eq!(stored, 0, "nothing was written");
+    let stored = test_store.client.stats().await.expect("stats").objects;
+    assert_eq!(stored, 0, "an object was written");
 }
 
 #[actix_web::test]
-async fn store_faults_fail_or_are_seen_through() {
-    // (case, faults, exit code, whether the declarations are in the store afterwards)
+async fn apply_fails_during_a_store_outage_and_detects_writes_whose_replies_were_lost() {
+    // (case, faults, exit code, whether the declarations are stored afterwards)
     let cases = [
         (
-            "store down: nothing applied, said so",
+            "store outage: nothing is applied",
             Faults {
                 outage: true,
                 ..Faults::default()
@@ -147,7 +152,7 @@
             false,
         ),
         (
-            "replies lost after the writes took effect: found to be applied",
+            "replies lost after the writes took effect: the writes are detected",
             Faults {
                 lose_reply_every: 1,
                 ..Faults::default()
@@ -157,23 +162,23 @@
         ),
     ];
     for (case, faults, code, applied) in cases {
-        let bench = Bench::start("store-faults");
-        let file = bench.file("fleet.json", GOOD);
-        bench.store.set_faults(&faults).await.expect("faults");
-        let out = bench.ctl(&["apply", "-f", &file]).await;
+        let test_store = TestStore::start("store-faults");
+        let file = test_store.write_file("fleet.json", VALID_MANIFEST);
+        test_store.client.set_faults(&faults).await.expect("faults");
+        let out = test_store.run_ctl(&["apply", "-f", &file]).await;
         assert_eq!(
             out.status.code(),
             Some(code),
             "case '{case}': {}",
-            text(&out.stderr)
+            to_text(&out.stderr)
         );
-        bench
-            .store
+        test_store
+            .client
             .set_faults(&Faults::default())
             .await
             .expect("faults cleared");
-        let rules = bench
-            .store
+        let rules = test_store
+            .client
             .get_value::<RuleSet>(keys::RULES_KEY)
             .await
             .expect("get");
@@ -182,23 +187,39 @@
 }
 
 #[actix_web::test]
-async fn of_two_racing_operators_the_later_is_told() {
-    let bench = Bench::start("race");
-    let slow = apply::read_manifest(bench.file("slow.json", GOOD).as_ref()).expect("manifest");
-    let fast_text = GOOD.replace("\"replicas\": 2", "\"replicas\": 5");
-    let fast =
-        apply::read_manifest(bench.file("fast.json", &fast_text).as_ref()).expect("manifest");
-    let slow_changes = apply::diff(&bench.store, &slow).await.expect("diff");
-    let fast_changes = apply::diff(&bench.store, &fast).await.expect("diff");
-    apply::apply(&bench.store, &fast_changes)
+async fn second_of_two_concurrent_applies_fails_without_overwriting_the_first() {
+    let test_store = TestStore::start("race");
+    let second_manifest = apply::read_manifest(
+        test_store
+            .write_file("second.json", VALID_MANIFEST)
+            .as_ref(),
+    )
+    .expect("manifest");
+    let first_text = VALID_MANIFEST.replace("\"replicas\": 2", "\"replicas\": 5");
+    let first_manifest =
+        apply::read_manifest(test_store.write_file("first.json", &first_text).as_ref())
+            .expect("manifest");
+    let second_changes = apply::diff(&test_store.client, &second_manifest)
+        .await
+        .expect("diff");
+    let first_changes = apply::diff(&test_store.client, &first_manifest)
+        .await
+        .expect("diff");
+    apply::apply(&test_store.client, &first_changes)
         .await
-        .expect("first to write wins");
-    let raced = apply::apply(&bench.store, &slow_changes).await;
-    assert!(matches!(raced, Err(CtlError::Raced { .. })), "{raced:?}");
-    let stored = bench
-        .store
+        .expect("first apply succeeds");
+    let second_apply = apply::apply(&test_store.client, &second_changes).await;
+    assert!(
+        matches!(second_apply, Err(CtlError::ConcurrentChange { .. })),
+        "{second_apply:?}"
+    );
+    let stored = test_store
+        .client
         .get(&keys::deployment("draftsman"))
         .await
         .expect("get");
-    assert_eq!(stored.value["replicas"], 5, "nothing was overwritten");
+    assert_eq!(
+        stored.value["replicas"], 5,
+        "the first apply was overwritten"
+    );
 }
--- a/crates/foxwheel-ctl/tests/explain_contract.rs
+++ b/crates/foxwheel-ctl/tests/explain_contract.rs
@@ -1,55 +1,55 @@
-//! From an id to its cause: lines of several hosts, with other requests and broken lines
-//! among them, and clocks that differ.
+//! The timeline and cause that `foxwheel-ctl explain` derives from the logs of several hosts. The
+//! logs contain lines of other requests and lines that were cut off, and the hosts' clocks differ.
 
 use std::path::PathBuf;
 
 use foxwheel_ctl::explain;
 use foxwheel_ctl::CtlError;
 
-fn line(unix_ms: i64, node: &str, level: &str, message: &str, fields: &str) -> String {
+fn log_line(unix_ms: i64, node: &str, level: &str, message: &str, fields: &str) -> String {
     format!(
         "{{\"level\":\"{level}\",\"unix_ms\":{unix_ms},\"node\":\"{node}\",\"message\":\"{message}\",\"fields\":{fields}}}\n"
     )
 }
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("file written");
     path
 }
 
-fn position(story: &str, text: &str) -> usize {
-    story
+fn position_of(timeline: &str, text: &str) -> usize {
+    timeline
         .find(text)
-        .unwrap_or_else(|| panic!("no '{text}' in\n{story}"))
+        .unwrap_or_else(|| panic!("no '{text}' in\n{timeline}"))
 }
 
 #[test]
-fn a_request_is_told_with_its_servers_and_without_others() {
+fn timeline_of_a_request_shows_its_servers_and_leaves_out_other_requests() {
     let front = [
-        line(900, "front-1", "INFO", "platform store lost", "{}"),
-        line(
+        log_line(900, "front-1", "INFO", "platform store lost", "{}"),
+        log_line(
             1_000,
             "front-1",
             "INFO",
             "attempt failed",
             r#"{"request_id":"r1","server":"s1","reason":"closed"}"#,
         ),
-        line(
+        log_line(
             1_010,
             "front-1",
             "INFO",
             "backend server suspected",
             r#"{"server":"s1"}"#,
         ),
-        line(
+        log_line(
             1_011,
             "front-1",
             "INFO",
             "backend server suspected",
             r#"{"server":"s9"}"#,
         ),
-        line(
+        log_line(
             1_020,
             "front-1",
             "WARN",
@@ -58,7 +58,7 @@
         ),
         "{\"level\":\"WARN\",\"unix_ms\":10".to_owned(),
         "\n  12.3 front-1 ".to_owned(),
-        line(
+        log_line(
             1_300,
             "front-1",
             "WARN",
@@ -66,22 +66,26 @@
             r#"{"request_id":"r1","reason":"time is up"}"#,
         ),
     ];
-    let path = file("front.log", &front.concat());
-    let story = explain::explain("r1", &[path]).expect("told");
-    assert!(position(&story, "attempt failed") < position(&story, "time is up"));
-    position(&story, "server=s1");
-    assert!(!story.contains("r2") && !story.contains("s9"), "{story}");
-    let cause = story.lines().last().expect("a cause");
+    let path = write_file("front.log", &front.concat());
+    let timeline = explain::explain("r1", &[path]).expect("a timeline");
+    assert!(position_of(&timeline, "attempt failed") < position_of(&timeline, "time is up"));
+    position_of(&timeline, "server=s1");
+    assert!(
+        !timeline.contains("r2") && !timeline.contains("s9"),
+        "{timeline}"
+    );
+    let cause = timeline.lines().last().expect("a cause");
     assert!(
         cause.contains("time is up") && cause.contains("store was out of reach"),
         "{cause}"
     );
 }
 
-/// The worker's clock is 5 s behind: the lines still come in the order things happened.
+/// The worker's clock is 5 s behind the front's. The events are still listed in the order in which
+/// they happened.
 #[test]
-fn an_items_story_spans_hosts_whose_clocks_differ() {
-    let front = line(
+fn timeline_of_an_item_is_in_order_although_the_clocks_of_its_hosts_differ() {
+    let front = log_line(
         10_000,
         "front-1",
         "INFO",
@@ -89,22 +93,22 @@
         r#"{"request_id":"j"}"#,
     );
     let worker = [
-        line(5_002, "worker-1", "INFO", "job taken", r#"{"job":"j"}"#),
-        line(
+        log_line(5_002, "worker-1", "INFO", "job taken", r#"{"job":"j"}"#),
+        log_line(
             5_100,
             "worker-1",
             "INFO",
             "item run ended",
             r#"{"request_id":"j-other","job":"j"}"#,
         ),
-        line(
+        log_line(
             5_200,
             "worker-1",
             "INFO",
             "item run ended",
             r#"{"request_id":"j-1","job":"j","end":"Failed"}"#,
         ),
-        line(
+        log_line(
             5_300,
             "worker-1",
             "WARN",
@@ -113,20 +117,20 @@
         ),
     ];
     let paths = [
-        file("front-2.log", &front),
-        file("worker-2.log", &worker.concat()),
+        write_file("front-2.log", &front),
+        write_file("worker-2.log", &worker.concat()),
     ];
-    let story = explain::explain("j-1", &paths).expect("told");
+    let timeline = explain::explain("j-1", &paths).expect("a timeline");
     assert!(
-        position(&story, "job accepted") < position(&story, "job taken"),
-        "{story}"
+        position_of(&timeline, "job accepted") < position_of(&timeline, "job taken"),
+        "{timeline}"
     );
     assert!(
-        position(&story, "job taken") < position(&story, "item given up"),
-        "{story}"
+        position_of(&timeline, "job taken") < position_of(&timeline, "item given up"),
+        "{timeline}"
     );
-    assert!(!story.contains("j-other"), "{story}");
-    assert!(story
+    assert!(!timeline.contains("j-other"), "{timeline}");
+    assert!(timeline
         .lines()
         .last()
         .expect("a cause")
@@ -134,8 +138,8 @@
 }
 
 #[test]
-fn an_unknown_id_and_a_missing_file_are_said_so() {
-    let path = file("empty.log", "");
+fn unknown_id_and_missing_file_are_errors() {
+    let path = write_file("empty.log", "");
     let unknown = explain::explain("nothing", &[path]);
     assert!(matches!(unknown, Err(CtlError::UnknownId(id)) if id == "nothing"));
     let missing = explain::explain("nothing", &[PathBuf::from("/nonexistent/log")]);
@@ -143,23 +147,35 @@
 }
 
 #[test]
-fn a_content_is_told_with_all_its_requests() {
-    let broke = |request: &str, server: &str| {
+fn timeline_of_a_request_content_shows_all_requests_that_have_it() {
+    let cut_off = |request: &str, server: &str| {
         format!(
             r#"{{"request_id":"{request}","content":"c0ffee","server":"{server}","fate":"Ended"}}"#
         )
     };
     let front = [
-        line(1_000, "front-1", "INFO", "answer broke", &broke("r1", "s1")),
-        line(1_100, "front-1", "INFO", "answer broke", &broke("r2", "s2")),
-        line(
+        log_line(
+            1_000,
+            "front-1",
+            "INFO",
+            "answer broke",
+            &cut_off("r1", "s1"),
+        ),
+        log_line(
+            1_100,
+            "front-1",
+            "INFO",
+            "answer broke",
+            &cut_off("r2", "s2"),
+        ),
+        log_line(
             1_150,
             "front-1",
             "INFO",
             "answer broke",
             r#"{"request_id":"r3","content":"other","server":"s2","fate":"Ended"}"#,
         ),
-        line(
+        log_line(
             1_200,
             "front-1",
             "WARN",
@@ -167,9 +183,12 @@
             r#"{"content":"c0ffee"}"#,
         ),
     ];
-    let files = [file("explain-content.log", &front.concat())];
-    let story = explain::explain("c0ffee", &files).expect("a story");
-    assert!(position(&story, "r1") < position(&story, "r2"));
-    assert!(!story.contains("r3"), "{story}");
-    assert!(story.contains("cause: request quarantined"), "{story}");
+    let files = [write_file("explain-content.log", &front.concat())];
+    let timeline = explain::explain("c0ffee", &files).expect("a timeline");
+    assert!(position_of(&timeline, "r1") < position_of(&timeline, "r2"));
+    assert!(!timeline.contains("r3"), "{timeline}");
+    assert!(
+        timeline.contains("cause: request quarantined"),
+        "{timeline}"
+    );
 }
--- a/crates/foxwheel-ctl/tests/losses_contract.rs
+++ b/crates/foxwheel-ctl/tests/losses_contract.rs
@@ -1,20 +1,20 @@
-//! Losses from the logs of several hosts: each kind with its reason, and nothing that was
-//! served in time.
+//! The losses that `foxwheel-ctl losses` finds in the logs of several hosts: each kind with its
+//! reason. What was served in time is no loss.
 
 use std::path::PathBuf;
 
 use foxwheel_ctl::args::{self, Command};
 use foxwheel_ctl::losses;
-use foxwheel_ctl::losses::account::{Account, LossKind};
+use foxwheel_ctl::losses::collection::{CollectedLosses, LossKind};
 use foxwheel_ctl::{log_lines, CtlError};
 
-fn line(unix_ms: i64, node: &str, message: &str, fields: &str) -> String {
+fn log_line(unix_ms: i64, node: &str, message: &str, fields: &str) -> String {
     format!(
         "{{\"level\":\"INFO\",\"unix_ms\":{unix_ms},\"node\":\"{node}\",\"message\":\"{message}\",\"fields\":{fields}}}\n"
     )
 }
 
-/// One line, and the loss that it is or none: kind, reason, count.
+/// Message and fields of a log line, and the loss expected for it (kind, reason, count), if any.
 type Case = (
     &'static str,
     &'static str,
@@ -99,32 +99,32 @@
 ];
 
 #[test]
-fn each_line_is_the_loss_that_it_tells_of() {
+fn each_log_line_gives_the_expected_loss() {
     for (message, fields, expected) in CASES {
-        let text = line(1_000, "front-1", message, fields);
-        let account = Account::of(&log_lines::parse_all(&text));
-        let found = account.losses.first();
+        let text = log_line(1_000, "front-1", message, fields);
+        let collected = CollectedLosses::from_lines(&log_lines::parse_all(&text));
+        let found = collected.losses.first();
         let found = found.map(|loss| (loss.kind, loss.reason.as_str(), loss.count));
         assert_eq!(found, expected, "{text}");
     }
 }
 
 #[test]
-fn a_late_answer_behind_a_failed_attempt_is_put_down_to_that() {
+fn late_response_after_a_failed_attempt_has_that_attempt_as_its_reason() {
     let text = [
-        line(
+        log_line(
             1_000,
             "front-1",
             "attempt failed",
             r#"{"request_id":"r1","server":"s1","reason":"connection refused"}"#,
         ),
-        line(
+        log_line(
             1_400,
             "front-1",
             "stream complete",
             r#"{"request_id":"r2","server":"s2","in_flight":8,"slots":8,"on_time":false}"#,
         ),
-        line(
+        log_line(
             1_500,
             "front-1",
             "stream complete",
@@ -132,8 +132,12 @@
         ),
     ]
     .concat();
-    let account = Account::of(&log_lines::parse_all(&text));
-    let reasons: Vec<&str> = account.losses.iter().map(|l| l.reason.as_str()).collect();
+    let collected = CollectedLosses::from_lines(&log_lines::parse_all(&text));
+    let reasons: Vec<&str> = collected
+        .losses
+        .iter()
+        .map(|loss| loss.reason.as_str())
+        .collect();
     let expected = [
         "the server had no free slot",
         "after an attempt that failed: connection refused",
@@ -142,16 +146,16 @@
 }
 
 #[test]
-fn the_report_sums_by_reason_server_host_and_second_and_draws() {
+fn summary_counts_by_reason_server_host_and_second_and_plots_the_kinds_that_occur() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let (log, plot) = (folder.join("losses.log"), folder.join("losses.svg"));
     let late = r#"{"request_id":"a","server":"s1","in_flight":8,"slots":8,"on_time":false}"#;
     let refused = r#"{"request_id":"b","reason":"all servers full","may_have_run":false}"#;
     let text = [
-        line(500, "front-1", "process started", "{}"),
-        line(1_700, "front-1", "stream complete", late),
-        line(2_600, "front-1", "request failed", refused),
-        line(2_700, "front-2", "request failed", refused),
+        log_line(500, "front-1", "process started", "{}"),
+        log_line(1_700, "front-1", "stream complete", late),
+        log_line(2_600, "front-1", "request failed", refused),
+        log_line(2_700, "front-2", "request failed", refused),
         "{\"level\":\"WARN\",\"unix_ms\":27".to_owned(),
     ];
     std::fs::write(&log, text.concat()).expect("file written");
@@ -180,16 +184,16 @@
           2  2 s
 ";
     assert_eq!(report, expected);
-    let drawn = std::fs::read_to_string(&plot).expect("a plot");
-    assert!(drawn.contains("refused") && drawn.contains("late"));
-    assert!(!drawn.contains("run again<"));
+    let svg = std::fs::read_to_string(&plot).expect("a plot");
+    assert!(svg.contains("refused") && svg.contains("late"));
+    assert!(!svg.contains("run again<"));
 }
 
 #[test]
-fn bad_calls_and_files_are_told_clearly() {
-    let words = |words: &[&str]| args::parse(words.iter().map(std::ffi::OsString::from));
-    assert!(matches!(words(&["losses"]), Err(CtlError::Usage(_))));
-    let parsed = words(&["losses", "--plot", "p.svg", "a.log"]).expect("a command");
+fn invalid_command_lines_and_missing_files_are_errors() {
+    let parse = |words: &[&str]| args::parse(words.iter().map(std::ffi::OsString::from));
+    assert!(matches!(parse(&["losses"]), Err(CtlError::Usage(_))));
+    let parsed = parse(&["losses", "--plot", "p.svg", "a.log"]).expect("a command");
     let expected = Command::Losses {
         plot: Some(PathBuf::from("p.svg")),
         logs: vec![PathBuf::from("a.log")],
