--- a/crates/foxwheel-soak/src/faults.rs
+++ b/crates/foxwheel-soak/src/faults.rs
@@ -439,7 +439,7 @@
     async fn wait_until_ended(&self, index: usize, timeout: Duration) -> Option<ProcessExit> {
         let started_at = Instant::now();
         loop {
-            let exit = self.fleet.borrow_mut().nodes[index].process.exit();
+            let exit = self.fleet.borrow_mut().nodes[index].process.poll_exit();
             if exit.is_some() || started_at.elapsed() > timeout {
                 return exit;
             }
--- a/crates/foxwheel-soak/src/process.rs
+++ b/crates/foxwheel-soak/src/process.rs
@@ -147,7 +147,7 @@
 
     /// Sends a signal to the process. Returns false if the process has ended.
     pub fn signal(&mut self, signal: Signal) -> Result<bool, ProcessError> {
-        if self.exit().is_some() {
+        if self.poll_exit().is_some() {
             return Ok(false);
         }
         let Some(pid) = self.pid() else {
@@ -159,7 +159,7 @@
     }
 
     /// Returns how the process ended, or `None` while it is running.
-    pub fn exit(&mut self) -> Option<ProcessExit> {
+    pub fn poll_exit(&mut self) -> Option<ProcessExit> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         Some(match status.signal() {
             Some(number) => ProcessExit::Signal(number),
--- a/crates/foxwheel-soak/src/run.rs
+++ b/crates/foxwheel-soak/src/run.rs
@@ -217,7 +217,7 @@
         }
         tokio::time::sleep(STOP_GRACE).await;
         for node in &mut self.fleet.borrow_mut().nodes {
-            let (host, exit) = (node.process.host.clone(), node.process.exit());
+            let (host, exit) = (node.process.host.clone(), node.process.poll_exit());
             self.recorder.lock().stops.push(ProcessStop { host, exit });
         }
         self.fleet.borrow().operator.cancel.cancel();
@@ -367,7 +367,7 @@
             continue;
         }
         let host = host.clone();
-        if let Some(exit) = node.process.exit() {
+        if let Some(exit) = node.process.poll_exit() {
             evidence.unexpected_exits.push((host, exit));
         }
     }
--- a/crates/foxwheel-soak/tests/checks.rs
+++ b/crates/foxwheel-soak/tests/checks.rs
@@ -1,4 +1,5 @@
-//! Each promise's check, with evidence in which it is kept and evidence in which it is broken.
+//! Tests of the checks, each with evidence in which a promise is kept and evidence in which it is
+//! broken.
 
 use std::time::{Duration, Instant};
 
@@ -13,29 +14,32 @@
 
 const EVENT_COUNT: u64 = 3;
 
-/// Evidence of a run that began at `began`.
+/// Evidence of a run that started at `started_at`.
 struct Case {
-    began: Instant,
+    started_at: Instant,
     evidence: Evidence,
 }
 
 impl Case {
     fn new() -> Self {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let evidence = Evidence {
             event_count: EVENT_COUNT,
-            started_at: Some(began),
+            started_at: Some(started_at),
             ..Evidence::default()
         };
-        Self { began, evidence }
+        Self {
+            started_at,
+            evidence,
+        }
     }
 
-    fn at(&self, ms: u64) -> Instant {
-        self.began + Duration::from_millis(ms)
+    fn time_at(&self, ms: u64) -> Instant {
+        self.started_at + Duration::from_millis(ms)
     }
 
-    fn call(&mut self, id: &str, kind: RequestKind, sent_ms: u64, end: CallEnd) {
-        let sent_at = self.at(sent_ms);
+    fn add_call(&mut self, id: &str, kind: RequestKind, sent_ms: u64, end: CallEnd) {
+        let sent_at = self.time_at(sent_ms);
         self.evidence.calls.push(Call {
             id: id.to_owned(),
             kind,
@@ -47,15 +51,15 @@
         });
     }
 
-    fn run(&mut self, request: &str, from_ms: u64, until_ms: Option<u64>) {
+    fn add_run(&mut self, request: &str, from_ms: u64, until_ms: Option<u64>) {
         let run = Run {
             request_id: request.to_owned(),
             target: String::new(),
             body: Vec::new(),
             deadline_ms: None,
             resumed_after: None,
-            started_at: self.at(from_ms),
-            ended_at: until_ms.map(|ms| self.at(ms)),
+            started_at: self.time_at(from_ms),
+            ended_at: until_ms.map(|ms| self.time_at(ms)),
             finished: until_ms.map(|_| true),
         };
         self.evidence.runs.push(ServerRun {
@@ -65,8 +69,8 @@
         });
     }
 
-    fn arrive(&mut self, request: &str, at_ms: u64) {
-        let at = self.at(at_ms);
+    fn add_arrival(&mut self, request: &str, at_ms: u64) {
+        let at = self.time_at(at_ms);
         let request_id = request.to_owned();
         self.evidence.arrivals.push(ServerArrival {
             server: "server-1".to_owned(),
@@ -74,18 +78,18 @@
         });
     }
 
-    fn disturb(&mut self, from_ms: u64, until_ms: u64, cut_scope: CutScope) {
-        let (from, until) = (self.at(from_ms), self.at(until_ms));
-        let disturbance = FaultPeriod {
+    fn add_fault_period(&mut self, from_ms: u64, until_ms: u64, cut_scope: CutScope) {
+        let (from, until) = (self.time_at(from_ms), self.time_at(until_ms));
+        let fault_period = FaultPeriod {
             from,
             until,
             cut_scope,
         };
-        self.evidence.fault_periods.push(disturbance);
+        self.evidence.fault_periods.push(fault_period);
     }
 
-    /// The promises broken, each once.
-    fn broken(&self) -> Vec<Promise> {
+    /// Returns the broken promises without consecutive duplicates.
+    fn broken_promises(&self) -> Vec<Promise> {
         let breaches = checks::find_breaches(&self.evidence).into_iter();
         let mut broken: Vec<Promise> = breaches.map(|breach| breach.promise).collect();
         broken.dedup();
@@ -93,7 +97,7 @@
     }
 }
 
-fn whole(id: &str) -> CallEnd {
+fn complete_response(id: &str) -> CallEnd {
     CallEnd::Whole {
         status: 200,
         not_run: false,
@@ -101,7 +105,7 @@
     }
 }
 
-fn refused() -> CallEnd {
+fn refused_as_not_run() -> CallEnd {
     CallEnd::Whole {
         status: 503,
         not_run: true,
@@ -109,68 +113,77 @@
     }
 }
 
-fn broken(body: Vec<u8>, reused: bool) -> CallEnd {
+fn cut_off_response(body: Vec<u8>, reused: bool) -> CallEnd {
     CallEnd::Broken { body, reused }
 }
 
 #[test]
-fn a_whole_run_breaks_nothing() {
+fn a_run_without_faults_gives_no_breach() {
     let mut case = Case::new();
-    case.run("a", 10_000, Some(10_050));
-    case.call("a", RequestKind::Once, 10_000, whole("a"));
-    assert_eq!(case.broken(), []);
+    case.add_run("a", 10_000, Some(10_050));
+    case.add_call("a", RequestKind::Once, 10_000, complete_response("a"));
+    assert_eq!(case.broken_promises(), []);
 }
 
 #[test]
-fn an_answer_of_another_request_or_out_of_order() {
+fn a_response_of_another_request_is_a_breach() {
     let part = |id: &str| checks::expected_body(id, EVENT_COUNT)[..28].to_vec();
     let cases = [
-        ("another's answer", whole("b")),
-        ("another's events before a break", broken(part("b"), false)),
+        ("response of another request", complete_response("b")),
+        (
+            "events of another request before the cut-off",
+            cut_off_response(part("b"), false),
+        ),
     ];
     for (name, end) in cases {
         let mut case = Case::new();
-        case.disturb(9_000, 10_050, CutScope::Any);
-        case.call("a", RequestKind::Plain, 10_000, end);
-        assert_eq!(case.broken(), [Promise::OwnAnswer], "{name}");
+        case.add_fault_period(9_000, 10_050, CutScope::Any);
+        case.add_call("a", RequestKind::Plain, 10_000, end);
+        assert_eq!(case.broken_promises(), [Promise::OwnAnswer], "{name}");
     }
     let mut case = Case::new();
-    case.disturb(9_000, 10_050, CutScope::Any);
-    case.call("a", RequestKind::Plain, 10_000, broken(part("a"), false));
-    assert_eq!(case.broken(), []);
+    case.add_fault_period(9_000, 10_050, CutScope::Any);
+    case.add_call(
+        "a",
+        RequestKind::Plain,
+        10_000,
+        cut_off_response(part("a"), false),
+    );
+    assert_eq!(case.broken_promises(), []);
 }
 
 #[test]
-fn a_refusal_that_is_not_true() {
+fn a_run_of_a_request_refused_as_not_run_is_a_breach() {
     let mut case = Case::new();
-    case.disturb(9_000, 10_050, CutScope::Any);
-    case.call("a", RequestKind::Once, 10_000, refused());
-    assert_eq!(case.broken(), []);
-    case.run("a", 10_000, Some(10_050));
-    assert_eq!(case.broken(), [Promise::NotRunIsTrue]);
+    case.add_fault_period(9_000, 10_050, CutScope::Any);
+    case.add_call("a", RequestKind::Once, 10_000, refused_as_not_run());
+    assert_eq!(case.broken_promises(), []);
+    case.add_run("a", 10_000, Some(10_050));
+    assert_eq!(case.broken_promises(), [Promise::NotRunIsTrue]);
 }
 
 #[test]
-fn more_runs_than_the_route_allows() {
+fn more_runs_than_the_route_allows_are_a_breach() {
     for (kind, allowed) in [
         (RequestKind::Once, 1),
         (RequestKind::StreamOnce, 1),
         (RequestKind::Plain, 2),
     ] {
         let mut case = Case::new();
-        case.call("a", kind, 10_000, whole("a"));
+        case.add_call("a", kind, 10_000, complete_response("a"));
         for _ in 0..allowed {
-            case.run("a", 10_000, Some(10_050));
+            case.add_run("a", 10_000, Some(10_050));
         }
-        assert_eq!(case.broken(), [], "{kind:?}");
-        case.run("a", 10_000, Some(10_050));
-        assert_eq!(case.broken(), [Promise::RunsAllowed], "{kind:?}");
+        assert_eq!(case.broken_promises(), [], "{kind:?}");
+        case.add_run("a", 10_000, Some(10_050));
+        assert_eq!(case.broken_promises(), [Promise::RunsAllowed], "{kind:?}");
     }
 }
 
-/// A planned stop is no fault that may cut an answer.
+/// A fault that cuts off no responses, such as asking a process to stop, does not excuse a
+/// response that was cut off.
 #[test]
-fn an_answer_cut_without_a_fault() {
+fn a_cut_off_response_without_a_fault_is_a_breach() {
     let cases = [
         (
             "a fault at its own front",
@@ -187,75 +200,93 @@
             false,
         ),
         (
-            "a stop, connection new",
+            "a stop, new connection",
             CutScope::Nothing,
             false,
             false,
             false,
         ),
         (
-            "a stop, connection kept",
+            "a stop, kept connection",
             CutScope::Nothing,
             true,
             false,
             true,
         ),
         (
-            "a stop, connection kept, run",
+            "a stop, kept connection, request was run",
             CutScope::Nothing,
             true,
             true,
             false,
         ),
     ];
-    for (name, cut_scope, reused, ran, allowed) in cases {
+    for (name, cut_scope, reused, was_run, is_allowed) in cases {
         let mut case = Case::new();
-        case.disturb(9_000, 10_050, cut_scope);
-        case.call("a", RequestKind::Once, 10_000, broken(Vec::new(), reused));
-        if ran {
-            case.run("a", 10_000, Some(10_050));
+        case.add_fault_period(9_000, 10_050, cut_scope);
+        case.add_call(
+            "a",
+            RequestKind::Once,
+            10_000,
+            cut_off_response(Vec::new(), reused),
+        );
+        if was_run {
+            case.add_run("a", 10_000, Some(10_050));
         }
-        let expected = if allowed {
+        let expected = if is_allowed {
             vec![]
         } else {
             vec![Promise::NotCut]
         };
-        assert_eq!(case.broken(), expected, "{name}");
+        assert_eq!(case.broken_promises(), expected, "{name}");
     }
     let mut case = Case::new();
-    case.disturb(9_000, 10_050, CutScope::Nothing);
-    case.call("a", RequestKind::Once, 10_000, broken(Vec::new(), false));
-    let refusal = (0, case.at(10_020));
+    case.add_fault_period(9_000, 10_050, CutScope::Nothing);
+    case.add_call(
+        "a",
+        RequestKind::Once,
+        10_000,
+        cut_off_response(Vec::new(), false),
+    );
+    let refusal = (0, case.time_at(10_020));
     case.evidence.refusal_times.push(refusal);
-    assert_eq!(case.broken(), [], "the front refused the connection");
+    assert_eq!(
+        case.broken_promises(),
+        [],
+        "the front refused the connection"
+    );
 }
 
 #[test]
-fn callers_not_served_after_the_last_fault() {
+fn an_unserved_call_after_the_recovery_time_is_a_breach() {
     for (name, until_ms, expected) in [
-        ("within the bound", 6_000, vec![]),
-        ("after it", 4_000, vec![Promise::Served]),
+        ("a fault within the recovery time", 6_000, vec![]),
+        (
+            "no fault within the recovery time",
+            4_000,
+            vec![Promise::Served],
+        ),
     ] {
         let mut case = Case::new();
-        case.disturb(0, until_ms, CutScope::Any);
-        case.call("a", RequestKind::Plain, 10_000, refused());
-        assert_eq!(case.broken(), expected, "{name}");
+        case.add_fault_period(0, until_ms, CutScope::Any);
+        case.add_call("a", RequestKind::Plain, 10_000, refused_as_not_run());
+        assert_eq!(case.broken_promises(), expected, "{name}");
     }
 }
 
-fn job(case: &Case, id: &str, results: Vec<Value>) -> Job {
+fn job_with_results(case: &Case, id: &str, results: Vec<Value>) -> Job {
     Job {
         id: id.to_owned(),
         item_count: 2,
-        submitted_at: case.at(0),
-        accepted_at: case.at(0),
+        submitted_at: case.time_at(0),
+        accepted_at: case.time_at(0),
         ended_at: None,
         second_read: Some(results.clone()),
         results,
     }
 }
 
-fn result(job: &str, at: usize) -> Value {
+fn completed_result(job: &str, at: usize) -> Value {
     let id = front_client::item_id(job, at);
     let output: Vec<String> = (1..=EVENT_COUNT)
         .map(|event| event_data(&id, event))
@@ -264,110 +295,123 @@
 }
 
 #[test]
-fn items_lost_listed_twice_or_changed() {
-    let all = || vec![result("j", 1), result("j", 0)];
-    let twice = || [all(), vec![result("j", 0)]].concat();
+fn lost_duplicate_or_changed_results_are_a_breach() {
+    let all = || vec![completed_result("j", 1), completed_result("j", 0)];
+    let duplicate = || [all(), vec![completed_result("j", 0)]].concat();
     let mut swapped = all();
     swapped.reverse();
-    let mut foreign = all();
-    foreign[0]["output"] = "another's".into();
-    let lost = || vec![result("j", 0)];
+    let mut foreign_output = all();
+    foreign_output[0]["output"] = "another's".into();
+    let lost = || vec![completed_result("j", 0)];
     let cases = [
-        ("whole", all(), Some(all()), vec![]),
+        ("complete", all(), Some(all()), vec![]),
         ("lost", lost(), Some(lost()), vec![Promise::ItemsOnce]),
-        ("twice", twice(), Some(twice()), vec![Promise::ItemsOnce]),
+        (
+            "duplicate",
+            duplicate(),
+            Some(duplicate()),
+            vec![Promise::ItemsOnce],
+        ),
         ("changed", all(), Some(swapped), vec![Promise::ItemsOnce]),
         ("not readable again", all(), None, vec![Promise::ItemsOnce]),
         (
-            "another's output",
-            foreign.clone(),
-            Some(foreign),
+            "output of another item",
+            foreign_output.clone(),
+            Some(foreign_output),
             vec![Promise::OwnAnswer],
         ),
     ];
     for (name, results, second_read, expected) in cases {
         let mut case = Case::new();
-        let mut job = job(&case, "j", results);
+        let mut job = job_with_results(&case, "j", results);
         job.second_read = second_read;
         case.evidence.jobs.push(job);
-        assert_eq!(case.broken(), expected, "{name}");
+        assert_eq!(case.broken_promises(), expected, "{name}");
     }
 }
 
 #[test]
-fn an_ended_job_that_goes_on() {
+fn an_item_started_after_its_job_ended_is_a_breach() {
     for (name, fault_until_ms, expected) in [
-        ("in quiet", 0, vec![Promise::JobEnds]),
-        ("a fault until shortly before", 3_000, vec![]),
+        ("no fault", 0, vec![Promise::JobEnds]),
+        (
+            "a fault that ended less than the bound before",
+            3_000,
+            vec![],
+        ),
     ] {
         let mut case = Case::new();
-        case.disturb(0, fault_until_ms, CutScope::Nothing);
-        let mut job = job(&case, "j", Vec::new());
-        job.ended_at = Some(case.at(100));
+        case.add_fault_period(0, fault_until_ms, CutScope::Nothing);
+        let mut job = job_with_results(&case, "j", Vec::new());
+        job.ended_at = Some(case.time_at(100));
         case.evidence.jobs.push(job);
-        case.run("j-item-0", 200, Some(300));
-        assert_eq!(case.broken(), [], "{name}");
-        case.run("j-item-1", 5_000, Some(5_100));
-        // Another job's name begins alike.
-        case.run("j1-item-1", 9_000, Some(9_100));
-        assert_eq!(case.broken(), expected, "{name}");
+        case.add_run("j-item-0", 200, Some(300));
+        assert_eq!(case.broken_promises(), [], "{name}");
+        case.add_run("j-item-1", 5_000, Some(5_100));
+        // The id of this other job starts with the same letter.
+        case.add_run("j1-item-1", 9_000, Some(9_100));
+        assert_eq!(case.broken_promises(), expected, "{name}");
     }
 }
 
-/// Two items of the first job certainly wait while the second is accepted.
+/// Two items of the first job must have been waiting when the second was accepted.
 #[test]
-fn jobs_accepted_beyond_the_quota() {
+fn a_job_accepted_beyond_the_quota_is_a_breach() {
     let mut case = Case::new();
     for (id, submitted_ms) in [("j", 0), ("k", 1_000)] {
-        let mut job = job(&case, id, vec![result(id, 0), result(id, 1)]);
-        job.submitted_at = case.at(submitted_ms);
-        job.accepted_at = case.at(submitted_ms + 50);
+        let mut job = job_with_results(
+            &case,
+            id,
+            vec![completed_result(id, 0), completed_result(id, 1)],
+        );
+        job.submitted_at = case.time_at(submitted_ms);
+        job.accepted_at = case.time_at(submitted_ms + 50);
         case.evidence.jobs.push(job);
     }
-    case.run("j-item-0", 2_000, Some(2_100));
-    case.run("j-item-1", 2_000, Some(2_100));
+    case.add_run("j-item-0", 2_000, Some(2_100));
+    case.add_run("j-item-1", 2_000, Some(2_100));
     for (quota_tokens, expected) in [(0, vec![]), (400, vec![]), (399, vec![Promise::Quota])] {
         case.evidence.quota_tokens = quota_tokens;
-        assert_eq!(case.broken(), expected, "{quota_tokens}");
+        assert_eq!(case.broken_promises(), expected, "{quota_tokens}");
     }
-    let ended_at = case.at(900);
+    let ended_at = case.time_at(900);
     case.evidence.jobs[0].ended_at = Some(ended_at);
-    assert_eq!(case.broken(), [], "its end was asked for before");
+    assert_eq!(case.broken_promises(), [], "the first job had ended before");
     case.evidence.jobs[0].ended_at = None;
-    case.run("j-item-0", 900, Some(950));
-    assert_eq!(case.broken(), [], "one of them had begun");
+    case.add_run("j-item-0", 900, Some(950));
+    assert_eq!(case.broken_promises(), [], "one item had started before");
 }
 
 #[test]
-fn work_for_a_leaving_server_or_a_caller_that_left() {
+fn runs_at_leaving_servers_and_for_disconnected_callers_are_breaches() {
     let mut case = Case::new();
-    case.run("a", 500, Some(600));
-    case.run("b", 4_000, Some(4_100));
-    let leaving = Some(case.at(100));
+    case.add_run("a", 500, Some(600));
+    case.add_run("b", 4_000, Some(4_100));
+    let leaving = Some(case.time_at(100));
     case.evidence.runs[0].leaving_since = leaving;
-    assert_eq!(case.broken(), []);
+    assert_eq!(case.broken_promises(), []);
     case.evidence.runs[1].leaving_since = leaving;
-    assert_eq!(case.broken(), [Promise::Drained]);
+    assert_eq!(case.broken_promises(), [Promise::Drained]);
 
     let mut case = Case::new();
-    let left = CallEnd::Left { meant_to: true };
-    case.run("a", 10_000, Some(10_500));
-    case.call("a", RequestKind::Stream, 10_000, left);
-    assert_eq!(case.broken(), []);
-    case.run("a", 10_000, None);
-    assert_eq!(case.broken(), [Promise::Abandoned]);
+    let disconnected = CallEnd::Left { meant_to: true };
+    case.add_run("a", 10_000, Some(10_500));
+    case.add_call("a", RequestKind::Stream, 10_000, disconnected);
+    assert_eq!(case.broken_promises(), []);
+    case.add_run("a", 10_000, None);
+    assert_eq!(case.broken_promises(), [Promise::Abandoned]);
 }
 
 #[test]
-fn a_configuration_not_in_force_or_gone_back() {
+fn a_configuration_that_goes_out_of_force_is_a_breach() {
     let probe = |case: &Case, at_ms, has_route| ConfigProbe {
         front: 0,
         version: 2,
-        sent_at: case.at(at_ms),
+        sent_at: case.time_at(at_ms),
         has_route,
     };
     let mut case = Case::new();
-    let stored_at = case.at(0);
+    let stored_at = case.time_at(0);
     case.evidence.configs.push(ConfigWrite {
         version: 2,
         stored_at,
@@ -376,101 +420,106 @@
         let probe = probe(&case, at_ms, has_route);
         case.evidence.probes.push(probe);
     }
-    assert_eq!(case.broken(), []);
-    let back = probe(&case, 4_500, false);
-    case.evidence.probes.push(back);
-    assert_eq!(case.broken(), [Promise::ConfigInForce]);
-    // Its route goes with the next version.
+    assert_eq!(case.broken_promises(), []);
+    let reverted = probe(&case, 4_500, false);
+    case.evidence.probes.push(reverted);
+    assert_eq!(case.broken_promises(), [Promise::ConfigInForce]);
+    // The next version does not have this route.
     let next = ConfigWrite {
         version: 3,
-        stored_at: case.at(4_200),
+        stored_at: case.time_at(4_200),
     };
     case.evidence.configs.push(next);
-    assert_eq!(case.broken(), []);
+    assert_eq!(case.broken_promises(), []);
 }
 
 #[test]
-fn a_crashing_request_that_is_run_on_and_on() {
+fn a_crashing_request_that_keeps_running_is_a_breach() {
     let mut case = Case::new();
-    case.call("c", RequestKind::Crashing, 0, broken(Vec::new(), false));
-    case.disturb(0, 200, CutScope::Any);
-    for at in 0..9 {
-        case.run("c", at * 100, Some(at * 100 + 10));
+    case.add_call(
+        "c",
+        RequestKind::Crashing,
+        0,
+        cut_off_response(Vec::new(), false),
+    );
+    case.add_fault_period(0, 200, CutScope::Any);
+    for index in 0..9 {
+        case.add_run("c", index * 100, Some(index * 100 + 10));
     }
-    let goes_on = |case: &Case| case.broken().contains(&Promise::CrashesEnd);
-    assert!(!goes_on(&case), "until the crashes are known everywhere");
-    for at in 0..4 {
-        case.run("c", 5_000 + at * 100, Some(5_010 + at * 100));
+    let is_breach = |case: &Case| case.broken_promises().contains(&Promise::CrashesEnd);
+    assert!(!is_breach(&case), "the crashes need not be known yet");
+    for index in 0..4 {
+        case.add_run("c", 5_000 + index * 100, Some(5_010 + index * 100));
     }
-    assert!(goes_on(&case));
+    assert!(is_breach(&case));
 }
 
 #[test]
-fn processes_that_overstay_end_or_grow() {
+fn late_stops_unexpected_exits_and_excess_resources_are_breaches() {
     let host = || "host-1".to_owned();
     let mut case = Case::new();
     let exit = Some(ProcessExit::Exit(0));
     let stop = ProcessStop { host: host(), exit };
     case.evidence.stops.push(stop);
-    let held = Resources {
+    let resources = Resources {
         memory_bytes: checks::MAX_MEMORY_BYTES,
         open_files: checks::MAX_OPEN_FILES,
     };
-    case.evidence.max_resources.push((host(), held));
-    assert_eq!(case.broken(), []);
+    case.evidence.max_resources.push((host(), resources));
+    assert_eq!(case.broken_promises(), []);
     for exit in [
         None,
         Some(ProcessExit::Exit(101)),
         Some(ProcessExit::Signal(6)),
     ] {
         case.evidence.stops[0].exit = exit;
-        assert_eq!(case.broken(), [Promise::StopsInTime], "{exit:?}");
+        assert_eq!(case.broken_promises(), [Promise::StopsInTime], "{exit:?}");
     }
     case.evidence.stops.clear();
     case.evidence.max_resources[0].1.open_files += 1;
-    assert_eq!(case.broken(), [Promise::Bounded]);
-    case.evidence.max_resources[0].1 = held;
+    assert_eq!(case.broken_promises(), [Promise::Bounded]);
+    case.evidence.max_resources[0].1 = resources;
     case.evidence.max_resources[0].1.memory_bytes += 1;
-    assert_eq!(case.broken(), [Promise::Bounded]);
+    assert_eq!(case.broken_promises(), [Promise::Bounded]);
     case.evidence.max_resources.clear();
     case.evidence
         .unexpected_exits
         .push((host(), ProcessExit::Exit(101)));
-    assert_eq!(case.broken(), [Promise::StaysUp]);
+    assert_eq!(case.broken_promises(), [Promise::StaysUp]);
 }
 
-/// A bound counts from the last fault that came before it was over.
+/// The bound counts from the end of the last fault that started before the deadline.
 #[test]
-fn a_bound_starts_again_with_each_fault() {
+fn a_fault_before_the_deadline_extends_it() {
     let mut case = Case::new();
     let bound = Duration::from_millis(1_000);
     assert_eq!(
-        case.evidence.deadline_after_faults(case.at(0), bound),
-        case.at(1_000)
+        case.evidence.deadline_after_faults(case.time_at(0), bound),
+        case.time_at(1_000)
     );
-    case.disturb(500, 900, CutScope::Nothing);
-    case.disturb(1_800, 2_000, CutScope::Nothing);
-    case.disturb(3_100, 3_200, CutScope::Nothing);
+    case.add_fault_period(500, 900, CutScope::Nothing);
+    case.add_fault_period(1_800, 2_000, CutScope::Nothing);
+    case.add_fault_period(3_100, 3_200, CutScope::Nothing);
     assert_eq!(
-        case.evidence.deadline_after_faults(case.at(0), bound),
-        case.at(3_000)
+        case.evidence.deadline_after_faults(case.time_at(0), bound),
+        case.time_at(3_000)
     );
 }
 
 #[test]
-fn a_request_that_was_given_up_may_not_arrive_later() {
-    let left = || CallEnd::Left { meant_to: true };
+fn a_request_that_arrives_after_its_call_ended_is_a_breach() {
+    let disconnected = || CallEnd::Left { meant_to: true };
     let mut case = Case::new();
-    // It ends at 10.1 s.
-    case.call("a", RequestKind::Plain, 10_000, left());
-    case.arrive("a", 10_050);
-    case.arrive("a", 11_000);
-    assert_eq!(case.broken(), []);
-    case.arrive("a", 11_200);
-    assert_eq!(case.broken(), [Promise::TakenBack]);
-    // A fault of the server's path is no excuse, a front that stood still is one.
-    case.disturb(10_000, 11_000, CutScope::Any);
-    assert_eq!(case.broken(), [Promise::TakenBack]);
-    case.disturb(10_000, 11_000, CutScope::Front(0));
-    assert_eq!(case.broken(), []);
+    // The call ends at 10.1 s.
+    case.add_call("a", RequestKind::Plain, 10_000, disconnected());
+    case.add_arrival("a", 10_050);
+    case.add_arrival("a", 11_000);
+    assert_eq!(case.broken_promises(), []);
+    case.add_arrival("a", 11_200);
+    assert_eq!(case.broken_promises(), [Promise::TakenBack]);
+    // A fault of the server's path does not excuse a late arrival. A suspended front does.
+    case.add_fault_period(10_000, 11_000, CutScope::Any);
+    assert_eq!(case.broken_promises(), [Promise::TakenBack]);
+    case.add_fault_period(10_000, 11_000, CutScope::Front(0));
+    assert_eq!(case.broken_promises(), []);
 }
--- a/crates/foxwheel-soak/tests/plan.rs
+++ b/crates/foxwheel-soak/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans, the command line, and the search for a smaller plan.
+//! Tests of drawing plans, of the command line, and of the search for a smaller plan.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -9,20 +9,20 @@
 use foxwheel_soak::shrink;
 
 #[test]
-fn a_seed_gives_one_plan_and_its_faults_end_in_time() {
+fn a_seed_always_gives_the_same_plan_whose_faults_end_in_time() {
     arbtest::arbtest(|u| {
         let seed = u.arbitrary()?;
         let plan = Plan::draw(seed, args::default_size());
         assert_eq!(plan, Plan::draw(seed, args::default_size()));
-        let mut last = Duration::ZERO;
+        let mut previous_start = Duration::ZERO;
         for step in &plan.steps {
-            assert!(step.start_after >= last, "by time");
+            assert!(step.start_after >= previous_start, "sorted by start");
             assert!(step.start_after + step.duration <= plan.size.injection_duration);
-            last = step.start_after;
+            previous_start = step.start_after;
         }
-        let text = serde_json::to_string(&plan).expect("it encodes");
-        let read: Plan = serde_json::from_str(&text).expect("it decodes");
-        assert_eq!(read, plan);
+        let text = serde_json::to_string(&plan).expect("the plan encodes");
+        let decoded: Plan = serde_json::from_str(&text).expect("the plan decodes");
+        assert_eq!(decoded, plan);
         Ok(())
     });
 }
@@ -42,40 +42,40 @@
         .collect();
     kinds.sort();
     kinds.dedup();
-    let (acts, paths, store, servers, others) = (4, 6, 9, 9, 2);
+    let (process_faults, paths, store, servers, others) = (4, 6, 9, 9, 2);
     assert_eq!(
         kinds.len(),
-        acts + paths + store + servers + others,
+        process_faults + paths + store + servers + others,
         "{kinds:?}"
     );
 }
 
 #[test]
-fn arguments_are_checked() {
+fn invalid_arguments_are_rejected_and_valid_ones_parsed() {
     let parse = |args: &[&str]| args::parse(args.iter().map(std::ffi::OsString::from));
-    let bad: [&[&str]; 4] = [
+    let invalid: [&[&str]; 4] = [
         &[],
         &["--out", "x", "--fronts", "0"],
         &["--out", "x", "--fronts", "119", "--workers", "2"],
         &["--out", "x", "--seed", "one"],
     ];
-    for args in bad {
+    for args in invalid {
         assert!(parse(args).is_err(), "{args:?}");
     }
     let Ok(Command::Run(options)) = parse(&["--out", "x", "--seeds", "50", "--shrink"]) else {
-        panic!("valid arguments");
+        panic!("valid arguments are rejected");
     };
     assert_eq!((options.seeds, options.shrink), (50, true));
 }
 
 #[actix_web::test]
-async fn a_plan_shrinks_to_the_faults_that_are_needed() {
+async fn shrinking_keeps_only_the_faults_that_break_the_promise() {
     let mut plan = Plan::draw(7, args::default_size());
     plan.steps.truncate(6);
     let needed = [plan.steps[1].clone(), plan.steps[4].clone()];
-    let runs = RefCell::new(0);
+    let run_count = RefCell::new(0);
     let smallest = shrink::shrink(plan, Promise::Served, |smaller| {
-        *runs.borrow_mut() += 1;
+        *run_count.borrow_mut() += 1;
         let breaks = needed.iter().all(|step| smaller.steps.contains(step));
         std::future::ready(Ok(if breaks {
             vec![Promise::Served]
@@ -83,6 +83,6 @@
             vec![]
         }))
     });
-    assert_eq!(smallest.await.expect("it runs").steps, needed);
-    assert!(*runs.borrow() < 40, "{runs:?}");
+    assert_eq!(smallest.await.expect("all runs complete").steps, needed);
+    assert!(*run_count.borrow() < 40, "{run_count:?}");
 }
--- a/crates/foxwheel-soak/tests/process.rs
+++ b/crates/foxwheel-soak/tests/process.rs
@@ -1,4 +1,4 @@
-//! What is read of a process of its open_sockets.
+//! Tests of reading the resource use of processes.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::os::unix::fs::PermissionsExt;
@@ -8,11 +8,12 @@
 use foxwheel_soak::process::{Process, ProcessSpec, Role};
 use serde_json::json;
 
-/// A front seemed to hold 986 open files, with less memory than any other process. Right after
-/// a start the kernel still showed the files of the soak, which had some 900: of 3,000 children
-/// of a process with 900 sockets 2,675 were seen with them.
+/// Until the kernel has loaded the program of a started process, `/proc` shows the open files of
+/// its parent. A soak with about 900 open files of its own therefore reported a front with 986,
+/// which at that moment also had less memory than any other process. Of 3,000 children of a
+/// process with 900 sockets, 2,675 were seen with its files.
 #[test]
-fn a_process_that_is_just_started_is_not_taken_for_its_starter() {
+fn open_files_of_the_parent_are_not_counted_right_after_a_start() {
     let open_sockets: Vec<TcpListener> = (0..300)
         .map(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port"))
         .collect();
@@ -31,13 +32,13 @@
             programs: &folder,
             folder: &folder,
         })
-        .expect("it starts");
+        .expect("the process starts");
         let resources = process.resources();
         assert!(resources.is_none(), "start {start}: {resources:?}");
         if start == 0 {
             std::thread::sleep(Duration::from_millis(500));
             process.mark_listening();
-            let resources = process.resources().expect("it lives");
+            let resources = process.resources().expect("the process is running");
             assert!(
                 resources.open_files < open_sockets.len() && resources.memory_bytes > 0,
                 "{resources:?}"
--- a/crates/foxwheel-soak/tests/proxy.rs
+++ b/crates/foxwheel-soak/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! Paths under each fault.
+//! Tests of the proxy under each fault.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -8,42 +8,42 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio_util::sync::CancellationToken;
 
-/// Longest wait for what takes milliseconds when all is well.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit for what takes milliseconds if nothing is wrong.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long a path that holds back is given to prove it.
-const HELD_BACK_FOR: Duration = Duration::from_millis(300);
+/// Time for which a proxy that holds bytes back is observed.
+const HELD_BACK_DURATION: Duration = Duration::from_millis(300);
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0)
 }
 
-/// A path to a server that answers what it is sent.
-async fn path_to_echo(cancel: &CancellationToken) -> FaultProxy {
-    let listener = TcpListener::bind(any()).await.expect("an address");
+/// Returns a proxy to a server that sends back what it receives.
+async fn proxy_to_echo_server(cancel: &CancellationToken) -> FaultProxy {
+    let listener = TcpListener::bind(any_port()).await.expect("an address");
     let target = listener.local_addr().expect("an address");
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(async move {
                 let (mut from, mut to) = stream.into_split();
-                // The test hangs up.
+                // An error only means that the test has closed the connection.
                 let _ = tokio::io::copy(&mut from, &mut to).await;
             });
         }
     });
-    let path = FaultProxy::open(any(), target, cancel.clone()).await;
-    path.expect("a path")
+    let proxy = FaultProxy::open(any_port(), target, cancel.clone()).await;
+    proxy.expect("a proxy")
 }
 
-/// Sends `text` and reads until all of it is back or the connection ends; answers how much
-/// came.
-async fn echoed(stream: &mut TcpStream, text: &[u8]) -> usize {
-    // A connection that broke shows when it is read.
+/// Sends `text` and reads until all of it was sent back or the connection ends. Returns the number
+/// of bytes received.
+async fn count_echoed_bytes(stream: &mut TcpStream, text: &[u8]) -> usize {
+    // An error of the connection shows when it is read.
     let _ = stream.write_all(text).await;
-    let mut got = vec![0; text.len()];
+    let mut buffer = vec![0; text.len()];
     let mut count = 0;
     while count < text.len() {
-        match stream.read(&mut got[count..]).await {
+        match stream.read(&mut buffer[count..]).await {
             Ok(0) | Err(_) => break,
             Ok(length) => count += length,
         }
@@ -52,9 +52,9 @@
 }
 
 #[actix_web::test]
-async fn a_path_passes_on_cuts_and_breaks() {
+async fn each_fault_lets_the_expected_number_of_bytes_through() {
     let cancel = CancellationToken::new();
-    let path = path_to_echo(&cancel).await;
+    let proxy = proxy_to_echo_server(&cancel).await;
     let text = [7; 300];
     let cases = [
         (PathFault::None, 300),
@@ -64,68 +64,81 @@
         (PathFault::Reset, 0),
     ];
     for (fault, expected) in cases {
-        path.set_fault(fault);
-        let mut stream = TcpStream::connect(path.addr).await.expect("connected");
-        let came = tokio::time::timeout(PATIENCE, echoed(&mut stream, &text)).await;
-        let came = came.expect("it ends");
-        // What a reset overtakes is lost with it.
+        proxy.set_fault(fault);
+        let mut stream = TcpStream::connect(proxy.addr).await.expect("connected");
+        let received =
+            tokio::time::timeout(WAIT_TIMEOUT, count_echoed_bytes(&mut stream, &text)).await;
+        let received = received.expect("the connection ends in time");
+        // A reset can discard bytes that were sent before it.
         let is_cut = matches!(fault, PathFault::CutAfter(_));
         assert!(
-            came == expected || is_cut && came < expected,
-            "{fault:?}: {came}"
+            received == expected || is_cut && received < expected,
+            "{fault:?}: {received}"
         );
     }
 }
 
 #[actix_web::test]
-async fn a_path_holds_back_until_it_is_whole_again() {
+async fn held_back_bytes_arrive_after_the_fault_ends() {
     let cancel = CancellationToken::new();
-    let path = path_to_echo(&cancel).await;
+    let proxy = proxy_to_echo_server(&cancel).await;
     let text = [7; 300];
     for fault in [PathFault::Silence, PathFault::OneWay] {
-        path.set_fault(fault);
-        let mut stream = TcpStream::connect(path.addr).await.expect("connected");
-        let echo = echoed(&mut stream, &text);
+        proxy.set_fault(fault);
+        let mut stream = TcpStream::connect(proxy.addr).await.expect("connected");
+        let echo = count_echoed_bytes(&mut stream, &text);
         tokio::pin!(echo);
-        let early = tokio::time::timeout(HELD_BACK_FOR, &mut echo).await;
-        assert!(early.is_err(), "{fault:?}: {early:?}");
-        path.set_fault(PathFault::None);
-        let came = tokio::time::timeout(PATIENCE, echo).await;
-        assert_eq!(came.expect("it comes"), text.len(), "{fault:?}");
+        let early_result = tokio::time::timeout(HELD_BACK_DURATION, &mut echo).await;
+        assert!(early_result.is_err(), "{fault:?}: {early_result:?}");
+        proxy.set_fault(PathFault::None);
+        let received = tokio::time::timeout(WAIT_TIMEOUT, echo).await;
+        assert_eq!(
+            received.expect("the bytes arrive in time"),
+            text.len(),
+            "{fault:?}"
+        );
     }
 }
 
 #[actix_web::test]
-async fn a_closed_path_breaks_and_refuses_and_a_dead_target_is_noted() {
+async fn a_closed_proxy_refuses_connections_and_a_refusing_target_is_recorded() {
     let cancel = CancellationToken::new();
-    let path = path_to_echo(&cancel).await;
-    let mut stream = TcpStream::connect(path.addr).await.expect("connected");
-    assert_eq!(echoed(&mut stream, &[7; 300]).await, 300);
+    let proxy = proxy_to_echo_server(&cancel).await;
+    let mut stream = TcpStream::connect(proxy.addr).await.expect("connected");
+    assert_eq!(count_echoed_bytes(&mut stream, &[7; 300]).await, 300);
     cancel.cancel();
-    let came = tokio::time::timeout(PATIENCE, echoed(&mut stream, &[7; 300])).await;
-    assert_eq!(came.expect("it ends"), 0);
-    assert!(TcpStream::connect(path.addr).await.is_err(), "refused");
+    let received =
+        tokio::time::timeout(WAIT_TIMEOUT, count_echoed_bytes(&mut stream, &[7; 300])).await;
+    assert_eq!(received.expect("the connection ends in time"), 0);
+    assert!(TcpStream::connect(proxy.addr).await.is_err(), "refused");
 
-    let dead = TcpListener::bind(any()).await.expect("an address");
-    let target = dead.local_addr().expect("an address");
-    drop(dead);
-    let path = FaultProxy::open(any(), target, CancellationToken::new()).await;
-    let path = path.expect("a path");
-    let mut stream = TcpStream::connect(path.addr).await.expect("connected");
-    let came = tokio::time::timeout(PATIENCE, echoed(&mut stream, &[7; 300])).await;
-    assert_eq!((came.expect("it ends"), path.refusal_times().len()), (0, 1));
+    let closed_listener = TcpListener::bind(any_port()).await.expect("an address");
+    let target = closed_listener.local_addr().expect("an address");
+    drop(closed_listener);
+    let proxy = FaultProxy::open(any_port(), target, CancellationToken::new()).await;
+    let proxy = proxy.expect("a proxy");
+    let mut stream = TcpStream::connect(proxy.addr).await.expect("connected");
+    let received =
+        tokio::time::timeout(WAIT_TIMEOUT, count_echoed_bytes(&mut stream, &[7; 300])).await;
+    assert_eq!(
+        (
+            received.expect("the connection ends in time"),
+            proxy.refusal_times().len()
+        ),
+        (0, 1)
+    );
 }
 
 #[actix_web::test]
-async fn a_path_passes_datagrams_on_unless_it_is_cut() {
+async fn datagrams_are_relayed_unless_a_fault_drops_them() {
     let cancel = CancellationToken::new();
-    let target = UdpSocket::bind(any()).await.expect("a socket");
+    let target = UdpSocket::bind(any_port()).await.expect("a socket");
     let target_addr = target.local_addr().expect("an address");
-    let path = FaultProxy::open(any(), target_addr, cancel.clone()).await;
-    let path = path.expect("a path");
-    let relayed = path.relay_datagrams(target_addr, cancel.clone()).await;
-    relayed.expect("a relay");
-    let sender = UdpSocket::bind(any()).await.expect("a socket");
+    let proxy = FaultProxy::open(any_port(), target_addr, cancel.clone()).await;
+    let proxy = proxy.expect("a proxy");
+    let relay = proxy.relay_datagrams(target_addr, cancel.clone()).await;
+    relay.expect("a relay");
+    let sender = UdpSocket::bind(any_port()).await.expect("a socket");
     let mut buffer = [0; 10];
     for (fault, arrives) in [
         (PathFault::None, true),
@@ -134,11 +147,15 @@
         (PathFault::Reset, false),
         (PathFault::None, true),
     ] {
-        path.set_fault(fault);
-        sender.send_to(b"beat", path.addr).await.expect("sent");
-        let patience = if arrives { PATIENCE } else { HELD_BACK_FOR };
-        let heard = tokio::time::timeout(patience, target.recv(&mut buffer)).await;
-        assert_eq!(heard.is_ok(), arrives, "{fault:?}");
+        proxy.set_fault(fault);
+        sender.send_to(b"beat", proxy.addr).await.expect("sent");
+        let timeout = if arrives {
+            WAIT_TIMEOUT
+        } else {
+            HELD_BACK_DURATION
+        };
+        let received = tokio::time::timeout(timeout, target.recv(&mut buffer)).await;
+        assert_eq!(received.is_ok(), arrives, "{fault:?}");
     }
     cancel.cancel();
 }
