--- a/crates/foxwheel-node/src/heartbeat.rs
+++ b/crates/foxwheel-node/src/heartbeat.rs
@@ -98,7 +98,7 @@
         }
         PeerMessage::Heartbeat(heartbeat) => apply_heartbeat(node, heartbeat, own_addr, now),
         PeerMessage::LoadChanges(changes) => node.peers.apply_load_changes(changes, now),
-        PeerMessage::GuestLoads(report) => {
+        PeerMessage::CrossZoneLoads(report) => {
             zone_representative::apply_cross_zone_loads(datagrams, node, report, now).await
         }
         PeerMessage::Summary(summary) => {
@@ -114,7 +114,7 @@
                     .apply_summary(received, SummarySource::Forwarded, now);
             }
         }
-        PeerMessage::SummaryWanted(requester) => {
+        PeerMessage::SummaryRequest(requester) => {
             return zone_representative::respond_with_summary(
                 datagrams,
                 node,
@@ -133,7 +133,7 @@
 fn apply_heartbeat(node: &Node, heartbeat: Heartbeat, own_addr: SocketAddr, now: Instant) {
     let host = heartbeat.host.clone();
     let (incarnation, leaving) = (heartbeat.incarnation, heartbeat.leaving);
-    if heartbeat.follows && heartbeat.knows.is_newer_than(node.state_version()) {
+    if heartbeat.is_watching_store && heartbeat.state_version.is_newer_than(node.state_version()) {
         node.newer_state_reported.notify_one();
     }
     request_crash_sync_if_different(node, heartbeat.quarantine);
@@ -160,7 +160,7 @@
     };
     node.peers.add_endpoint(&unknown_process, Instant::now());
     let introduction = Introduction {
-        from: node.endpoint(),
+        sender: node.endpoint(),
         others: node.peers.endpoints_to_introduce(&heartbeat.zone),
     };
     let message = PeerMessage::Introduction(introduction);
@@ -232,8 +232,8 @@
         let sequence = self.next_sequence();
         let mut heartbeat = build_heartbeat(&self.node, sequence, now);
         let with_all_addresses = self.heartbeat_count % HEARTBEATS_PER_FULL_ADDRESS_LIST == 1;
-        heartbeat.known = self.node.peers.live_addresses(!with_all_addresses, now);
-        heartbeat.known.truncate(MAX_KNOWN_ADDRESSES);
+        heartbeat.known_addresses = self.node.peers.live_addresses(!with_all_addresses, now);
+        heartbeat.known_addresses.truncate(MAX_KNOWN_ADDRESSES);
         let mut local = self
             .node
             .peers
@@ -320,11 +320,11 @@
                 zone: self.node.settings.availability_zone.clone(),
                 incarnation: self.node.incarnation,
                 sequence,
-                passed_on: false,
+                is_forwarded: false,
                 loads: loads.iter().filter(is_in_zone).cloned().collect(),
             };
             self.datagrams
-                .send(&PeerMessage::GuestLoads(report), recipients)
+                .send(&PeerMessage::CrossZoneLoads(report), recipients)
                 .await;
         }
     }
@@ -351,15 +351,15 @@
         addr: node.settings.peer_address(),
         leaving: node.is_leaving(),
         store_reached: node.store.failing_for(now).is_none(),
-        follows: node.is_watching_store(now),
+        is_watching_store: node.is_watching_store(now),
         time_since_store_response: node.store.time_since_response(now),
-        knows: node.state_version(),
+        state_version: node.state_version(),
         quarantine: node.quarantine_digest(),
-        speakers: node.representatives(),
+        representatives: node.representatives(),
         loads: node.loads.snapshot(),
-        gone: node.dead_instances(now),
+        dead_instances: node.dead_instances(now),
         claims: node.claims(),
         waiting_items: node.waiting_items(),
-        known: Vec::new(),
+        known_addresses: Vec::new(),
     }
 }
--- a/crates/foxwheel-node/src/other_zones.rs
+++ b/crates/foxwheel-node/src/other_zones.rs
@@ -111,7 +111,7 @@
     /// Returns whether another zone reports that server instance as dead.
     pub fn is_reported_dead(&self, server: &ServerInstance, now: Instant) -> bool {
         self.live_zones(now)
-            .any(|other| other.summary.gone.binary_search(server).is_ok())
+            .any(|other| other.summary.dead_instances.binary_search(server).is_ok())
     }
 
     /// Returns the number of live fronts in the other zones.
@@ -150,7 +150,7 @@
         let other = self
             .live_zones(now)
             .find(|other| other.summary.zone == *zone);
-        other.map_or(&[], |other| &other.summary.speakers)
+        other.map_or(&[], |other| &other.summary.representatives)
     }
 
     /// Returns the summaries that this process forwards to its zone.
--- a/crates/foxwheel-node/src/peer_messages.rs
+++ b/crates/foxwheel-node/src/peer_messages.rs
@@ -36,27 +36,32 @@
     /// Whether the sender's last call to the platform's store succeeded.
     pub store_reached: bool,
     /// Whether the sender watches the store itself and the store responds to it.
-    pub follows: bool,
+    #[serde(rename = "follows")]
+    pub is_watching_store: bool,
     /// How long ago the store last responded to the sender.
     #[serde(rename = "store_answered_ago_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub time_since_store_response: std::time::Duration,
     /// The version of the configuration and of the server list that the sender has.
-    pub knows: StoreStateVersion,
+    #[serde(rename = "knows")]
+    pub state_version: StoreStateVersion,
     /// Identifies the set of server crashes that the sender knows.
     pub quarantine: QuarantineDigest,
     /// The processes that the sender selected as representatives of its zone, primary first.
-    pub speakers: Vec<NodeId>,
+    #[serde(rename = "speakers")]
+    pub representatives: Vec<NodeId>,
     /// The sender's load on backend servers, sorted by server instance.
     pub loads: Vec<ServerLoad>,
     /// Server instances that the sender recently found to be dead, sorted.
-    pub gone: Vec<ServerInstance>,
+    #[serde(rename = "gone")]
+    pub dead_instances: Vec<ServerInstance>,
     /// Jobs that the sender runs or closed recently, sorted by job.
     pub claims: Vec<JobClaim>,
     /// Number of items of the sender's jobs that are ready to run but found no free slot.
     pub waiting_items: u32,
     /// Addresses of processes whose heartbeats the sender receives.
-    pub known: Vec<SocketAddr>,
+    #[serde(rename = "known")]
+    pub known_addresses: Vec<SocketAddr>,
 }
 
 /// Changes of a process's load, sent to its zone as they happen. The next heartbeat corrects
@@ -86,7 +91,8 @@
     /// Increases with each message within an incarnation.
     pub sequence: u64,
     /// Whether a representative of the servers' zone forwarded the message.
-    pub passed_on: bool,
+    #[serde(rename = "passed_on")]
+    pub is_forwarded: bool,
     /// The sender's load on the zone's servers, sorted by server instance.
     pub loads: Vec<ServerLoad>,
 }
@@ -107,13 +113,15 @@
     /// Increases with each message within an incarnation.
     pub sequence: u64,
     /// Addresses of the zone's representatives, primary first. Includes the sender.
-    pub speakers: Vec<SocketAddr>,
+    #[serde(rename = "speakers")]
+    pub representatives: Vec<SocketAddr>,
     /// Number of live fronts in the zone.
     pub fronts: u32,
     /// Load on the zone's servers from all zones except the recipient's, sorted by server.
     pub servers: Vec<(ServerFingerprint, RequestCounts)>,
     /// Server instances that the zone found to be dead, sorted.
-    pub gone: Vec<ServerInstance>,
+    #[serde(rename = "gone")]
+    pub dead_instances: Vec<ServerInstance>,
     /// The zone's workers, sorted by host.
     pub workers: Vec<WorkerSummary>,
 }
@@ -167,7 +175,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Introduction {
     /// The process that sends the introduction.
-    pub from: PeerEndpoint,
+    #[serde(rename = "from")]
+    pub sender: PeerEndpoint,
     /// Workers, and processes of the recipient's zone.
     pub others: Vec<PeerEndpoint>,
 }
@@ -180,13 +189,15 @@
     /// Changes of the sender's load since its last message, within a zone.
     LoadChanges(LoadChanges),
     /// The sender's load on the servers of the recipient's zone.
-    GuestLoads(CrossZoneLoads),
+    #[serde(rename = "GuestLoads")]
+    CrossZoneLoads(CrossZoneLoads),
     /// A summary of the sender's zone, sent by its representative to another zone.
     Summary(ZoneSummary),
     /// Summaries of other zones, forwarded by a representative within its zone.
     Summaries(Vec<AgedSummary>),
     /// A request for a summary, from a process that has no recent one of the recipient's zone.
-    SummaryWanted(PeerEndpoint),
+    #[serde(rename = "SummaryWanted")]
+    SummaryRequest(PeerEndpoint),
     /// The response to a heartbeat from another zone.
     Introduction(Introduction),
 }
--- a/crates/foxwheel-node/src/peers.rs
+++ b/crates/foxwheel-node/src/peers.rs
@@ -84,7 +84,10 @@
         now: Instant,
     ) -> bool {
         let mut state = self.lock();
-        let known = heartbeat.known.iter().filter(|addr| **addr != own_addr);
+        let known = heartbeat
+            .known_addresses
+            .iter()
+            .filter(|addr| **addr != own_addr);
         for addr in known {
             state.directory.add_address(*addr, now);
         }
@@ -115,7 +118,7 @@
                     store_answered_at: None,
                     heartbeat: Heartbeat {
                         loads: Vec::new(),
-                        gone: Vec::new(),
+                        dead_instances: Vec::new(),
                         ..heartbeat.clone()
                     },
                 };
@@ -143,7 +146,7 @@
 
     /// Records the processes that an introduction names, except this one at `own_addr`.
     pub fn apply_introduction(&self, received: &Introduction, own_addr: SocketAddr, now: Instant) {
-        let introduced = received.others.iter().chain([&received.from]);
+        let introduced = received.others.iter().chain([&received.sender]);
         for endpoint in introduced.filter(|endpoint| endpoint.addr != own_addr) {
             self.add_endpoint(endpoint, now);
         }
@@ -310,7 +313,7 @@
     let mut endpoints: Vec<PeerEndpoint> = workers
         .map(|worker| endpoint(worker.addr, Role::Worker))
         .collect();
-    for addr in &summary.speakers {
+    for addr in &summary.representatives {
         if !endpoints.iter().any(|known| known.addr == *addr) {
             endpoints.push(endpoint(*addr, Role::Front));
         }
@@ -330,10 +333,10 @@
         let peer = &mut self.peers[at];
         let loads = std::mem::take(&mut heartbeat.loads);
         peer.reported.replace_loads(loads, &mut self.sums);
-        let previously_dead = std::mem::replace(&mut peer.heartbeat, heartbeat).gone;
+        let previously_dead = std::mem::replace(&mut peer.heartbeat, heartbeat).dead_instances;
         peer.last_message_at = now;
         peer.store_answered_at = now.checked_sub(peer.heartbeat.time_since_store_response);
-        if previously_dead != self.peers[at].heartbeat.gone {
+        if previously_dead != self.peers[at].heartbeat.dead_instances {
             self.collect_dead_instances();
         }
         self.schedule_expiry(now + DEAD_TIMEOUT);
@@ -351,7 +354,9 @@
 
     fn collect_dead_instances(&mut self) {
         let live = self.peers.iter().filter(|peer| peer.reported.is_in_sums());
-        self.dead_instances = live.flat_map(|peer| peer.heartbeat.gone.clone()).collect();
+        self.dead_instances = live
+            .flat_map(|peer| peer.heartbeat.dead_instances.clone())
+            .collect();
         self.dead_instances.sort_unstable();
         self.dead_instances.dedup();
     }
@@ -391,7 +396,7 @@
         let addr = &peer.heartbeat.addr;
         let by_peers = self
             .live_heartbeats(now)
-            .any(|heartbeat| heartbeat.known.contains(addr));
+            .any(|heartbeat| heartbeat.known_addresses.contains(addr));
         let mut summarized = self.other_zones.live_workers(now);
         by_peers || summarized.any(|(_, worker)| worker.host == peer.heartbeat.host)
     }
--- a/crates/foxwheel-node/src/peers/views.rs
+++ b/crates/foxwheel-node/src/peers/views.rs
@@ -65,7 +65,7 @@
                 silent_for: now.duration_since(peer.last_message_at),
             },
             addr: peer.heartbeat.addr,
-            representatives: peer.heartbeat.speakers.clone(),
+            representatives: peer.heartbeat.representatives.clone(),
         });
         peers.collect()
     }
@@ -81,7 +81,8 @@
         let local = state
             .live_heartbeats(now)
             .filter(|heartbeat| heartbeat.zone == self.own_zone);
-        let wanted = local.filter(|heartbeat| is_wanted(&heartbeat.host, &heartbeat.speakers));
+        let wanted =
+            local.filter(|heartbeat| is_wanted(&heartbeat.host, &heartbeat.representatives));
         wanted.map(|heartbeat| heartbeat.addr).collect()
     }
 
@@ -91,7 +92,7 @@
         let mut local = state
             .live_heartbeats(now)
             .filter(|heartbeat| heartbeat.zone == self.own_zone);
-        local.any(|heartbeat| heartbeat.speakers.contains(host))
+        local.any(|heartbeat| heartbeat.representatives.contains(host))
     }
 
     /// Returns the processes of the own zone that watch the platform's store, according to their
@@ -100,12 +101,12 @@
         let state = self.lock();
         let watching = state.live_heartbeats(now).filter(|heartbeat| {
             let is_local = heartbeat.zone == self.own_zone;
-            is_local && heartbeat.follows
+            is_local && heartbeat.is_watching_store
         });
         let watchers = watching.map(|heartbeat| StoreWatcher {
             host: heartbeat.host.clone(),
             addr: heartbeat.addr,
-            version: heartbeat.knows,
+            version: heartbeat.state_version,
         });
         watchers.collect()
     }
@@ -127,7 +128,9 @@
         let state = self.lock();
         let watching = state.peers.iter().filter(|peer| {
             let is_local = peer.heartbeat.zone == self.own_zone;
-            is_local && peer.heartbeat.follows && !peer.heartbeat.knows.is_newer_than(known)
+            is_local
+                && peer.heartbeat.is_watching_store
+                && !peer.heartbeat.state_version.is_newer_than(known)
         });
         watching.filter_map(|peer| peer.store_answered_at).max()
     }
--- a/crates/foxwheel-node/src/zone_representative.rs
+++ b/crates/foxwheel-node/src/zone_representative.rs
@@ -35,7 +35,7 @@
 /// be dead. A front that knew no workers of other zones had no process to send its accepted jobs
 /// to, and the jobs began seconds late.
 pub async fn request_missing_summaries(datagrams: &DatagramSender, node: &Node, now: Instant) {
-    let message = PeerMessage::SummaryWanted(node.endpoint());
+    let message = PeerMessage::SummaryRequest(node.endpoint());
     for addresses in node.peers.silent_zone_recipients(now) {
         datagrams.send(&message, &addresses).await;
     }
@@ -80,10 +80,10 @@
     mut report: CrossZoneLoads,
     now: Instant,
 ) {
-    if node.peers.apply_cross_zone_loads(&report, now) && !report.passed_on {
-        report.passed_on = true;
+    if node.peers.apply_cross_zone_loads(&report, now) && !report.is_forwarded {
+        report.is_forwarded = true;
         let subscribers = node.subscribers(Rank::Primary, now);
-        let message = PeerMessage::GuestLoads(report);
+        let message = PeerMessage::CrossZoneLoads(report);
         datagrams.send(&message, &subscribers).await;
     }
 }
@@ -131,10 +131,10 @@
         quarantine: node.quarantine_digest(),
         incarnation: node.incarnation,
         sequence,
-        speakers: representatives,
+        representatives,
         fronts: fronts as u32,
         servers: Vec::new(),
-        gone: dead_instances,
+        dead_instances,
         workers,
     }
 }
--- a/crates/foxwheel-node/tests/peers.rs
+++ b/crates/foxwheel-node/tests/peers.rs
@@ -45,20 +45,20 @@
         addr: addr(host),
         leaving: false,
         store_reached: true,
-        follows: false,
+        is_watching_store: false,
         time_since_store_response: Duration::ZERO,
-        knows: StoreStateVersion::default(),
+        state_version: StoreStateVersion::default(),
         quarantine: 0,
-        speakers: Vec::new(),
+        representatives: Vec::new(),
         loads: vec![ServerLoad {
             server: server(1),
             online: u32::from(host),
             batch: 1,
         }],
-        gone: Vec::new(),
+        dead_instances: Vec::new(),
         claims: Vec::new(),
         waiting_items: 0,
-        known: known.iter().map(|host| addr(*host)).collect(),
+        known_addresses: known.iter().map(|host| addr(*host)).collect(),
     }
 }
 
@@ -170,7 +170,7 @@
 fn an_instance_that_a_live_peer_reports_dead_is_dead() {
     let (peers, now) = (worker_peers(), Instant::now());
     let mut reporting = heartbeat(2, 1, &[]);
-    reporting.gone = vec![server(1)];
+    reporting.dead_instances = vec![server(1)];
     peers.apply_heartbeat(reporting, addr(1), now);
     assert!(peers.is_reported_dead(&server(1), now));
     assert!(
@@ -276,10 +276,10 @@
         quarantine: 0,
         incarnation,
         sequence,
-        speakers: vec![addr(host)],
+        representatives: vec![addr(host)],
         fronts: 3,
         servers: vec![(zone_loads::fingerprint(&server(1)), load)],
-        gone: Vec::new(),
+        dead_instances: Vec::new(),
         workers: vec![WorkerSummary {
             host: format!("host-{host}"),
             addr: addr(host),
@@ -411,7 +411,7 @@
         zone: "yard".to_owned(),
         incarnation,
         sequence,
-        passed_on: false,
+        is_forwarded: false,
         loads: vec![load],
     }
 }
@@ -475,7 +475,7 @@
             "only a few fronts of another zone are kept"
         );
         let introduction = Introduction {
-            from: endpoint(9, "yard", Role::Front),
+            sender: endpoint(9, "yard", Role::Front),
             others: vec![endpoint(3, "hall", Role::Front)],
         };
         peers.apply_introduction(&introduction, addr(1), now);
@@ -622,8 +622,8 @@
 
 fn watcher_heartbeat(host: u8, sequence: u64, revision: u64, answered_ago_ms: u64) -> Heartbeat {
     Heartbeat {
-        follows: true,
-        knows: StoreStateVersion {
+        is_watching_store: true,
+        state_version: StoreStateVersion {
             servers_revision: Some(revision),
             ..StoreStateVersion::default()
         },
