--- a/crates/foxwheel-http1/src/connection.rs
+++ b/crates/foxwheel-http1/src/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection.
+//! A single client connection, the bounds on its peer's silence and its errors.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,111 +13,114 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-use crate::transport::{Transport, Unanswered};
+use crate::transport::{AwaitsResponse, Transport};
 
-/// Body of every request: small enough to be held whole.
+/// Body of a request. Bodies are small enough to be kept in memory completely.
 pub type RequestBody = Full<Bytes>;
 
-/// How a connection ends whose exchange was given up before it was answered.
+/// How a connection is closed whose exchange is dropped before the response came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AbandonAction {
-    /// It is closed in order: the kernel goes on delivering the request.
+    /// Close the connection in order. The kernel still delivers what was written of the request.
     Close,
-    /// It is reset: a request that has not arrived never will.
+    /// Reset the connection. A request that has not arrived at the peer yet never will.
     Reset,
 }
 
-/// Silence after which an open connection is probed, and the time between probes. The kernel
-/// counts whole seconds.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+/// How long a connection is idle before the kernel sends the first keepalive probe, and the time
+/// between probes. The kernel counts in whole seconds.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes that must go unanswered before the connection counts as broken.
-const PROBES: u32 = 2;
+/// Number of unanswered keepalive probes after which the kernel closes the connection.
+const KEEPALIVE_PROBES: u32 = 2;
 
-/// Late timers, here and in the kernel.
+/// Allowance for timers that fire late, in this process and in the kernel.
 const TIMER_SLACK: Duration = Duration::from_millis(300);
 
-/// Bounds on how long a peer may be silent, and what follows.
+/// Bounds on how long a peer may be silent, and what happens to a dropped exchange.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectOptions {
-    /// Longest wait for the connection to open.
+    /// Longest time that opening the connection may take.
     pub connect_timeout: Duration,
-    /// Longest time that sent bytes stay unacknowledged: the connection counts as broken then,
-    /// and what has not arrived never will.
+    /// Longest time that sent bytes may stay unacknowledged. After it the kernel closes the
+    /// connection, and bytes that have not arrived at the peer never will.
     pub unacknowledged_timeout: Duration,
-    /// What becomes of an exchange that was given up.
+    /// How the connection is closed if its exchange is dropped before the response came.
     pub on_abandon: AbandonAction,
 }
 
 impl ConnectOptions {
-    /// How long after its last exchange a connection may carry another one. A connection that
-    /// ends by unanswered probes may still deliver what was written to it since, so the bound
-    /// on unacknowledged bytes must end it first.
+    /// Returns for how long after its last exchange a connection may be used for another one.
+    ///
+    /// A connection that the kernel closes because of unanswered keepalive probes may still
+    /// deliver what was written to it since. The bound on unacknowledged bytes must therefore
+    /// always expire before the probes fail.
     pub fn max_reusable_idle(&self) -> Duration {
-        let probes_fail_after = PROBE_EVERY * (PROBES + 1);
-        probes_fail_after.saturating_sub(self.unacknowledged_timeout + TIMER_SLACK)
+        let probe_failure_delay = KEEPALIVE_INTERVAL * (KEEPALIVE_PROBES + 1);
+        probe_failure_delay.saturating_sub(self.unacknowledged_timeout + TIMER_SLACK)
     }
 }
 
-/// Why an exchange failed, and whether the request can have reached the peer.
+/// Why an exchange failed. The variants distinguish whether the request can have reached the peer.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
-    /// No connection: nothing was sent.
+    /// The connection could not be opened; nothing was sent.
     #[error("cannot connect {origin}: {source}")]
     Connect {
-        /// The step and the peer's address.
+        /// Step that failed and address of the peer.
         origin: Origin,
-        /// The socket's error.
+        /// Error of the socket or of the HTTP handshake.
         source: std::io::Error,
     },
     /// The connection closed before any byte of the request was written.
-    #[error("closed before sending {origin}: {}", WithCauses(source))]
+    #[error("connection closed before sending {origin}: {}", WithCauses(source))]
     NotSent {
-        /// The step and the peer's address.
+        /// Step that failed and address of the peer.
         origin: Origin,
-        /// hyper's error.
+        /// Error that hyper returned.
         source: hyper::Error,
     },
-    /// The request was written and no whole answer came: the peer may have acted on it.
-    #[error("no whole answer {origin}: {}", WithCauses(source))]
+    /// The request was written and no complete response came: the peer may have acted on it.
+    #[error("no complete response {origin}: {}", WithCauses(source))]
     NoCompleteResponse {
-        /// The step and the peer's address.
+        /// Step that failed and address of the peer.
         origin: Origin,
-        /// hyper's error.
+        /// Error that hyper returned.
         source: hyper::Error,
     },
 }
 
 impl ExchangeError {
-    /// Whether the peer certainly never received the request.
+    /// Returns whether it is certain that the peer never received the request.
     pub fn is_not_sent(&self) -> bool {
         !matches!(self, Self::NoCompleteResponse { .. })
     }
 }
 
-/// An open connection that serves one exchange at a time. Dropping it closes the socket at
-/// once, so that the peer of an abandoned exchange stops working on it.
+/// An open connection that carries one exchange at a time. Dropping it closes the socket at once,
+/// so that the peer of a dropped exchange can stop working on it.
 #[derive(Debug)]
 pub struct Connection {
     peer: SocketAddr,
     on_abandon: AbandonAction,
-    unanswered: Unanswered,
+    awaits_response: AwaitsResponse,
     sender: http1::SendRequest<RequestBody>,
     driver: JoinHandle<()>,
 }
 
-/// What a peer's kernel makes of a new connection.
+/// How a host reacts to a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListenerStatus {
-    /// It opens it.
+    /// The connection opened: a process listens at the address.
     Accepting,
-    /// It refuses it: nothing listens there.
+    /// The connection was refused: no process listens at the address.
     Refusing,
-    /// Neither came in time.
+    /// The connection timed out or failed for another reason.
     NoResponse,
 }
 
-/// Whether something listens at `peer`, found out by a connection that is closed at once.
+/// Finds out whether a process listens at `peer` by opening a connection, which is closed at once.
+/// Waits at most `timeout`.
 pub async fn probe_listener(peer: SocketAddr, timeout: Duration) -> ListenerStatus {
     match tokio::time::timeout(timeout, TcpStream::connect(peer)).await {
         Ok(Ok(_)) => ListenerStatus::Accepting,
@@ -127,7 +130,8 @@
 }
 
 impl Connection {
-    /// Opens a connection to `peer`. Runs its transport on the current tokio runtime.
+    /// Opens a connection to `peer` and spawns its I/O task on the current tokio runtime. Returns
+    /// [`ExchangeError::Connect`] if that fails or takes longer than the connect timeout.
     pub async fn open(peer: SocketAddr, options: ConnectOptions) -> Result<Self, ExchangeError> {
         let error = |source| ExchangeError::Connect {
             origin: Origin::new("open connection", peer.to_string()),
@@ -138,50 +142,53 @@
             .await
             .map_err(|elapsed| error(elapsed.into()))?
             .map_err(error)?;
-        bound_silence(&stream, options.unacknowledged_timeout).map_err(error)?;
-        let unanswered = Unanswered::default();
-        let transport = Transport::new(stream, unanswered.clone());
+        set_socket_options(&stream, options.unacknowledged_timeout).map_err(error)?;
+        let awaits_response = AwaitsResponse::default();
+        let transport = Transport::new(stream, awaits_response.clone());
         let (sender, connection) = http1::Builder::new()
             .handshake(TokioIo::new(transport))
             .await
             .map_err(|e| error(std::io::Error::other(e)))?;
-        // An error of the transport reaches the exchange under way, which reports it.
+        // The exchange in progress returns the transport's error, so it is ignored here.
         let driver = tokio::spawn(async move {
             let _ = connection.await;
         });
         Ok(Self {
             peer,
             on_abandon: options.on_abandon,
-            unanswered,
+            awaits_response,
             sender,
             driver,
         })
     }
 
-    /// The peer's address.
+    /// Returns the address of the peer.
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Whether the connection is open and has no exchange under way.
+    /// Returns whether the connection is open and has no exchange in progress.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Waits until the connection can take a request; false if it closed.
+    /// Waits until the connection can send a request; returns false if it closed.
     pub async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Sends `request` and waits for the head of its answer.
+    /// Sends `request` and returns the head of the response, from which the body can be read. If
+    /// the call is dropped before that, the connection closes as
+    /// [`ConnectOptions::on_abandon`] says.
     pub async fn send(
         &mut self,
         request: Request<RequestBody>,
     ) -> Result<Response<Incoming>, ExchangeError> {
         let origin = Origin::new("exchange", self.peer.to_string());
-        self.unanswered.set(self.on_abandon == AbandonAction::Reset);
-        let answer = self.sender.try_send_request(request).await;
-        let answer = answer.map_err(|mut failed| {
+        self.awaits_response
+            .set(self.on_abandon == AbandonAction::Reset);
+        let sent = self.sender.try_send_request(request).await;
+        let response = sent.map_err(|mut failed| {
             let returned = failed.take_message().is_some();
             let source = failed.into_error();
             if returned {
@@ -190,8 +197,8 @@
                 ExchangeError::NoCompleteResponse { origin, source }
             }
         })?;
-        self.unanswered.set(false);
-        Ok(answer)
+        self.awaits_response.set(false);
+        Ok(response)
     }
 }
 
@@ -201,14 +208,15 @@
     }
 }
 
-/// Lets the kernel report a peer that stopped answering, and sends small writes at once.
-fn bound_silence(stream: &TcpStream, timeout: Duration) -> std::io::Result<()> {
+/// Sets the socket options by which the kernel closes the connection of a peer that has stopped
+/// responding. Also disables Nagle's algorithm, so that small writes are sent at once.
+fn set_socket_options(stream: &TcpStream, unacknowledged_timeout: Duration) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
     let keepalive = socket2::TcpKeepalive::new()
-        .with_time(PROBE_EVERY)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(timeout))
+    socket.set_tcp_user_timeout(Some(unacknowledged_timeout))
 }
--- a/crates/foxwheel-http1/src/lib.rs
+++ b/crates/foxwheel-http1/src/lib.rs
@@ -1,10 +1,12 @@
-//! Single HTTP/1.1 client connections.
+//! HTTP/1.1 client that works with single connections.
 //!
-//! `awc` and pooled clients hide which connection a request went out on and whether its
-//! bytes were written. What may be repeated depends on exactly that, so this crate works
-//! at hyper's connection level: [`connection`] opens one, sends one request at a time, and
-//! when an unfinished exchange is dropped closes the socket, and takes back a request that
-//! was not answered.
+//! `awc` and pooled clients hide which connection a request was sent on and whether its bytes were
+//! written. Whether a request may be repeated depends on exactly that, so this crate works at
+//! hyper's connection level.
+//!
+//! [`connection`] opens a connection and sends one request at a time. If an unfinished exchange is
+//! dropped, it closes the socket, and can reset it so that a request without a response is no
+//! longer delivered. [`pool`] keeps idle connections for reuse.
 
 pub mod connection;
 pub mod pool;
--- a/crates/foxwheel-http1/src/transport.rs
+++ b/crates/foxwheel-http1/src/transport.rs
@@ -1,4 +1,4 @@
-//! The socket of a client connection, which takes back what was not delivered.
+//! Socket of a client connection that can discard a request which was not delivered yet.
 
 use std::io::{IoSlice, Result};
 use std::pin::Pin;
@@ -10,37 +10,41 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Whether a request was sent that is to be taken back as long as no answer has come to it.
+/// Whether a request was sent and its response has not come yet, on a connection that is reset
+/// when such an exchange is dropped. Shared between the connection and its transport.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Unanswered(Arc<AtomicBool>);
+pub(crate) struct AwaitsResponse(Arc<AtomicBool>);
 
-impl Unanswered {
-    pub(crate) fn set(&self, unanswered: bool) {
-        self.0.store(unanswered, Ordering::Relaxed);
+impl AwaitsResponse {
+    pub(crate) fn set(&self, awaits_response: bool) {
+        self.0.store(awaits_response, Ordering::Relaxed);
     }
 }
 
-/// A socket that is reset when it is dropped while a request is unanswered. Closed in order,
-/// the kernel would go on delivering the request, for as long as it retransmits.
+/// A socket that is reset if it is dropped while a request awaits its response. If it were closed
+/// in order, the kernel would still deliver the request, for as long as it retransmits.
 ///
-/// An answered request was delivered; its connection is closed in order, as the peer may miss
-/// a reset and would go on working.
+/// Once the response has come, the request was delivered, and the socket is closed in order: the
+/// peer could miss a reset and would go on working on the request.
 #[derive(Debug)]
 pub(crate) struct Transport {
     stream: TcpStream,
-    unanswered: Unanswered,
+    awaits_response: AwaitsResponse,
 }
 
 impl Transport {
-    pub(crate) fn new(stream: TcpStream, unanswered: Unanswered) -> Self {
-        Self { stream, unanswered }
+    pub(crate) fn new(stream: TcpStream, awaits_response: AwaitsResponse) -> Self {
+        Self {
+            stream,
+            awaits_response,
+        }
     }
 }
 
 impl Drop for Transport {
     fn drop(&mut self) {
-        if self.unanswered.0.load(Ordering::Relaxed) {
-            // It fails only on a socket that is closed already, which delivers nothing.
+        if self.awaits_response.0.load(Ordering::Relaxed) {
+            // This fails only for a socket that is closed already, which delivers nothing more.
             let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         }
     }
@@ -70,8 +74,9 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Result<()>> {
-        if self.unanswered.0.load(Ordering::Relaxed) {
-            // The end of the stream would be delivered behind the request.
+        if self.awaits_response.0.load(Ordering::Relaxed) {
+            // A shutdown would deliver the end of the stream after the request; the socket is reset
+            // instead.
             return Poll::Ready(Ok(()));
         }
         Pin::new(&mut self.stream).poll_shutdown(cx)
--- a/crates/foxwheel-http1/tests/connection.rs
+++ b/crates/foxwheel-http1/tests/connection.rs
@@ -1,4 +1,4 @@
-//! How connections end, as the peer sees it.
+//! How the peer sees the end of a connection: as a reset or as a close in order.
 
 use std::io::ErrorKind;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -16,8 +16,8 @@
     on_abandon: AbandonAction::Reset,
 };
 
-/// A connection and the peer's end of it.
-async fn connected() -> (Connection, TcpStream) {
+/// Opens a connection and returns it with the peer's end of it.
+async fn open_connection() -> (Connection, TcpStream) {
     let any = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
     let listener = TcpListener::bind(any).await.expect("an address");
     let addr = listener.local_addr().expect("an address");
@@ -31,44 +31,50 @@
     request.body(RequestBody::default()).expect("a request")
 }
 
-/// Reads the head of a request.
-async fn read_head(peer: &mut TcpStream) {
+/// Reads the head of a request at the peer.
+async fn read_request_head(peer: &mut TcpStream) {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(peer.read_u8().await.expect("a byte"));
     }
 }
 
-/// How the peer sees the connection end: none if it was closed in order.
-async fn end_seen(peer: &mut TcpStream) -> Option<ErrorKind> {
+/// Waits until the connection ends and returns the error that the peer gets.
+async fn read_end_error(peer: &mut TcpStream) -> Option<ErrorKind> {
     peer.read_u8().await.err().map(|e| e.kind())
 }
 
 #[tokio::test]
-async fn an_exchange_that_is_given_up_unanswered_is_reset() {
-    let (mut connection, mut peer) = connected().await;
+async fn connection_is_reset_if_dropped_before_the_response() {
+    let (mut connection, mut peer) = open_connection().await;
     let sending = connection.send(request());
     let read = async {
         tokio::select! {
-            _ = sending => panic!("nobody answered"),
-            () = read_head(&mut peer) => {}
+            _ = sending => panic!("a response without a server"),
+            () = read_request_head(&mut peer) => {}
         }
     };
     read.await;
     drop(connection);
-    assert_eq!(end_seen(&mut peer).await, Some(ErrorKind::ConnectionReset));
+    assert_eq!(
+        read_end_error(&mut peer).await,
+        Some(ErrorKind::ConnectionReset)
+    );
 }
 
 #[tokio::test]
-async fn a_connection_whose_exchange_was_answered_is_closed_in_order() {
-    let (mut connection, mut peer) = connected().await;
-    let (answer, ()) = tokio::join!(connection.send(request()), async {
-        read_head(&mut peer).await;
-        let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-        peer.write_all(answer).await.expect("written");
+async fn connection_is_closed_in_order_if_dropped_after_the_response() {
+    let (mut connection, mut peer) = open_connection().await;
+    let (response, ()) = tokio::join!(connection.send(request()), async {
+        read_request_head(&mut peer).await;
+        let response = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+        peer.write_all(response).await.expect("written");
     });
-    let body = answer.expect("an answer").into_body().collect().await;
+    let body = response.expect("a response").into_body().collect().await;
     assert_eq!(body.expect("a body").to_bytes(), "ok");
     drop(connection);
-    assert_eq!(end_seen(&mut peer).await, Some(ErrorKind::UnexpectedEof));
+    assert_eq!(
+        read_end_error(&mut peer).await,
+        Some(ErrorKind::UnexpectedEof)
+    );
 }
--- a/crates/foxwheel-http1/tests/pool.rs
+++ b/crates/foxwheel-http1/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Which idle connections are used again.
+//! For how long the pool reuses idle connections.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -13,32 +13,33 @@
     on_abandon: AbandonAction::Reset,
 };
 
-/// What the peer announces: far longer than any wait here.
-const ANNOUNCED: Option<Duration> = Some(Duration::from_secs(60));
+/// Idle timeout that the peer announces; far longer than any wait in these tests.
+const ANNOUNCED_IDLE_TIMEOUT: Option<Duration> = Some(Duration::from_secs(60));
 
-/// Whether a connection is used again that was idle for `idle` at least, and for how long it was.
+/// Returns whether the pool reuses a connection that was idle for at least `idle`, and for how long
+/// it was idle.
 async fn is_reused_after(idle: Duration) -> (bool, Duration) {
     let any = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
     let listener = TcpListener::bind(any).await.expect("an address");
     let addr = listener.local_addr().expect("an address");
     let pool = Pool::new(OPTIONS);
     let first = pool.acquire(&"peer", addr).await.expect("connected");
-    pool.release(&"peer", first.connection, ANNOUNCED);
-    let put_at = Instant::now();
+    pool.release(&"peer", first.connection, ANNOUNCED_IDLE_TIMEOUT);
+    let released_at = Instant::now();
     tokio::time::sleep(idle).await;
-    let taken = pool.acquire(&"peer", addr).await.expect("connected");
-    (!taken.is_new, put_at.elapsed())
+    let second = pool.acquire(&"peer", addr).await.expect("connected");
+    (!second.is_new, released_at.elapsed())
 }
 
-/// Probes of a connection over a cut path fail 3 s after it was last used, and then what was
-/// written since is delivered when the path heals.
+/// On a broken network path the keepalive probes of a connection fail 3 s after its last use. What
+/// was written to it since would still be delivered once the path works again.
 #[tokio::test]
-async fn a_connection_whose_probes_may_fail_carries_no_request() {
-    // The test process may stand still in between.
+async fn connection_is_not_reused_if_its_probes_could_fail_before_unacknowledged_bytes_time_out() {
+    // The test process may be suspended in between, so that the connection idles for too long.
     while let (false, idle) = is_reused_after(Duration::ZERO).await {
-        assert!(idle > Duration::from_secs(1), "not used after {idle:?}");
+        assert!(idle > Duration::from_secs(1), "not reused after {idle:?}");
     }
-    let fails_after = Duration::from_secs(3);
-    let too_late = fails_after - OPTIONS.unacknowledged_timeout;
+    let probe_failure_delay = Duration::from_secs(3);
+    let too_late = probe_failure_delay - OPTIONS.unacknowledged_timeout;
     assert!(!is_reused_after(too_late).await.0);
 }
