--- a/crates/foxwheel-store/src/api.rs
+++ b/crates/foxwheel-store/src/api.rs
@@ -1,7 +1,8 @@
-//! Values of the platform's store under the project's own keys, and the stand-in's faults.
+//! Objects of the platform's store under this project's own keys, and the faults and counters of
+//! its stand-in `foxwheel-platform-emu`.
 //!
-//! Every object's version is the store-wide revision of its last write, so versions only
-//! grow.
+//! The version of an object is the store-wide revision of its last write, so versions only
+//! increase.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,98 +11,101 @@
 /// A stored object.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Object {
-    /// The object's key, e.g. `config/rules`.
+    /// Key of the object, e.g. `config/rules`.
     pub key: String,
-    /// The revision of its last write; never zero.
+    /// Revision of its last write; never 0.
     pub version: Version,
-    /// Its value, at most 1 MiB when encoded.
+    /// Value of the object, at most 1 MiB when encoded.
     pub value: serde_json::Value,
 }
 
-/// The answer to a list.
+/// Response to a list call.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListResponse {
     /// Objects under the prefix, sorted by key.
     pub objects: Vec<Object>,
-    /// The store's revision when listed; watch from here.
+    /// Revision of the store when it made the list; a watch for later changes starts from it.
     pub revision: Version,
 }
 
-/// One change seen by a watch.
+/// One change that a watch returns.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// The key that changed.
+    /// Key of the object that changed.
     pub key: String,
-    /// The revision of the change.
+    /// Revision of the change.
     pub version: Version,
-    /// The new value; `None` when deleted.
+    /// New value; `None` if the object was deleted.
     pub value: Option<serde_json::Value>,
 }
 
-/// The answer to a watch.
+/// Response to a watch call.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// Changes after `from_version`, oldest first; empty when the wait timed out.
+    /// Changes after `from_version`, oldest first; empty if there was none before the timeout.
     pub events: Vec<Event>,
-    /// Watch again from here.
+    /// Revision from which the next watch continues.
     pub revision: Version,
 }
 
-/// Calls counted by the store, for capacity measurements.
+/// Counters of the stand-in: its calls since it started and what it stores now. Capacity
+/// measurements read them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounts {
-    /// Gets and lists.
+    /// Number of gets and lists.
     pub reads: u64,
-    /// Puts and deletes, applied or not.
+    /// Number of puts and deletes, whether applied or not.
     pub writes: u64,
-    /// Watch calls; each waiting watch counts once.
+    /// Number of watch calls; a watch that waits counts once.
     pub watches: u64,
-    /// Calls refused by a fault or a rate limit.
+    /// Number of calls refused because of an injected fault or a rate limit.
     pub refused: u64,
-    /// Bytes of values stored now.
+    /// Size of all stored values, in bytes.
     pub stored_bytes: u64,
-    /// Objects stored now.
+    /// Number of stored objects.
     pub objects: u64,
 }
 
-/// How the stand-in turns calls away.
+/// How the stand-in refuses calls during an injected outage.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// With 503: nothing was done.
+    /// Responds with status 503 without executing the call.
     #[default]
     Busy,
-    /// With 429: nothing was done.
+    /// Responds with status 429 without executing the call.
     RateLimited,
-    /// By closing the connection.
+    /// Closes the connection.
     Reset,
-    /// By never answering.
+    /// Keeps the connection open and never responds.
     Silent,
 }
 
-/// Faults the stand-in can be told to inject, via `POST /faults`.
+/// Faults that the stand-in injects, set with `POST /faults`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Faults {
-    /// Turn every call away.
+    /// Refuse every call.
     #[serde(default)]
     pub outage: bool,
-    /// In this way.
+    /// How calls are refused during an outage.
     #[serde(default)]
     pub refusal: Refusal,
-    /// Only calls from these addresses; empty is all.
+    /// Addresses whose calls an outage refuses; if empty, it refuses all calls.
     #[serde(default)]
     pub only_hosts: Vec<std::net::IpAddr>,
-    /// Delay every call by this many milliseconds.
+    /// Delay of every call, in milliseconds.
     #[serde(default)]
     pub delay_ms: u64,
-    /// Hand a watch's answer out only this many milliseconds after it was read.
+    /// Delay between reading the changes for a watch and sending its response, in milliseconds.
     #[serde(default)]
     pub watch_delay_ms: u64,
-    /// Do every n-th write, then close the connection without an answer; 0 turns it off.
+    /// Lose the reply of every n-th write: apply the write and close the connection without a
+    /// response; 0 turns this off.
     #[serde(default)]
     pub lose_reply_every: u64,
-    /// Do such a write only after this many milliseconds, if its condition still holds.
+    /// Delay, in milliseconds, after which a write whose response is lost is applied, if its condition
+    /// still holds then.
     #[serde(default)]
     pub late_ms: u64,
 }
--- a/crates/foxwheel-store/src/reflector.rs
+++ b/crates/foxwheel-store/src/reflector.rs
@@ -1,7 +1,7 @@
-//! A local copy of a key prefix, kept current by listing once and then watching.
+//! Keeps a local copy of all objects under a key prefix.
 //!
-//! This is how controllers read the store: one list at start or after a gap, then one
-//! waiting watch at a time. Readers take a snapshot without any call to the store.
+//! A [`Reflector`] lists the objects once, at the start or after it has missed changes, and then
+//! keeps one watch call open at a time. Readers use the copy without any call to the store.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, RwLock};
@@ -15,20 +15,21 @@
 use crate::api;
 use crate::client::{StoreClient, StoreError};
 
-/// How long one watch call waits for a change.
-const WATCH_WAIT: Duration = Duration::from_secs(10);
-/// The pause after a watch that brought changes: those of a busy prefix (member renewals)
-/// come together, so the store's watch calls do not grow with the fleet.
-const WATCH_PAUSE: Duration = Duration::from_millis(200);
-/// The pause after a failed call before trying again.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Longest time that one watch call waits for a change.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay after a watch call that returned changes. The changes of a prefix with many writes, such
+/// as membership renewals, are then returned together, so the number of watch calls does not grow
+/// with the fleet.
+const NEXT_WATCH_DELAY: Duration = Duration::from_millis(200);
+/// Delay before a failed call is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How long a peer may take to answer.
+/// Timeout for fetching a peer's copy.
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest copy read from a peer, in bytes.
+/// Largest copy accepted from a peer, in bytes.
 const MAX_COPY_BYTES: usize = 64 * 1024 * 1024;
 
-/// A peer's copy of `prefix`; `None` when it has none or does not answer.
+/// Fetches a peer's copy of `prefix`; returns `None` if the peer has none or the call fails.
 async fn fetch_copy(peer: &str, prefix: &str) -> Option<api::ListResponse> {
     let http = awc::Client::builder().timeout(PEER_TIMEOUT).finish();
     let url = format!("{peer}/snapshot?prefix={prefix}");
@@ -39,18 +40,20 @@
     response.json().limit(MAX_COPY_BYTES).await.ok()
 }
 
-/// The copy itself: objects by key with the revision it is current to.
+/// The objects under a key prefix as of one revision of the store.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
-    /// Values by key, as of `revision`.
+    /// Value and version of each object, by key.
     pub objects: BTreeMap<String, (serde_json::Value, Version)>,
-    /// The store revision this copy reflects; 0 before the first list.
+    /// Revision of the store that the objects reflect; 0 before the first list.
     pub revision: Version,
 }
 
 impl Snapshot {
-    /// Every value that decodes as `T`, with its version, in key order; the others are
-    /// logged under `reader` and skipped, so one bad write cannot take the rest down.
+    /// Returns every value that decodes as `T`, with its version, in order of the keys.
+    ///
+    /// Other values are skipped and logged with the name `reader`, so that one invalid object does
+    /// not make the valid ones unusable.
     pub fn decode_all<T: DeserializeOwned>(&self, reader: &str) -> Vec<(T, Version)> {
         let decode = |(key, (value, version)): (&String, &(serde_json::Value, Version))| {
             match T::deserialize(value) {
@@ -65,18 +68,19 @@
     }
 }
 
-/// A shared, always-readable copy of one prefix.
+/// A copy of the objects under one key prefix. Clones share the copy, and it stays readable while
+/// the store is down.
 #[derive(Debug, Clone)]
 pub struct Reflector {
     prefix: String,
-    /// Base URLs of processes that keep the same copy.
+    /// Base URLs of processes that keep a copy of the same prefix.
     peers: Arc<Vec<String>>,
     shared: Arc<RwLock<Snapshot>>,
     changed: Arc<tokio::sync::watch::Sender<Version>>,
 }
 
 impl Reflector {
-    /// A reflector of `prefix`; it holds nothing until [`Self::run`] has listed.
+    /// Creates a reflector of `prefix`. Its copy is empty until [`Self::run`] has listed the objects.
     pub fn new(prefix: impl Into<String>) -> Self {
         Self {
             prefix: prefix.into(),
@@ -86,14 +90,14 @@
         }
     }
 
-    /// Asks `peers` (base URLs that answer `GET /snapshot?prefix=`) for their copy while
-    /// the store cannot be listed for the first time.
+    /// Sets the peers whose copies are used as long as the first list from the store fails. `peers`
+    /// are base URLs of processes that serve `GET /snapshot?prefix=`.
     pub fn with_peers(mut self, peers: Vec<String>) -> Self {
         self.peers = Arc::new(peers);
         self
     }
 
-    /// The copy as a list answer, for peers.
+    /// Returns the copy as the response to a list call, for peers that request it.
     pub fn to_list_response(&self) -> api::ListResponse {
         self.read(|snapshot| api::ListResponse {
             objects: snapshot
@@ -109,48 +113,49 @@
         })
     }
 
-    /// The prefix this is a copy of.
+    /// Returns the key prefix whose objects are copied.
     pub fn prefix(&self) -> &str {
         &self.prefix
     }
 
-    /// The current copy.
+    /// Returns a clone of the current copy.
     pub fn snapshot(&self) -> Snapshot {
         self.shared.read().expect("reflector lock").clone()
     }
 
-    /// Reads through the copy without cloning it.
+    /// Calls `f` with the current copy, which is not cloned, and returns its result. The copy cannot
+    /// be updated until `f` returns.
     pub fn read<R>(&self, f: impl FnOnce(&Snapshot) -> R) -> R {
         f(&self.shared.read().expect("reflector lock"))
     }
 
-    /// A receiver that sees the revision each time the copy changes; a change made before
-    /// the receiver waits is not missed.
+    /// Returns a receiver of the copy's revision, which is notified of each change. A change between
+    /// this call and the receiver's first wait is not missed.
     pub fn subscribe(&self) -> tokio::sync::watch::Receiver<Version> {
         self.changed.subscribe()
     }
 
-    /// Keeps the copy current until `cancel` fires. Store outages pause updates; the last
-    /// copy stays readable meanwhile, and versions never go backwards.
+    /// Keeps the copy up to date until `cancel` is cancelled. During a store outage there are no
+    /// updates and the last copy stays readable. The revision of the copy never decreases.
     pub async fn run(self, store: StoreClient, cancel: CancellationToken) {
         let mut listed = false;
         while !cancel.is_cancelled() {
-            let step = if listed {
+            let result = if listed {
                 self.watch_once(&store, &cancel).await
             } else {
                 self.list_once(&store).await
             };
-            match step {
+            match result {
                 Ok(()) => listed = true,
                 Err(StoreError::HistoryExpired) => listed = false,
                 Err(e) => {
                     log::debug!("reflector {}: {e}", self.prefix);
                     if self.read(|snapshot| snapshot.revision) == 0 {
-                        self.list_from_peers().await;
+                        self.copy_from_peers().await;
                     }
                     tokio::select! {
                         _ = cancel.cancelled() => return,
-                        _ = tokio::time::sleep(RETRY_PAUSE) => {}
+                        _ = tokio::time::sleep(RETRY_DELAY) => {}
                     }
                 }
             }
@@ -158,27 +163,27 @@
     }
 
     async fn list_once(&self, store: &StoreClient) -> Result<(), StoreError> {
-        self.replace(store.list(&self.prefix).await?);
+        self.replace_copy(store.list(&self.prefix).await?);
         Ok(())
     }
 
-    /// Takes the newest copy any peer has. The store's own list replaces it when it comes.
-    async fn list_from_peers(&self) {
+    /// Uses the newest copy that any peer has, until the store can be listed again.
+    async fn copy_from_peers(&self) {
         let copies = self.peers.iter().map(|peer| fetch_copy(peer, &self.prefix));
         let copies = futures::future::join_all(copies).await;
         let newest = copies.into_iter().flatten().max_by_key(|c| c.revision);
         if let Some(copy) = newest.filter(|copy| copy.revision > 0) {
             log::info!(
-                "{}: copy at revision {} from a peer, the store being down",
+                "{}: store unavailable, using a peer's copy at revision {}",
                 self.prefix,
                 copy.revision
             );
-            self.replace(copy);
+            self.replace_copy(copy);
         }
     }
 
-    /// Replaces the copy unless it is newer than `listed`.
-    fn replace(&self, listed: api::ListResponse) {
+    /// Replaces the copy with `listed`, unless the copy is newer.
+    fn replace_copy(&self, listed: api::ListResponse) {
         let mut shared = self.shared.write().expect("reflector lock");
         if listed.revision < shared.revision {
             return;
@@ -198,25 +203,25 @@
         store: &StoreClient,
         cancel: &CancellationToken,
     ) -> Result<(), StoreError> {
-        let from = self.read(|s| s.revision);
-        let answer = tokio::select! {
+        let from_version = self.read(|s| s.revision);
+        let response = tokio::select! {
             _ = cancel.cancelled() => return Ok(()),
-            answer = store.watch(&self.prefix, from, WATCH_WAIT) => answer?,
+            watched = store.watch(&self.prefix, from_version, WATCH_TIMEOUT) => watched?,
         };
-        if self.apply(answer) {
+        if self.apply_changes(response) {
             tokio::select! {
                 () = cancel.cancelled() => {}
-                () = tokio::time::sleep(WATCH_PAUSE) => {}
+                () = tokio::time::sleep(NEXT_WATCH_DELAY) => {}
             }
         }
         Ok(())
     }
 
-    /// Applies a watch's changes; answers whether there were any new ones.
-    fn apply(&self, answer: api::WatchResponse) -> bool {
+    /// Applies the changes that a watch returned. Returns whether any of them was new.
+    fn apply_changes(&self, response: api::WatchResponse) -> bool {
         let mut shared = self.shared.write().expect("reflector lock");
         let mut changed = false;
-        for event in answer.events {
+        for event in response.events {
             if event.version <= shared.revision {
                 continue;
             }
@@ -230,7 +235,7 @@
                 }
             }
         }
-        shared.revision = shared.revision.max(answer.revision);
+        shared.revision = shared.revision.max(response.revision);
         let revision = shared.revision;
         drop(shared);
         if changed {
