--- a/crates/foxwheel-control/src/client.rs
+++ b/crates/foxwheel-control/src/client.rs
@@ -1,4 +1,5 @@
-//! The gateway's side: one connection to one agent, with a deadline on every call.
+//! The gateway's side of the control channel: a connection to one agent, with a timeout for every
+//! call.
 
 use std::time::{Duration, Instant};
 
@@ -10,28 +11,28 @@
 
 use crate::service::AgentControlClient;
 
-/// Why a control call got no answer.
+/// Why a control call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// The connection was refused or did not open in time.
+    /// The connection could not be opened within the timeout.
     #[error("cannot connect {origin}: {source}")]
     Connect {
-        /// The step and the agent's control address.
+        /// Step that failed and control address of the agent.
         origin: Origin,
-        /// The transport's error.
+        /// Error of the transport.
         source: std::io::Error,
     },
-    /// The call failed or missed its deadline; connect again.
+    /// The call failed or timed out. The caller has to connect again.
     #[error("no answer {origin}: {source}")]
     Call {
-        /// The step and the agent's control address.
+        /// Step that failed and control address of the agent.
         origin: Origin,
-        /// tarpc's error.
+        /// Error that `tarpc` returned.
         source: client::RpcError,
     },
 }
 
-/// A connection to one agent's control channel.
+/// A connection to the control channel of one agent.
 #[derive(Debug, Clone)]
 pub struct ControlClient {
     peer: String,
@@ -40,8 +41,9 @@
 }
 
 impl ControlClient {
-    /// Connects to the agent at `peer` (`ip:port`); `timeout` bounds the connect and each
-    /// later call. Runs its transport on the current tokio runtime.
+    /// Connects to the agent at `peer` (`ip:port`) and spawns the transport on the current tokio
+    /// runtime. `timeout` applies to connecting and to each later call. Returns
+    /// [`ControlError::Connect`] if the connection cannot be opened.
     pub async fn connect(peer: &str, timeout: Duration) -> Result<Self, ControlError> {
         let origin = || Origin::new("connect control channel", peer);
         let connecting = serde_transport::tcp::connect(peer, Bincode::default);
@@ -61,23 +63,24 @@
         })
     }
 
-    /// The agent's load and drain state now.
+    /// Returns the current load and drain state of the agent.
     pub async fn load(&self) -> Result<LoadReport, ControlError> {
         self.rpc
-            .load(self.context())
+            .load(self.call_context())
             .await
             .map_err(|source| self.call_error("poll load", source))
     }
 
-    /// Offers `config`; answers the revision in force on the agent afterwards.
+    /// Sends `config` to the agent, which applies it if it is newer than its own. Returns the
+    /// revision in force on the agent afterwards.
     pub async fn configure(&self, config: AgentConfig) -> Result<Version, ControlError> {
         self.rpc
-            .configure(self.context(), config)
+            .configure(self.call_context(), config)
             .await
             .map_err(|source| self.call_error("push configuration", source))
     }
 
-    fn context(&self) -> context::Context {
+    fn call_context(&self) -> context::Context {
         let mut context = context::current();
         context.deadline = Instant::now() + self.timeout;
         context
--- a/crates/foxwheel-control/src/server.rs
+++ b/crates/foxwheel-control/src/server.rs
@@ -1,4 +1,4 @@
-//! The agent's side: a TCP listener that answers control calls until cancelled.
+//! The agent's side of the control channel: a TCP listener that serves control calls.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,21 +13,22 @@
 
 use crate::service::AgentControl;
 
-/// What the control channel asks of the agent; each call is a short read or write of
-/// memory and never blocks.
+/// Interface through which the control channel reads and configures the agent. Implementations
+/// only read or write memory briefly and never block.
 pub trait AgentHandle: Send + Sync + 'static {
-    /// The agent's load and drain state now.
+    /// Returns the current load and drain state of the agent.
     fn load(&self) -> LoadReport;
 
-    /// Puts `config` in force if it is newer; answers the revision in force afterwards.
+    /// Applies `config` if it is newer than the agent's configuration. Returns the revision in force
+    /// afterwards.
     fn configure(&self, config: AgentConfig) -> Version;
 }
 
-/// Answers control calls from an [`AgentHandle`].
+/// Serves control calls with an [`AgentHandle`].
 #[derive(Clone)]
-struct Handler(Arc<dyn AgentHandle>);
+struct CallHandler(Arc<dyn AgentHandle>);
 
-impl AgentControl for Handler {
+impl AgentControl for CallHandler {
     async fn load(self, _: context::Context) -> LoadReport {
         self.0.load()
     }
@@ -37,8 +38,9 @@
     }
 }
 
-/// Binds `listen_addr` and answers control calls with `agent` until `cancel` fires.
-/// Answers the bound address; open connections are dropped on cancel.
+/// Binds `listen_addr`, spawns a task that serves control calls with `agent`, and returns the bound
+/// address. When `cancel` is cancelled, the listener and all open connections close. Returns an
+/// error if the address cannot be bound.
 pub async fn serve(
     listen_addr: &str,
     agent: Arc<dyn AgentHandle>,
@@ -46,7 +48,7 @@
 ) -> std::io::Result<SocketAddr> {
     let mut incoming = tarpc::serde_transport::tcp::listen(listen_addr, Bincode::default).await?;
     let addr = incoming.local_addr();
-    let handler = Handler(agent);
+    let handler = CallHandler(agent);
     tokio::spawn(async move {
         loop {
             let accepted = tokio::select! {
@@ -55,14 +57,14 @@
             };
             match accepted {
                 Some(Ok(transport)) => {
-                    let calls = BaseChannel::with_defaults(transport)
+                    let serve_calls = BaseChannel::with_defaults(transport)
                         .execute(handler.clone().serve())
                         .for_each(|call| call);
                     let cancel = cancel.clone();
                     tokio::spawn(async move {
                         tokio::select! {
                             () = cancel.cancelled() => {}
-                            () = calls => {}
+                            () = serve_calls => {}
                         }
                     });
                 }
--- a/crates/foxwheel-control/src/service.rs
+++ b/crates/foxwheel-control/src/service.rs
@@ -1,13 +1,14 @@
-//! The calls a gateway makes to an agent.
+//! The calls that a gateway makes to an agent.
 
 use foxwheel_core::ids::Version;
 use foxwheel_core::protocol::{AgentConfig, LoadReport};
 
-/// Control calls, all idempotent: a lost answer may be asked for again.
+/// Control calls. They are idempotent, so a call whose response was lost can be repeated.
 #[tarpc::service]
 pub trait AgentControl {
-    /// The agent's load and drain state now.
+    /// Returns the current load and drain state of the agent.
     async fn load() -> LoadReport;
-    /// Puts `config` in force if it is newer; answers the revision in force afterwards.
+    /// Applies `config` if it is newer than the agent's configuration. Returns the revision in force
+    /// afterwards.
     async fn configure(config: AgentConfig) -> Version;
 }
