--- a/crates/foxwheel-load/src/model_report.rs
+++ b/crates/foxwheel-load/src/model_report.rs
@@ -5,7 +5,7 @@
 
 use foxwheel_model::outcome::Outcome;
 use foxwheel_model::scenario::Scenario;
-use foxwheel_model::world;
+use foxwheel_model::simulation;
 use foxwheel_plot::{Line, PlotError};
 
 /// Quantiles of the plotted distribution: each hundredth.
@@ -16,7 +16,7 @@
     let variants = scenario.variants.iter().map(|variant| {
         let mut outcome = Outcome::default();
         for seed in &scenario.seeds {
-            world::play(scenario, variant, *seed, &mut outcome);
+            simulation::simulate_variant(scenario, variant, *seed, &mut outcome);
         }
         (variant.name.clone(), outcome)
     });
@@ -36,15 +36,15 @@
             outcome.on_time_share(),
             outcome.requests,
             outcome.late,
-            outcome.returned,
-            outcome.lost,
+            outcome.served_on_retry,
+            outcome.refused_twice,
             outcome.first_token_ms(0.5),
             outcome.first_token_ms(0.95),
             outcome.first_token_ms(0.99),
             outcome.items_on_time_share(),
             outcome.items,
             outcome.items_late,
-            outcome.runs_stopped,
+            outcome.runs_preempted,
         );
     }
     table
--- a/crates/foxwheel-model/src/arrivals.rs
+++ b/crates/foxwheel-model/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrivals of a scenario, the same for every variant of a seed.
+//! Generates the arrivals of a scenario; a seed gives every variant the same arrivals.
 
 use std::time::Duration;
 
@@ -7,74 +7,75 @@
 
 use crate::scenario::{BatchLoad, OnlineLoad, Scenario};
 
-/// An online request that comes.
+/// The arrival of an online request.
 #[derive(Debug, Clone, Copy)]
 pub struct OnlineArrival {
-    /// When.
+    /// The time since the start of the simulation.
     pub at: Duration,
-    /// Tokens of its answer.
+    /// The number of tokens in its response.
     pub output_tokens: u32,
-    /// A number that picks its front.
-    pub caller: usize,
+    /// A random number of the caller; modulo the number of fronts it is the index of the front.
+    pub caller_number: usize,
 }
 
-/// A batch job that comes.
+/// The arrival of a batch job.
 #[derive(Debug, Clone)]
 pub struct JobArrival {
-    /// When.
+    /// The time since the start of the simulation.
     pub at: Duration,
-    /// Tokens of each item's output.
+    /// The number of output tokens of each item.
     pub item_tokens: Vec<u32>,
 }
 
-/// Everything that comes, in order of time.
+/// All arrivals of a simulation, each list in order of time.
 #[derive(Debug, Clone)]
 pub struct Arrivals {
-    /// Online requests.
+    /// The online requests.
     pub online: Vec<OnlineArrival>,
-    /// Jobs.
+    /// The batch jobs.
     pub jobs: Vec<JobArrival>,
 }
 
 impl Arrivals {
-    /// The arrivals of `scenario` under `seed`.
-    pub fn draw(scenario: &Scenario, seed: u64) -> Self {
+    /// Generates the arrivals of `scenario` from `seed`.
+    pub fn generate(scenario: &Scenario, seed: u64) -> Self {
         let length = Duration::from_secs(scenario.length_s);
-        // Each load has a generator of its own, so that a change of one leaves the other.
-        let mut online_draws = StdRng::seed_from_u64(seed);
-        let mut batch_draws = StdRng::seed_from_u64(!seed);
+        // Each load has its own generator, so that a change to one load does not change the
+        // arrivals of the other.
+        let mut online_rng = StdRng::seed_from_u64(seed);
+        let mut batch_rng = StdRng::seed_from_u64(!seed);
         Self {
-            online: online(&scenario.online, length, &mut online_draws),
-            jobs: jobs(&scenario.batch, length, &mut batch_draws),
+            online: online_arrivals(&scenario.online, length, &mut online_rng),
+            jobs: job_arrivals(&scenario.batch, length, &mut batch_rng),
         }
     }
 }
 
-fn online(load: &OnlineLoad, length: Duration, draws: &mut StdRng) -> Vec<OnlineArrival> {
+fn online_arrivals(load: &OnlineLoad, length: Duration, rng: &mut StdRng) -> Vec<OnlineArrival> {
     let mut arrivals = Vec::new();
     let mut at = Duration::ZERO;
     loop {
-        at += until_next(load.rate(at), draws);
+        at += time_to_next_arrival(load.rate_per_s(at), rng);
         if at >= length {
             return arrivals;
         }
         arrivals.push(OnlineArrival {
             at,
-            output_tokens: about(load.output_tokens, draws),
-            caller: draws.random_range(0..usize::MAX),
+            output_tokens: vary_token_count(load.output_tokens, rng),
+            caller_number: rng.random_range(0..usize::MAX),
         });
     }
 }
 
-fn jobs(load: &BatchLoad, length: Duration, draws: &mut StdRng) -> Vec<JobArrival> {
+fn job_arrivals(load: &BatchLoad, length: Duration, rng: &mut StdRng) -> Vec<JobArrival> {
     let mut arrivals = Vec::new();
     let mut at = Duration::ZERO;
     loop {
-        at += until_next(load.jobs_per_s, draws);
+        at += time_to_next_arrival(load.jobs_per_s, rng);
         if at >= length {
             return arrivals;
         }
-        let item_tokens = (0..load.items).map(|_| about(load.output_tokens, draws));
+        let item_tokens = (0..load.items).map(|_| vary_token_count(load.output_tokens, rng));
         arrivals.push(JobArrival {
             at,
             item_tokens: item_tokens.collect(),
@@ -82,19 +83,20 @@
     }
 }
 
-/// Time to the next arrival at a rate: exponential, as of many independent callers.
-fn until_next(per_s: f64, draws: &mut StdRng) -> Duration {
-    /// Stands for "never" where the rate is zero.
+/// Draws the time to the next arrival at a mean rate of `rate_per_s`. It is exponentially
+/// distributed, as for many independent callers.
+fn time_to_next_arrival(rate_per_s: f64, rng: &mut StdRng) -> Duration {
+    /// Returned for a rate of zero and below; longer than any simulation.
     const NEVER: Duration = Duration::from_secs(1_000_000);
-    if per_s <= 0.0 {
+    if rate_per_s <= 0.0 {
         return NEVER;
     }
-    let draw: f64 = draws.random_range(f64::EPSILON..1.0);
-    Duration::from_secs_f64(-draw.ln() / per_s).min(NEVER)
+    let draw: f64 = rng.random_range(f64::EPSILON..1.0);
+    Duration::from_secs_f64(-draw.ln() / rate_per_s).min(NEVER)
 }
 
-/// A fourth more or less than `mean`.
-fn about(mean: u32, draws: &mut StdRng) -> u32 {
-    let factor = draws.random_range(0.75..1.25);
+/// Draws a number within a quarter above or below `mean`, at least 1.
+fn vary_token_count(mean: u32, rng: &mut StdRng) -> u32 {
+    let factor = rng.random_range(0.75..1.25);
     ((f64::from(mean) * factor) as u32).max(1)
 }
--- a/crates/foxwheel-model/src/lib.rs
+++ b/crates/foxwheel-model/src/lib.rs
@@ -1,21 +1,23 @@
-//! A discrete-event model of engines that batch requests, know no priorities and admit in
-//! order of arrival, under online traffic that comes in steps and batch work that fills what
+//! A discrete-event simulation of inference engines under online traffic and batch jobs.
+//!
+//! The engines batch requests, know no priorities and admit requests in order of arrival.
+//! Online traffic alternates between a low and a high rate; batch items use the capacity that
 //! it leaves.
 //!
-//! [`scenario`] says how large the fleet and the load are and which [`scenario::Variant`]s of
-//! the decisions to weigh; [`world`] plays one variant with the decisions of
-//! `foxwheel-policy`; [`engine`] is one engine; [`outcome`] holds the figures. The same seed
-//! gives the same arrivals to every variant. Left out: faults, networks (but for the age of
-//! what processes know of each other), prefix caches and memory.
+//! [`scenario`] defines the size of the fleet, the load, and the [`scenario::Variant`]s of the
+//! scheduling decisions to compare; [`simulation`] runs one variant with the decisions of
+//! `foxwheel-policy`; [`engine`] simulates one engine; [`outcome`] holds the results. A seed
+//! gives every variant the same arrivals. The model leaves out faults, prefix caches, memory
+//! and networks, except for the age of what processes know of each other's load.
 
 pub mod arrivals;
 pub mod engine;
 pub mod loads;
 pub mod outcome;
 pub mod scenario;
-pub mod world;
+pub mod simulation;
 
-/// The modules that play a scenario, for `use foxwheel_model::prelude::*`.
+/// The modules needed to run a scenario, for `use foxwheel_model::prelude::*`.
 pub mod prelude {
-    pub use crate::{outcome, scenario, world};
+    pub use crate::{outcome, scenario, simulation};
 }
--- a/crates/foxwheel-model/src/loads.rs
+++ b/crates/foxwheel-model/src/loads.rs
@@ -1,81 +1,88 @@
-//! What each process knows of the requests in flight: its own at once, others' with an age.
+//! Tracks what each process knows of the requests in flight: its own without delay, those of
+//! other processes as of some time ago.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::scenario::Fleet;
 
-/// Requests in flight at one engine.
+/// The numbers of requests in flight from one process, or from several, at one engine.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Load {
-    /// Online requests.
+    /// The number of online requests.
     pub online: u32,
-    /// Batch items.
+    /// The number of batch items.
     pub batch: u32,
 }
 
-/// Loads by process and engine.
-type Table = Vec<Vec<Load>>;
+/// Loads indexed by process, then by engine.
+type LoadTable = Vec<Vec<Load>>;
 
-/// Time between two looks that others get.
-const TOLD_EVERY: Duration = Duration::from_millis(5);
+/// The interval at which processes report their loads to each other.
+const REPORT_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The requests in flight, now and as they were told.
+/// The requests in flight, both current and as reported to other processes.
 #[derive(Debug)]
 pub struct Loads {
-    now: Table,
-    /// Oldest first, up to the age of the oldest view.
-    told: VecDeque<(Duration, Table)>,
-    local_age: Duration,
-    remote_age: Duration,
+    current: LoadTable,
+    /// Reports with their times, oldest first. Reports older than the age of the oldest view
+    /// are dropped, except for the last of them, which that view still shows.
+    reported: VecDeque<(Duration, LoadTable)>,
+    local_view_age: Duration,
+    remote_view_age: Duration,
 }
 
 impl Loads {
-    /// No requests from `processes`.
+    /// Creates empty loads for `processes` processes.
     pub fn new(processes: usize, fleet: &Fleet) -> Self {
         Self {
-            now: vec![vec![Load::default(); fleet.engines]; processes],
-            told: VecDeque::new(),
-            local_age: Duration::from_millis(fleet.local_view_age_ms),
-            remote_age: Duration::from_millis(fleet.remote_view_age_ms),
+            current: vec![vec![Load::default(); fleet.engines]; processes],
+            reported: VecDeque::new(),
+            local_view_age: Duration::from_millis(fleet.local_view_age_ms),
+            remote_view_age: Duration::from_millis(fleet.remote_view_age_ms),
         }
     }
 
-    /// The requests of `process` at `engine`.
-    pub fn own(&self, process: usize, engine: usize) -> Load {
-        self.now[process][engine]
+    /// Returns the current load of `process` at `engine`.
+    pub fn own_load(&self, process: usize, engine: usize) -> Load {
+        self.current[process][engine]
     }
 
-    /// The same, to be changed.
-    pub fn own_mut(&mut self, process: usize, engine: usize) -> &mut Load {
-        &mut self.now[process][engine]
+    /// Returns the current load of `process` at `engine`, to be updated.
+    pub fn own_load_mut(&mut self, process: usize, engine: usize) -> &mut Load {
+        &mut self.current[process][engine]
     }
 
-    /// Lets the others be told of what is in flight at `now`.
-    pub fn tell(&mut self, now: Duration) {
-        let last = self.told.back().map(|(at, _)| *at);
-        if last.is_some_and(|last| now < last + TOLD_EVERY) {
+    /// Records the current loads as the report of time `now`, unless the last report is more
+    /// recent than the report interval.
+    pub fn report(&mut self, now: Duration) {
+        let last_report_at = self.reported.back().map(|(at, _)| *at);
+        if last_report_at.is_some_and(|last_report_at| now < last_report_at + REPORT_INTERVAL) {
             return;
         }
-        let oldest = now.saturating_sub(self.local_age.max(self.remote_age));
-        while self.told.get(1).is_some_and(|(at, _)| *at <= oldest) {
-            self.told.pop_front();
+        let oldest_view_at = now.saturating_sub(self.local_view_age.max(self.remote_view_age));
+        while self
+            .reported
+            .get(1)
+            .is_some_and(|(at, _)| *at <= oldest_view_at)
+        {
+            self.reported.pop_front();
         }
-        self.told.push_back((now, self.now.clone()));
+        self.reported.push_back((now, self.current.clone()));
     }
 
-    /// The requests of all other processes at each engine, as `process` knows them at `now`.
-    /// `is_local` says whether a process shares its zone.
-    pub fn others(
+    /// Returns, for each engine, the load of all other processes as `process` knows it at `now`.
+    /// `is_local` returns whether a process is in the zone of `process`.
+    pub fn load_of_others(
         &self,
         process: usize,
         is_local: impl Fn(usize) -> bool,
         now: Duration,
     ) -> Vec<Load> {
-        let local = self.as_told(now.saturating_sub(self.local_age));
-        let remote = self.as_told(now.saturating_sub(self.remote_age));
-        let mut sums = vec![Load::default(); self.now[process].len()];
-        for other in (0..self.now.len()).filter(|other| *other != process) {
+        let local = self.last_report_until(now.saturating_sub(self.local_view_age));
+        let remote = self.last_report_until(now.saturating_sub(self.remote_view_age));
+        let mut sums = vec![Load::default(); self.current[process].len()];
+        for other in (0..self.current.len()).filter(|other| *other != process) {
             let table = if is_local(other) { local } else { remote };
             let Some(table) = table else { continue };
             for (sum, load) in sums.iter_mut().zip(&table[other]) {
@@ -86,8 +93,12 @@
         sums
     }
 
-    fn as_told(&self, at: Duration) -> Option<&Table> {
-        let known = self.told.partition_point(|(told_at, _)| *told_at <= at);
-        known.checked_sub(1).map(|last| &self.told[last].1)
+    fn last_report_until(&self, at: Duration) -> Option<&LoadTable> {
+        let report_count = self
+            .reported
+            .partition_point(|(reported_at, _)| *reported_at <= at);
+        report_count
+            .checked_sub(1)
+            .map(|last| &self.reported[last].1)
     }
 }
--- a/crates/foxwheel-model/src/scenario.rs
+++ b/crates/foxwheel-model/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What is played: the fleet, the load and the variants of the decisions.
+//! The scenario file: the fleet, the load and the variants of the scheduling decisions.
 
 use std::time::Duration;
 
@@ -6,142 +6,144 @@
 use foxwheel_policy::placement::FillLimits;
 use serde::{Deserialize, Serialize};
 
-/// A scenario file; a JSON object.
+/// The content of a scenario file, which is a JSON object.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Seeds played for each variant; the figures are sums over them.
+    /// The seeds that each variant is simulated with; results are summed over them.
     pub seeds: Vec<u64>,
-    /// How long requests come, in seconds.
+    /// The time during which requests arrive, in seconds.
     pub length_s: u64,
-    /// Processes and engines.
+    /// The numbers of processes and engines.
     pub fleet: Fleet,
-    /// The engines.
-    pub engine: EngineShape,
-    /// Online requests.
+    /// The speed of every engine.
+    pub engine: EngineSpec,
+    /// The online requests.
     pub online: OnlineLoad,
-    /// Batch jobs.
+    /// The batch jobs.
     pub batch: BatchLoad,
-    /// The variants, played on the same arrivals.
+    /// The variants to compare, all simulated on the same arrivals.
     pub variants: Vec<Variant>,
 }
 
-/// How many of what there are.
+/// The size of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Availability zones; engines, fronts and workers are spread over them in turn.
+    /// Number of availability zones; engines, fronts and workers are spread over them in turn.
     pub zones: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Processes that send online requests.
+    /// Number of fronts: processes that send online requests.
     pub fronts: usize,
-    /// Processes that send batch items.
+    /// Number of workers: processes that send batch items.
     pub workers: usize,
-    /// Age of what processes of a zone know of each other's requests, in milliseconds.
+    /// The age of what a process knows of the load of processes in its own zone, in milliseconds.
     pub local_view_age_ms: u64,
-    /// The same between zones.
+    /// The age of what a process knows of the load of processes in other zones, in milliseconds.
     pub remote_view_age_ms: u64,
 }
 
-/// One engine's speed.
+/// The capacity and speed of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct EngineShape {
-    /// Requests it runs at once.
+pub struct EngineSpec {
+    /// Number of requests that the engine runs at once.
     pub slots: u32,
-    /// Fixed time of a step that gives each running request a token, in milliseconds.
+    /// Fixed part of the time of a step, in milliseconds. A step generates one token for each
+    /// running request.
     pub step_ms: f64,
-    /// Added time of a step for each running request, in milliseconds.
+    /// Additional time of a step for each running request, in milliseconds.
     pub step_ms_per_slot: f64,
-    /// Prompt tokens read in a millisecond, between steps.
+    /// Number of prompt tokens processed per millisecond, between steps.
     pub prefill_tokens_per_ms: f64,
-    /// Time from a slot to the first token beside reading the prompt, in milliseconds.
+    /// Time from getting a slot to the first token, without the processing of the prompt, in
+    /// milliseconds.
     pub first_token_ms: f64,
 }
 
-/// Online requests: a rate that alternates between a trough and a step.
+/// The online load, whose rate alternates between a low rate (trough) and a high rate (step).
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OnlineLoad {
-    /// Requests a second in a trough.
+    /// Requests per second in a trough.
     pub trough_per_s: f64,
-    /// Length of a trough, in seconds.
+    /// Duration of a trough, in seconds.
     pub trough_s: f64,
-    /// Requests a second in a step.
+    /// Requests per second in a step.
     pub step_per_s: f64,
-    /// Length of a step, in seconds.
+    /// Duration of a step, in seconds.
     pub step_s: f64,
-    /// Tokens of a prompt.
+    /// Number of tokens of a prompt.
     pub prompt_tokens: u32,
-    /// Tokens of an answer, at the mean; a fourth more or less.
+    /// Mean number of tokens of a response; each response has up to a quarter more or less.
     pub output_tokens: u32,
-    /// Time to the first token within which a request is on time, in milliseconds.
+    /// The time to the first token up to which a request is on time, in milliseconds.
     pub target_ms: u64,
 }
 
-/// Batch jobs.
+/// The batch load.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BatchLoad {
-    /// Jobs a second.
+    /// Jobs per second.
     pub jobs_per_s: f64,
-    /// Items of a job.
+    /// Number of items of a job.
     pub items: usize,
-    /// Tokens of an item's prompt.
+    /// Number of tokens of an item's prompt.
     pub prompt_tokens: u32,
-    /// Tokens of an item's output, at the mean; a fourth more or less.
+    /// Mean number of tokens of an item's output; each output has up to a quarter more or less.
     pub output_tokens: u32,
-    /// Time from a job's submission until it is due, in seconds.
+    /// Time from the submission of a job until it is due, in seconds.
     pub due_s: u64,
 }
 
-/// In which order batch items get slots.
+/// The order in which waiting batch items get slots.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BatchOrder {
-    /// As `foxwheel_policy::batch::schedule` says.
+    /// The order of `foxwheel_policy::batch::schedule`, which the workers use.
     #[default]
     Schedule,
-    /// In order of submission.
+    /// The order of submission.
     Submission,
 }
 
-/// When refused callers come back.
+/// When refused callers retry their request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ReturnPlan {
-    /// As `foxwheel_policy::admission` says.
+pub enum RetryPlan {
+    /// After the time that `foxwheel_policy::admission` computes, which the fronts send to callers.
     #[default]
     AsSlotsAreFreed,
-    /// All after the same time, in milliseconds.
+    /// After a fixed time, in milliseconds.
     After(u64),
 }
 
-/// One way to decide.
+/// One set of scheduling decisions to simulate.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
-    /// Its name in the figures.
+    /// The name of the variant in the report.
     pub name: String,
-    /// How far servers are filled.
+    /// How far engines are filled with online requests and batch items.
     #[serde(default)]
     pub limits: FillLimits,
-    /// How long a front waits for a slot before it refuses, in milliseconds.
+    /// How long a request waits at a front for a slot before it is refused, in milliseconds.
     #[serde(default = "default_slot_wait_ms")]
     pub slot_wait_ms: u64,
-    /// The order of batch items.
+    /// The order in which waiting batch items get slots.
     #[serde(default)]
     pub batch_order: BatchOrder,
-    /// When refused callers come back.
+    /// When refused callers retry.
     #[serde(default)]
-    pub returns: ReturnPlan,
-    /// Whether batch items run at all.
+    pub returns: RetryPlan,
+    /// Whether the variant runs batch jobs at all; if not, their arrivals are ignored.
     #[serde(default = "default_batch")]
     pub batch: bool,
 }
 
-/// As the fronts wait.
+/// The time that the real fronts wait for a slot.
 fn default_slot_wait_ms() -> u64 {
     60
 }
@@ -151,10 +153,10 @@
 }
 
 impl OnlineLoad {
-    /// Requests a second at `at` from the start.
-    pub fn rate(&self, at: Duration) -> f64 {
-        let in_period = at.as_secs_f64() % (self.trough_s + self.step_s);
-        match in_period < self.trough_s {
+    /// Returns the rate in requests per second at the time `at` since the start.
+    pub fn rate_per_s(&self, at: Duration) -> f64 {
+        let time_in_period_s = at.as_secs_f64() % (self.trough_s + self.step_s);
+        match time_in_period_s < self.trough_s {
             true => self.trough_per_s,
             false => self.step_per_s,
         }
