--- a/crates/foxwheel-soak/src/checks.rs
+++ b/crates/foxwheel-soak/src/checks.rs
@@ -29,7 +29,7 @@
 /// request must not arrive at a server.
 pub const WITHDRAWAL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time in which every process must know of a request that crashed [`MAX_CRASHES`] servers.
+/// Time in which every process must know of a request that crashed three servers.
 pub const CRASH_PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Number of servers that a request may crash before it is refused, and number of runs that are
--- a/crates/foxwheel-soak/src/evidence.rs
+++ b/crates/foxwheel-soak/src/evidence.rs
@@ -214,15 +214,15 @@
     /// be complete: `bound` after `from`, or `bound` after the end of the last fault that
     /// interrupted it.
     pub fn deadline_after_faults(&self, from: Instant, bound: Duration) -> Instant {
-        let mut quiet_from = from;
+        let mut fault_free_from = from;
         loop {
-            let quiet_until = quiet_from + bound;
-            let disturbs =
-                |period: &&FaultPeriod| period.from < quiet_until && period.until > quiet_from;
-            let disturbing = self.fault_periods.iter().filter(disturbs);
-            match disturbing.map(|period| period.until).max() {
-                Some(until) => quiet_from = until,
-                None => return quiet_until,
+            let deadline = fault_free_from + bound;
+            let interrupts =
+                |period: &&FaultPeriod| period.from < deadline && period.until > fault_free_from;
+            let interrupting = self.fault_periods.iter().filter(interrupts);
+            match interrupting.map(|period| period.until).max() {
+                Some(until) => fault_free_from = until,
+                None => return deadline,
             }
         }
     }
@@ -238,9 +238,9 @@
     pub fn may_be_cut_off(&self, front: usize, from: Instant, until: Instant) -> bool {
         let mut fault_periods = self.fault_periods.iter();
         fault_periods.any(|period| {
-            let reaches =
+            let is_affected =
                 period.cut_scope == CutScope::Any || period.cut_scope == CutScope::Front(front);
-            reaches && period.from < until && period.until > from
+            is_affected && period.from < until && period.until > from
         })
     }
 
@@ -257,7 +257,8 @@
     /// `until`.
     pub fn has_refused_connection(&self, front: usize, from: Instant, until: Instant) -> bool {
         let mut refusal_times = self.refusal_times.iter();
-        refusal_times.any(|(by, at)| *by == front && (from..=until).contains(at))
+        refusal_times
+            .any(|(refusing_front, at)| *refusing_front == front && (from..=until).contains(at))
     }
 
     /// Returns the milliseconds from the start of the load to `at`.
@@ -280,7 +281,7 @@
 impl Recorder {
     /// Locks the evidence collected so far.
     pub fn lock(&self) -> MutexGuard<'_, Evidence> {
-        self.0.lock().expect("the record's lock")
+        self.0.lock().expect("the lock of the evidence")
     }
 
     /// Moves the collected evidence out.
--- a/crates/foxwheel-soak/src/fleet.rs
+++ b/crates/foxwheel-soak/src/fleet.rs
@@ -32,6 +32,7 @@
 
 /// Number of events of a complete response.
 pub const EVENT_COUNT: u64 = 5;
+
 /// Time between two events of a response.
 const EVENT_INTERVAL: Duration = Duration::from_millis(6);
 
@@ -45,8 +46,8 @@
 /// The first version of the configuration.
 pub const FIRST_CONFIG_VERSION: u64 = 1;
 
-/// The process with index 0 binds the address with this number in the loopback network. The
-/// proxies in front of it use the address with number 1.
+/// Number of the loopback address that the process with index 0 binds. Its proxies listen on the
+/// address with number 1. The other processes and their proxies use the numbers after these.
 const FIRST_BIND_HOST: u8 = 128;
 
 /// Failure of the soak itself. It says nothing about whether the processes keep their promises.
@@ -291,8 +292,8 @@
             let server = fleet.operator.start_server(id).await?;
             fleet.servers.push(server);
         }
-        for at in 0..plan.size.processes() {
-            let node = fleet.start_node(at, &plan.size, store_addr, programs, folder);
+        for index in 0..plan.size.processes() {
+            let node = fleet.start_node(index, &plan.size, store_addr, programs, folder);
             let node = node.await?;
             fleet.nodes.push(node);
         }
@@ -373,18 +374,18 @@
 
     async fn start_node(
         &self,
-        at: usize,
+        index: usize,
         size: &FleetSize,
         store_addr: SocketAddr,
         programs: &FilePath,
         folder: &FilePath,
     ) -> Result<Node, SoakError> {
-        let role = match at < size.fronts {
+        let role = match index < size.fronts {
             true => Role::Front,
             false => Role::Worker,
         };
-        let proxy_ip = self.network.host(at as u8 + 1);
-        let bind_ip = self.network.host(at as u8 + FIRST_BIND_HOST);
+        let proxy_ip = self.network.host(index as u8 + 1);
+        let bind_ip = self.network.host(index as u8 + FIRST_BIND_HOST);
         let cancel = &self.operator.cancel;
         let open = |from, to| FaultProxy::open(from, to, cancel.clone());
         let any_port = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
@@ -406,10 +407,10 @@
             Role::Worker => None,
         };
         let front_port = |port| (role == Role::Front).then(|| SocketAddr::new(bind_ip, port));
-        let host = format!("host-{at}");
+        let host = format!("host-{index}");
         let settings = json!({
             "host": host, "role": role.name(),
-            "availability_zone": store_entries::zone_name(at as u32 % size.zones),
+            "availability_zone": store_entries::zone_name(index as u32 % size.zones),
             "ip": proxy_ip, "bind_ip": bind_ip,
             "peer_ports": [network::PEER_PORT, network::PEER_PORT],
             "seeds": [peer_addr(self.network.host(1)), peer_addr(self.network.host(2))],
