--- a/crates/foxwheel-http1/src/connection.rs
+++ b/crates/foxwheel-http1/src/connection.rs
@@ -23,7 +23,7 @@
 pub enum AbandonAction {
     /// Close the connection in order. The kernel still delivers what was written of the request.
     Close,
-    /// Reset the connection. A request that has not arrived at the peer yet never will.
+    /// Reset the connection. A request that has not arrived at the peer yet will never arrive.
     Reset,
 }
 
@@ -43,7 +43,7 @@
     /// Longest time that opening the connection may take.
     pub connect_timeout: Duration,
     /// Longest time that sent bytes may stay unacknowledged. After it the kernel closes the
-    /// connection, and bytes that have not arrived at the peer never will.
+    /// connection, and bytes that have not arrived at the peer will never arrive.
     pub unacknowledged_timeout: Duration,
     /// How the connection is closed if its exchange is dropped before the response came.
     pub on_abandon: AbandonAction,
--- a/crates/foxwheel-http1/tests/connection.rs
+++ b/crates/foxwheel-http1/tests/connection.rs
@@ -50,7 +50,7 @@
     let sending = connection.send(request());
     let read = async {
         tokio::select! {
-            _ = sending => panic!("a response without a server"),
+            _ = sending => panic!("the peer sent no response"),
             () = read_request_head(&mut peer) => {}
         }
     };
--- a/crates/foxwheel-store/src/reflector.rs
+++ b/crates/foxwheel-store/src/reflector.rs
@@ -76,7 +76,7 @@
     /// Base URLs of processes that keep a copy of the same prefix.
     peers: Arc<Vec<String>>,
     shared: Arc<RwLock<Snapshot>>,
-    changed: Arc<tokio::sync::watch::Sender<Version>>,
+    revision_sender: Arc<tokio::sync::watch::Sender<Version>>,
 }
 
 impl Reflector {
@@ -86,7 +86,7 @@
             prefix: prefix.into(),
             peers: Arc::default(),
             shared: Arc::default(),
-            changed: Arc::new(tokio::sync::watch::Sender::new(0)),
+            revision_sender: Arc::new(tokio::sync::watch::Sender::new(0)),
         }
     }
 
@@ -132,7 +132,7 @@
     /// Returns a receiver of the copy's revision, which is notified of each change. A change between
     /// this call and the receiver's first wait is not missed.
     pub fn subscribe(&self) -> tokio::sync::watch::Receiver<Version> {
-        self.changed.subscribe()
+        self.revision_sender.subscribe()
     }
 
     /// Keeps the copy up to date until `cancel` is cancelled. During a store outage there are no
@@ -195,7 +195,7 @@
             .collect();
         shared.revision = listed.revision;
         drop(shared);
-        self.changed.send_replace(listed.revision);
+        self.revision_sender.send_replace(listed.revision);
     }
 
     async fn watch_once(
@@ -239,7 +239,7 @@
         let revision = shared.revision;
         drop(shared);
         if changed {
-            self.changed.send_replace(revision);
+            self.revision_sender.send_replace(revision);
         }
         changed
     }
