--- a/crates/foxwheel-soak/src/checks.rs
+++ b/crates/foxwheel-soak/src/checks.rs
@@ -37,7 +37,7 @@
 const MAX_CRASHES: usize = 3;
 
 /// Memory that a process may use: 32 MiB for its control part and 16 MiB for the results that a
-/// worker caches for readers.
+/// worker keeps for readers.
 pub const MAX_MEMORY_BYTES: u64 = (32 + 16) << 20;
 
 /// Number of files, including sockets, that a process may have open.
--- a/crates/foxwheel-soak/src/fleet.rs
+++ b/crates/foxwheel-soak/src/fleet.rs
@@ -56,7 +56,7 @@
     /// A file, directory or socket of the soak failed.
     #[error("cannot {step}: {source}")]
     Io {
-        /// What failed.
+        /// The step that failed, as a verb with its object.
         step: &'static str,
         /// Error of the system.
         source: std::io::Error,
@@ -67,7 +67,7 @@
     /// The store emulator failed.
     #[error("cannot {step}: {source}")]
     Store {
-        /// What failed.
+        /// The step that failed, as a verb with its object.
         step: &'static str,
         /// Error of the store client.
         source: StoreError,
@@ -75,7 +75,7 @@
     /// A task of the soak panicked or was cancelled.
     #[error("cannot {step}: {source}")]
     Task {
-        /// What the task did.
+        /// The step that the task carried out, as a verb with its object.
         step: &'static str,
         /// How the task ended.
         source: tokio::task::JoinError,
--- a/crates/foxwheel-soak/src/process.rs
+++ b/crates/foxwheel-soak/src/process.rs
@@ -40,7 +40,7 @@
 #[derive(Debug, thiserror::Error)]
 #[error("cannot {step} {host}: {source}")]
 pub struct ProcessError {
-    /// What failed.
+    /// The step that failed, as a verb with its object.
     pub step: &'static str,
     /// Host of the process.
     pub host: String,
