--- a/crates/foxwheel-node/tests/abandoned_requests.rs
+++ b/crates/foxwheel-node/tests/abandoned_requests.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use common::{build_request, call, connect, front_client, submit_job, Fleet, FleetPlan};
-use foxwheel_server_emu::server::{self, Shape};
+use foxwheel_server_emu::server::{self, ServerConfig};
 use foxwheel_soak::proxy::{FaultProxy, PathFault};
 use hyper::{Method, StatusCode};
 
@@ -27,9 +27,9 @@
         ..FleetPlan::default()
     })
     .await;
-    let shape = Shape {
+    let shape = ServerConfig {
         id: "far".to_owned(),
-        ..Shape::default()
+        ..ServerConfig::default()
     };
     let localhost = std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
     let far = server::start(localhost, shape, fleet.cancel.clone()).await;
@@ -60,7 +60,7 @@
     let arrivals = fleet
         .servers
         .iter()
-        .flat_map(|server| server.runs.arrivals());
+        .flat_map(|server| server.run_log.arrivals());
     let mut ids = arrivals.map(|arrival| arrival.request_id);
     ids.any(|id| id == request_id)
 }
--- a/crates/foxwheel-node/tests/attempt.rs
+++ b/crates/foxwheel-node/tests/attempt.rs
@@ -13,7 +13,7 @@
 use foxwheel_node::settings::Role;
 use foxwheel_policy::membership::{BackendServer, ServerState};
 use foxwheel_policy::retry::AttemptOutcome;
-use foxwheel_server_emu::server::{self, Shape};
+use foxwheel_server_emu::server::{self, ServerConfig};
 use foxwheel_soak::front_client;
 use hyper::Method;
 use tokio_util::sync::CancellationToken;
@@ -22,7 +22,7 @@
 
 fn register_server(node: &Node, addr: SocketAddr, state: ServerState) -> BackendServer {
     let server = BackendServer {
-        id: Shape::default().id,
+        id: ServerConfig::default().id,
         incarnation: 1,
         service: "model".to_owned(),
         addr,
@@ -40,7 +40,7 @@
 #[actix_web::test]
 async fn server_that_drains_during_connect_gets_no_request() {
     let cancel = CancellationToken::new();
-    let started = server::start(LOCALHOST, Shape::default(), cancel.clone()).await;
+    let started = server::start(LOCALHOST, ServerConfig::default(), cancel.clone()).await;
     let server = started.expect("server starts");
     let unused_address = SocketAddr::new(LOCALHOST, 9);
     let settings = common::single_process_settings(Role::Front, unused_address);
@@ -62,6 +62,6 @@
     });
     let outcome = sent.map(|_| ()).map_err(|failure| failure.outcome);
     assert_eq!(outcome, Err(AttemptOutcome::NotSent));
-    assert!(server.runs.arrivals().is_empty());
+    assert!(server.run_log.arrivals().is_empty());
     cancel.cancel();
 }
--- a/crates/foxwheel-node/tests/batch_contract.rs
+++ b/crates/foxwheel-node/tests/batch_contract.rs
@@ -10,7 +10,7 @@
 };
 use foxwheel_node::settings::Role;
 use foxwheel_server_emu::faults::Fault;
-use foxwheel_server_emu::server::{event_data, Shape};
+use foxwheel_server_emu::server::{event_data, ServerConfig};
 use foxwheel_store::api::{Faults, Refusal};
 use hyper::{Method, StatusCode};
 use serde_json::{json, Value};
@@ -37,10 +37,15 @@
 
 /// Returns the shapes of servers that are so slow that a job is still running when the test
 /// acts.
-fn slow_shapes(count: usize) -> Vec<Shape> {
+fn slow_shapes(count: usize) -> Vec<ServerConfig> {
     let shapes = common::server_shapes(count).into_iter();
     let step = Duration::from_millis(120);
-    shapes.map(|shape| Shape { step, ..shape }).collect()
+    shapes
+        .map(|shape| ServerConfig {
+            step_time: step,
+            ..shape
+        })
+        .collect()
 }
 
 #[actix_web::test]
@@ -79,7 +84,7 @@
     let runs = fleet
         .servers
         .iter()
-        .map(|server| server.runs.all().len())
+        .map(|server| server.run_log.all_runs().len())
         .sum::<usize>();
     assert!(runs <= 7 + 5, "a repeat after the end runs nothing: {runs}");
     fleet.cancel.cancel();
@@ -159,15 +164,15 @@
         ..FleetPlan::default()
     })
     .await;
-    let script = &fleet.servers[0].script;
+    let script = &fleet.servers[0].fault_script;
     let cases = [
         ("impossible", &[Fault::Impossible][..], "dead_letter", 1),
         ("failing", &[Fault::Fail; 3], "dead_letter", 3),
         ("failing twice", &[Fault::Fail; 2], "completed", 3),
         ("rejected", &[Fault::Reject; 3], "completed", 1),
-        ("lost", &[Fault::LoseAnswer], "completed", 2),
-        ("broken", &[Fault::BreakAfter(2)], "completed", 2),
-        ("broken within", &[Fault::BreakWithin(2)], "completed", 2),
+        ("lost", &[Fault::LoseResponse], "completed", 2),
+        ("broken", &[Fault::CutAfter(2)], "completed", 2),
+        ("broken within", &[Fault::CutWithin(2)], "completed", 2),
     ];
     for (index, (name, faults, state, runs)) in cases.iter().enumerate() {
         let job = format!("job-{index}");
@@ -236,10 +241,10 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(end_job(&fleet, "job").await, StatusCode::OK);
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let runs = fleet.servers[0].runs.all().len();
+    let runs = fleet.servers[0].run_log.all_runs().len();
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     assert_eq!(
-        fleet.servers[0].runs.all().len(),
+        fleet.servers[0].run_log.all_runs().len(),
         runs,
         "nothing starts after the end"
     );
--- a/crates/foxwheel-node/tests/checkpoints.rs
+++ b/crates/foxwheel-node/tests/checkpoints.rs
@@ -7,7 +7,7 @@
 
 use common::{submit_job, wait_for_results, Fleet, FleetPlan};
 use foxwheel_server_emu::runs::Run;
-use foxwheel_server_emu::server::{self, Shape};
+use foxwheel_server_emu::server::{self, ServerConfig};
 use serde_json::json;
 
 /// Number of events of an item. With one event per 40 ms, an item runs for 6 s.
@@ -32,11 +32,11 @@
     })
     .await;
     for number in 0..SERVER_COUNT {
-        let shape = Shape {
+        let shape = ServerConfig {
             id: format!("letters-{number}"),
-            events: EVENTS_PER_ITEM,
-            step: Duration::from_millis(40),
-            ..Shape::default()
+            events_per_stream: EVENTS_PER_ITEM,
+            step_time: Duration::from_millis(40),
+            ..ServerConfig::default()
         };
         fleet.add_server_of_service("letters", shape).await;
     }
@@ -141,7 +141,7 @@
     for job in jobs {
         for id in common::item_ids(job, 3) {
             let first_run = &fleet.runs_of_request(&id)[0];
-            assert_eq!(first_run.finished, Some(false), "{id} was not handed over");
+            assert_eq!(first_run.completed, Some(false), "{id} was not handed over");
         }
     }
     for job in jobs {
--- a/crates/foxwheel-node/tests/common/crashing_servers.rs
+++ b/crates/foxwheel-node/tests/common/crashing_servers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use foxwheel_server_emu::server::Shape;
+use foxwheel_server_emu::server::ServerConfig;
 
 /// Body of the request that crashes the servers.
 pub const CRASHING_BODY: &str = "a prompt that the engine cannot stand";
@@ -17,10 +17,10 @@
 pub const MAX_RUNS_IN_QUARANTINE: usize = 3;
 
 /// Returns `count` servers that crash on [`CRASHING_BODY`].
-pub fn shapes(count: usize) -> Vec<Shape> {
+pub fn shapes(count: usize) -> Vec<ServerConfig> {
     let shapes = super::server_shapes(count).into_iter();
-    let crashing_shapes = shapes.map(|shape| Shape {
-        crashes_on: Some(CRASHING_BODY.to_owned()),
+    let crashing_shapes = shapes.map(|shape| ServerConfig {
+        crashing_body: Some(CRASHING_BODY.to_owned()),
         ..shape
     });
     crashing_shapes.collect()
--- a/crates/foxwheel-node/tests/common/mod.rs
+++ b/crates/foxwheel-node/tests/common/mod.rs
@@ -23,7 +23,7 @@
 use foxwheel_node::process;
 use foxwheel_node::settings::{NodeSettings, Role};
 use foxwheel_platform_emu::settings::PlatformSettings;
-use foxwheel_server_emu::server::{self, Server, Shape};
+use foxwheel_server_emu::server::{self, Server, ServerConfig};
 use foxwheel_soak::network::{self, Network};
 use foxwheel_soak::proxy::FaultProxy;
 use foxwheel_store::api::Faults;
@@ -110,7 +110,7 @@
 /// Size of a fleet.
 pub struct FleetPlan {
     /// Shapes of the backend servers.
-    pub servers: Vec<Shape>,
+    pub servers: Vec<ServerConfig>,
     /// Number of fronts.
     pub fronts: u32,
     /// Number of workers.
@@ -131,11 +131,11 @@
 }
 
 /// Returns the shapes of `count` servers.
-pub fn server_shapes(count: usize) -> Vec<Shape> {
+pub fn server_shapes(count: usize) -> Vec<ServerConfig> {
     (0..count)
-        .map(|at| Shape {
+        .map(|at| ServerConfig {
             id: format!("server-{at}"),
-            ..Shape::default()
+            ..ServerConfig::default()
         })
         .collect()
 }
@@ -176,12 +176,12 @@
     }
 
     /// Starts a backend server of the service `model` and registers it.
-    pub async fn add_server(&mut self, shape: Shape) {
+    pub async fn add_server(&mut self, shape: ServerConfig) {
         self.add_server_of_service("model", shape).await;
     }
 
     /// Starts a backend server of a service and registers it.
-    pub async fn add_server_of_service(&mut self, service: &str, shape: Shape) {
+    pub async fn add_server_of_service(&mut self, service: &str, shape: ServerConfig) {
         let id = shape.id.clone();
         let ip = IpAddr::V4(Ipv4Addr::LOCALHOST);
         let started = server::start(ip, shape, self.cancel.clone()).await;
@@ -333,7 +333,7 @@
     pub fn runs_of_request(&self, request_id: &str) -> Vec<foxwheel_server_emu::runs::Run> {
         let servers = self.servers.iter();
         servers
-            .flat_map(|server| server.runs.of(request_id))
+            .flat_map(|server| server.run_log.runs_of(request_id))
             .collect()
     }
 
--- a/crates/foxwheel-node/tests/crashing_requests.rs
+++ b/crates/foxwheel-node/tests/crashing_requests.rs
@@ -18,17 +18,17 @@
 };
 use common::{call, job_body, server_shapes, wait_for_results, Fleet, FleetPlan, ReceivedResponse};
 use foxwheel_node::settings::Role;
-use foxwheel_server_emu::server::Shape;
+use foxwheel_server_emu::server::ServerConfig;
 use foxwheel_store::api::Faults;
 use hyper::{Method, StatusCode};
 use serde_json::{json, Value};
 
 /// Returns shapes of `count` servers whose streams take about 200 ms.
-fn slow_shapes(count: usize) -> Vec<Shape> {
+fn slow_shapes(count: usize) -> Vec<ServerConfig> {
     let shapes = server_shapes(count).into_iter();
-    let slow_shapes = shapes.map(|shape| Shape {
-        events: 40,
-        step: Duration::from_millis(5),
+    let slow_shapes = shapes.map(|shape| ServerConfig {
+        events_per_stream: 40,
+        step_time: Duration::from_millis(5),
         ..shape
     });
     slow_shapes.collect()
@@ -49,7 +49,7 @@
     fleet
         .servers
         .iter()
-        .filter(|server| server.has_ended())
+        .filter(|server| server.has_terminated())
         .count()
 }
 
@@ -190,10 +190,10 @@
         let end_server = async {
             tokio::time::sleep(Duration::from_millis(60)).await;
             let busy_server = fleet.servers.iter().find(|server| {
-                let runs = server.runs.of(&id);
-                !server.has_ended() && runs.iter().any(|run| run.finished.is_none())
+                let runs = server.run_log.runs_of(&id);
+                !server.has_terminated() && runs.iter().any(|run| run.completed.is_none())
             });
-            busy_server.expect("a server runs the request").end();
+            busy_server.expect("a server runs the request").terminate();
         };
         let request = call(
             front,
@@ -281,17 +281,17 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         for server in &servers {
             assert!(
-                !server.runs.all().is_empty(),
+                !server.run_log.all_runs().is_empty(),
                 "a server has not run any request yet"
             );
-            server.end();
+            server.terminate();
         }
     };
     tokio::join!(futures::future::join_all(requests), end_servers);
     for number in 0..2 {
-        let shape = Shape {
+        let shape = ServerConfig {
             id: format!("new-{number}"),
-            ..Shape::default()
+            ..ServerConfig::default()
         };
         fleet.add_server(shape).await;
     }
--- a/crates/foxwheel-node/tests/crashing_requests_randomised.rs
+++ b/crates/foxwheel-node/tests/crashing_requests_randomised.rs
@@ -87,7 +87,10 @@
         }
         let pause = rng.random_range(50..400);
         tokio::time::sleep(Duration::from_millis(pause)).await;
-        let ended = fleet.servers.iter().filter(|server| server.has_ended());
+        let ended = fleet
+            .servers
+            .iter()
+            .filter(|server| server.has_terminated());
         if quarantined_at.is_none() && ended.count() >= CRASHES_TO_QUARANTINE {
             quarantined_at = Some(Instant::now());
         }
--- a/crates/foxwheel-node/tests/explain_failures.rs
+++ b/crates/foxwheel-node/tests/explain_failures.rs
@@ -12,7 +12,7 @@
 use foxwheel_ctl::explain;
 use foxwheel_node::settings::{NodeSettings, Role};
 use foxwheel_server_emu::faults::Fault;
-use foxwheel_server_emu::server::Shape;
+use foxwheel_server_emu::server::ServerConfig;
 use hyper::{Method, StatusCode};
 
 /// A process started from its binary, with its log in a file; killed when dropped.
@@ -64,7 +64,7 @@
 /// and the backend servers.
 async fn spawn_fleet(
     name: &str,
-    servers: Vec<Shape>,
+    servers: Vec<ServerConfig>,
     workers: u32,
 ) -> (Fleet, Vec<SpawnedProcess>) {
     let fleet = Fleet::start(FleetPlan {
@@ -107,12 +107,12 @@
 
 #[actix_web::test]
 async fn explains_a_request_refused_under_load() {
-    let slow = Shape {
+    let slow = ServerConfig {
         id: "slow".to_owned(),
         slots: 8,
-        step: Duration::from_millis(400),
-        events: 20,
-        ..Shape::default()
+        step_time: Duration::from_millis(400),
+        events_per_stream: 20,
+        ..ServerConfig::default()
     };
     let (mut fleet, processes) = spawn_fleet("load", common::server_shapes(1), 0).await;
     let front = processes[0].caller_address();
@@ -148,7 +148,7 @@
 #[actix_web::test]
 async fn explains_a_stream_cut_off_by_a_crashed_server() {
     let (fleet, processes) = spawn_fleet("stream", common::server_shapes(1), 0).await;
-    fleet.servers[0].script.extend([Fault::BreakAfter(2)]);
+    fleet.servers[0].fault_script.extend([Fault::CutAfter(2)]);
     let front = processes[0].caller_address();
     let response = call(front, Method::POST, "/stream-once/a", "broken", &[], "").await;
     assert!(!response.expect("a response").is_complete);
@@ -159,14 +159,16 @@
 
 #[actix_web::test]
 async fn explains_an_item_given_up_and_a_job_adopted_from_a_killed_worker() {
-    let slow_shapes = common::server_shapes(2).into_iter().map(|shape| Shape {
-        step: Duration::from_millis(150),
-        ..shape
-    });
+    let slow_shapes = common::server_shapes(2)
+        .into_iter()
+        .map(|shape| ServerConfig {
+            step_time: Duration::from_millis(150),
+            ..shape
+        });
     let (fleet, mut processes) = spawn_fleet("item", slow_shapes.collect(), 2).await;
     let front = processes[0].caller_address();
     for server in &fleet.servers {
-        server.script.extend([Fault::Fail; 3]);
+        server.fault_script.extend([Fault::Fail; 3]);
     }
     submit_job(front, "failing", 1).await.expect("a response");
     wait_for_results(front, "failing", 1).await;
--- a/crates/foxwheel-node/tests/membership_contract.rs
+++ b/crates/foxwheel-node/tests/membership_contract.rs
@@ -8,7 +8,7 @@
 
 use common::{call, get_status, move_plain_route, wait_for_status, Fleet, FleetPlan};
 use foxwheel_node::settings::Role;
-use foxwheel_server_emu::server::Shape;
+use foxwheel_server_emu::server::ServerConfig;
 use foxwheel_store::api::Faults;
 use hyper::{Method, StatusCode};
 use serde_json::json;
@@ -182,9 +182,9 @@
     .await;
     let other = foxwheel_server_emu::server::start(
         "127.0.0.1".parse().expect("an address"),
-        Shape {
+        ServerConfig {
             id: "of another service".to_owned(),
-            ..Shape::default()
+            ..ServerConfig::default()
         },
         fleet.cancel.clone(),
     )
@@ -197,16 +197,16 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     let status = get_status(fleet.fronts[0], "/once/a").await;
     assert_eq!(status, Some(StatusCode::SERVICE_UNAVAILABLE));
-    assert!(other.runs.all().is_empty());
+    assert!(other.run_log.all_runs().is_empty());
     fleet.cancel.cancel();
 }
 
 /// Starts one front with `count` servers whose streams have `events` events, one per `step`.
 async fn start_slow_fleet(count: usize, step: Duration, events: u64) -> Fleet {
     let shapes = common::server_shapes(count).into_iter();
-    let slow_shapes = shapes.map(|shape| Shape {
-        step,
-        events,
+    let slow_shapes = shapes.map(|shape| ServerConfig {
+        step_time: step,
+        events_per_stream: events,
         ..shape
     });
     Fleet::start(FleetPlan {
@@ -221,7 +221,7 @@
 /// time. A request sent meanwhile is either served or refused as not run, but never cut off.
 #[actix_web::test]
 async fn a_stopping_front_cuts_off_no_request() {
-    let default_events = Shape::default().events;
+    let default_events = ServerConfig::default().events_per_stream;
     let fleet = start_slow_fleet(2, Duration::from_millis(60), default_events).await;
     let front = fleet.fronts[0];
     let ready = readiness_address(&fleet, 0);
@@ -320,7 +320,7 @@
         let response = call(fleet.fronts[0], Method::GET, "/plain/a", &id, &[], "").await;
         assert_eq!(response.expect("a response").status, StatusCode::OK);
         assert!(
-            fleet.servers[0].runs.of(&id).is_empty(),
+            fleet.servers[0].run_log.runs_of(&id).is_empty(),
             "a draining server ran {id}"
         );
     }
--- a/crates/foxwheel-node/tests/metrics_contract.rs
+++ b/crates/foxwheel-node/tests/metrics_contract.rs
@@ -102,13 +102,13 @@
     .await;
     let front = fleet.fronts[0];
     let before = fetch_metrics(&fleet.processes[0]).await;
-    let script = fleet.servers[0].script.clone();
+    let script = fleet.servers[0].fault_script.clone();
     let send = |path: &'static str, id: &'static str| call(front, Method::POST, path, id, &[], "");
     // A success, a server's error response and a lost response; then a stream that is cut off.
     for (fault, status) in [
         (Fault::None, StatusCode::OK),
         (Fault::Fail, StatusCode::INTERNAL_SERVER_ERROR),
-        (Fault::LoseAnswer, StatusCode::BAD_GATEWAY),
+        (Fault::LoseResponse, StatusCode::BAD_GATEWAY),
     ] {
         script.extend([fault]);
         let response = send("/once/a", "once").await.expect("a response");
@@ -118,7 +118,7 @@
         .await
         .expect("a response");
     assert!(complete.is_complete);
-    script.extend([Fault::BreakAfter(1)]);
+    script.extend([Fault::CutAfter(1)]);
     let cut_off = send("/stream-once/a", "cut-off").await.expect("a response");
     assert!(!cut_off.is_complete);
     // With a target latency of zero, every response is late.
--- a/crates/foxwheel-node/tests/moving_route.rs
+++ b/crates/foxwheel-node/tests/moving_route.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{call, Fleet, FleetPlan, ReceivedResponse};
-use foxwheel_server_emu::server::{self, Server, Shape};
+use foxwheel_server_emu::server::{self, Server, ServerConfig};
 use hyper::{Method, StatusCode};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -26,7 +26,7 @@
     }
 }
 
-async fn add_other_server(fleet: &Fleet, shape: Shape) -> Server {
+async fn add_other_server(fleet: &Fleet, shape: ServerConfig) -> Server {
     let id = shape.id.clone();
     let ip = std::net::Ipv4Addr::LOCALHOST.into();
     let started = server::start(ip, shape, fleet.cancel.clone()).await;
@@ -87,11 +87,11 @@
 /// run has not run.
 #[actix_web::test]
 async fn waiting_requests_run_at_most_once_while_their_route_moves() {
-    let slow_shape = |id: &str| Shape {
+    let slow_shape = |id: &str| ServerConfig {
         id: id.to_owned(),
-        events: 0,
-        step: Duration::from_millis(60),
-        ..Shape::default()
+        events_per_stream: 0,
+        step_time: Duration::from_millis(60),
+        ..ServerConfig::default()
     };
     let fleet = Fleet::start(FleetPlan {
         servers: vec![slow_shape("server-0")],
@@ -101,7 +101,7 @@
     .await;
     let other = add_other_server(&fleet, slow_shape("other-0")).await;
     let runs_at = |service: &str, id: &str| match service {
-        "other" => other.runs.of(id).len(),
+        "other" => other.run_log.runs_of(id).len(),
         _ => fleet.runs_of_request(id).len(),
     };
     move_routes(&fleet, 3).await;
--- a/crates/foxwheel-node/tests/online_contract.rs
+++ b/crates/foxwheel-node/tests/online_contract.rs
@@ -8,14 +8,19 @@
 use common::{call, Fleet, FleetPlan, ReceivedResponse};
 use foxwheel_platform::online::{DEADLINE_MS, LAST_EVENT_ID, NOT_EXECUTED, SIGNATURE};
 use foxwheel_server_emu::faults::Fault;
-use foxwheel_server_emu::server::{event_text, plain_body, Shape};
+use foxwheel_server_emu::server::{event_text, plain_body, ServerConfig};
 use hyper::header::RETRY_AFTER;
 use hyper::{Method, StatusCode};
 
 fn plain_plan(count: usize) -> FleetPlan {
     let shapes = common::server_shapes(count).into_iter();
     FleetPlan {
-        servers: shapes.map(|shape| Shape { events: 0, ..shape }).collect(),
+        servers: shapes
+            .map(|shape| ServerConfig {
+                events_per_stream: 0,
+                ..shape
+            })
+            .collect(),
         workers: 0,
         ..FleetPlan::default()
     }
@@ -63,7 +68,7 @@
 
 #[actix_web::test]
 async fn plain_requests_with_each_fault() {
-    use Fault::{Fail, ForeignId, LoseAnswer, Reject, Truncate, Unsigned};
+    use Fault::{Fail, ForeignId, LoseResponse, Reject, Truncate, Unsigned};
     let ok = StatusCode::OK;
     let bad_gateway = StatusCode::BAD_GATEWAY;
     let failed = StatusCode::INTERNAL_SERVER_ERROR;
@@ -87,11 +92,11 @@
             failed,
             2,
         ),
-        case("response lost", "/plain/a", &[LoseAnswer], ok, 2),
+        case("response lost", "/plain/a", &[LoseResponse], ok, 2),
         case(
             "all responses lost",
             "/plain/a",
-            &[LoseAnswer; 2],
+            &[LoseResponse; 2],
             bad_gateway,
             2,
         ),
@@ -109,7 +114,7 @@
         case(
             "once: response lost",
             "/once/a",
-            &[LoseAnswer],
+            &[LoseResponse],
             bad_gateway,
             1,
         ),
@@ -138,7 +143,9 @@
     let fleet = Fleet::start(plain_plan(1)).await;
     for (index, case) in cases.iter().enumerate() {
         let id = format!("request-{index}");
-        fleet.servers[0].script.extend(case.faults.iter().copied());
+        fleet.servers[0]
+            .fault_script
+            .extend(case.faults.iter().copied());
         let response = call(fleet.fronts[0], Method::POST, case.path, &id, &[], "body").await;
         let response = response.unwrap_or_else(|e| panic!("{}: {e}", case.name));
         check_response(case, &response, fleet.runs_of_request(&id).len());
@@ -196,9 +203,9 @@
 /// completely.
 #[actix_web::test]
 async fn late_responses_are_delivered_completely() {
-    let slow = Shape {
-        step: Duration::from_millis(450),
-        ..Shape::default()
+    let slow = ServerConfig {
+        step_time: Duration::from_millis(450),
+        ..ServerConfig::default()
     };
     let plan = FleetPlan {
         servers: vec![slow],
@@ -240,15 +247,15 @@
 
 #[actix_web::test]
 async fn resumable_stream_continues_at_another_server() {
-    use Fault::{BreakAfter, BreakWithin, LoseAnswer, Reject, SilentAfter};
+    use Fault::{CutAfter, CutWithin, LoseResponse, Reject, StallAfter};
     let cases = [
         ("complete", &[][..], 1),
-        ("cut off before its head", &[LoseAnswer], 2),
+        ("cut off before its head", &[LoseResponse], 2),
         ("rejected", &[Reject], 1),
-        ("cut off before the first event", &[BreakAfter(0)], 2),
-        ("cut off after two events", &[BreakAfter(2)], 2),
-        ("cut off within an event", &[BreakWithin(2)], 2),
-        ("silent after three events", &[SilentAfter(3)], 2),
+        ("cut off before the first event", &[CutAfter(0)], 2),
+        ("cut off after two events", &[CutAfter(2)], 2),
+        ("cut off within an event", &[CutWithin(2)], 2),
+        ("silent after three events", &[StallAfter(3)], 2),
     ];
     let fleet = Fleet::start(FleetPlan {
         servers: common::server_shapes(1),
@@ -258,7 +265,7 @@
     .await;
     for (index, (name, faults, runs)) in cases.iter().enumerate() {
         let id = format!("stream-{index}");
-        fleet.servers[0].script.extend(faults.iter().copied());
+        fleet.servers[0].fault_script.extend(faults.iter().copied());
         let response = call(fleet.fronts[0], Method::POST, "/stream/a", &id, &[], "").await;
         let response = response.unwrap_or_else(|e| panic!("{name}: {e}"));
         assert_eq!(response.status, StatusCode::OK, "{name}");
@@ -292,19 +299,19 @@
 /// A stream that must not be resumed runs once. If it is cut off, its caller must be able to tell.
 #[actix_web::test]
 async fn cut_off_stream_that_runs_once_never_looks_complete() {
-    use Fault::{BreakAfter, BreakWithin, LoseAnswer};
+    use Fault::{CutAfter, CutWithin, LoseResponse};
     let fleet = Fleet::start(FleetPlan {
         servers: common::server_shapes(1),
         workers: 0,
         ..FleetPlan::default()
     })
     .await;
-    for (index, fault) in [BreakAfter(0), BreakAfter(2), BreakWithin(2), LoseAnswer]
+    for (index, fault) in [CutAfter(0), CutAfter(2), CutWithin(2), LoseResponse]
         .iter()
         .enumerate()
     {
         let id = format!("once-{index}");
-        fleet.servers[0].script.extend([*fault]);
+        fleet.servers[0].fault_script.extend([*fault]);
         let response = call(
             fleet.fronts[0],
             Method::POST,
@@ -325,22 +332,22 @@
 /// A server cancels a request whose caller disconnects.
 #[actix_web::test]
 async fn request_of_a_disconnected_caller_is_cancelled() {
-    let slow = Shape {
-        step: Duration::from_secs(30),
-        ..Shape::default()
+    let slow = ServerConfig {
+        step_time: Duration::from_secs(30),
+        ..ServerConfig::default()
     };
-    let fleet_plan = |shape: Shape| FleetPlan {
+    let fleet_plan = |shape: ServerConfig| FleetPlan {
         servers: vec![shape],
         workers: 0,
         ..FleetPlan::default()
     };
     // The fleet's start waits for a served request, so that the slow server is added afterwards.
-    let mut fleet = Fleet::start(fleet_plan(Shape::default())).await;
+    let mut fleet = Fleet::start(fleet_plan(ServerConfig::default())).await;
     fleet
         .register_server("server-0", fleet.servers[0].addr, "draining")
         .await;
     fleet
-        .add_server(Shape {
+        .add_server(ServerConfig {
             id: "slow".to_owned(),
             ..slow
         })
@@ -354,7 +361,7 @@
     drop(connection);
     for _ in 0..200 {
         let runs = fleet.runs_of_request("disconnected");
-        if runs.first().is_some_and(|run| run.finished == Some(false)) {
+        if runs.first().is_some_and(|run| run.completed == Some(false)) {
             fleet.cancel.cancel();
             return;
         }
@@ -401,7 +408,7 @@
         ..FleetPlan::default()
     })
     .await;
-    let failing = &fleet.servers[0].script;
+    let failing = &fleet.servers[0].fault_script;
     failing.extend(std::iter::repeat_n(Fault::Fail, 200));
     let mut failed = 0;
     for index in 0..60 {
--- a/crates/foxwheel-node/tests/restarted_servers.rs
+++ b/crates/foxwheel-node/tests/restarted_servers.rs
@@ -8,7 +8,7 @@
 
 use common::{call, server_entry, server_shapes, Fleet, FleetPlan};
 use foxwheel_node::settings::Role;
-use foxwheel_server_emu::server::{self, Server, Shape};
+use foxwheel_server_emu::server::{self, Server, ServerConfig};
 use hyper::{Method, StatusCode};
 use serde_json::{json, Value};
 
@@ -17,9 +17,9 @@
 
 async fn start_server(fleet: &Fleet, id: &str) -> Server {
     let ip = "127.0.0.1".parse().expect("an address");
-    let shape = Shape {
+    let shape = ServerConfig {
         id: id.to_owned(),
-        ..Shape::default()
+        ..ServerConfig::default()
     };
     let started = server::start(ip, shape, fleet.cancel.clone()).await;
     started.expect("server starts")
@@ -38,7 +38,7 @@
         let response = call(front, Method::POST, "/once/a", &id, &[], "").await;
         assert_eq!(response.expect("a response").status, StatusCode::OK, "{id}");
     }
-    let runs = server.runs.all();
+    let runs = server.run_log.all_runs();
     let named_runs = runs.iter().filter(|run| run.request_id.starts_with(name));
     named_runs.count()
 }
--- a/crates/foxwheel-server-emu/src/faults.rs
+++ b/crates/foxwheel-server-emu/src/faults.rs
@@ -15,15 +15,15 @@
     /// Runs and answers that it can never be done.
     Impossible,
     /// Runs, and the connection closes without an answer.
-    LoseAnswer,
+    LoseResponse,
     /// Runs, and nothing is ever answered.
-    Silent,
+    Stall,
     /// Runs, and the connection closes after this many events.
-    BreakAfter(u64),
+    CutAfter(u64),
     /// Runs, and the connection closes within the event after this many.
-    BreakWithin(u64),
+    CutWithin(u64),
     /// Runs, and the stream falls silent after this many events.
-    SilentAfter(u64),
+    StallAfter(u64),
     /// Answers with another request's id.
     ForeignId,
     /// Answers without a signature.
@@ -34,9 +34,9 @@
 
 /// The faults of the next requests; served once they are used up.
 #[derive(Debug, Default)]
-pub struct Script(Mutex<VecDeque<Fault>>);
+pub struct FaultScript(Mutex<VecDeque<Fault>>);
 
-impl Script {
+impl FaultScript {
     /// Appends faults for the next requests.
     pub fn extend(&self, faults: impl IntoIterator<Item = Fault>) {
         self.0.lock().expect("script lock").extend(faults);
--- a/crates/foxwheel-server-emu/src/runs.rs
+++ b/crates/foxwheel-server-emu/src/runs.rs
@@ -21,7 +21,7 @@
     /// When it ended; none while it runs.
     pub ended_at: Option<Instant>,
     /// Whether the sender was still there when it ended; none while it runs.
-    pub finished: Option<bool>,
+    pub completed: Option<bool>,
 }
 
 /// A request that reached the server, whether it was run or not.
@@ -30,22 +30,22 @@
     /// The request's id.
     pub request_id: String,
     /// When its head was read.
-    pub at: Instant,
+    pub received_at: Instant,
 }
 
 /// All arrivals and runs, each in their order.
 #[derive(Debug, Default)]
-pub struct Runs {
+pub struct RunLog {
     arrivals: Mutex<Vec<Arrival>>,
     runs: Mutex<Vec<Run>>,
 }
 
-impl Runs {
+impl RunLog {
     /// Records that a request arrived.
-    pub fn arrive(&self, request_id: &str) {
+    pub fn record_arrival(&self, request_id: &str) {
         let arrival = Arrival {
             request_id: request_id.to_owned(),
-            at: Instant::now(),
+            received_at: Instant::now(),
         };
         self.arrivals.lock().expect("arrivals lock").push(arrival);
     }
@@ -56,27 +56,27 @@
     }
 
     /// Records a start; answers the run's number.
-    pub fn start(&self, run: Run) -> usize {
+    pub fn record_start(&self, run: Run) -> usize {
         let mut runs = self.runs.lock().expect("runs lock");
         runs.push(run);
         runs.len() - 1
     }
 
     /// Records an end.
-    pub fn end(&self, number: usize, finished: bool) {
+    pub fn record_end(&self, number: usize, completed: bool) {
         let mut runs = self.runs.lock().expect("runs lock");
         let run = &mut runs[number];
-        run.finished.get_or_insert(finished);
+        run.completed.get_or_insert(completed);
         run.ended_at.get_or_insert_with(Instant::now);
     }
 
     /// Every run so far.
-    pub fn all(&self) -> Vec<Run> {
+    pub fn all_runs(&self) -> Vec<Run> {
         self.runs.lock().expect("runs lock").clone()
     }
 
     /// Runs of one request.
-    pub fn of(&self, request_id: &str) -> Vec<Run> {
+    pub fn runs_of(&self, request_id: &str) -> Vec<Run> {
         let runs = self.runs.lock().expect("runs lock");
         let of_request = runs.iter().filter(|run| run.request_id == request_id);
         of_request.cloned().collect()
--- a/crates/foxwheel-server-emu/src/server.rs
+++ b/crates/foxwheel-server-emu/src/server.rs
@@ -19,37 +19,37 @@
 use tokio::sync::Semaphore;
 use tokio_util::sync::CancellationToken;
 
-use crate::faults::{Fault, Script};
-use crate::runs::{Run, Runs};
+use crate::faults::{Fault, FaultScript};
+use crate::runs::{Run, RunLog};
 
 type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
 /// What the stand-in is and how fast it is.
 #[derive(Debug, Clone)]
-pub struct Shape {
+pub struct ServerConfig {
     /// Its id, which requests may expect.
     pub id: String,
     /// Requests it runs at once.
     pub slots: usize,
     /// Requests that wait beyond its slots; more are rejected.
-    pub queue: usize,
+    pub max_queued: usize,
     /// Events of a stream; 0 answers a plain body.
-    pub events: u64,
+    pub events_per_stream: u64,
     /// Time from the start of a run to its answer, and between events.
-    pub step: Duration,
+    pub step_time: Duration,
     /// Body of a request that crashes the server as soon as it begins to run.
-    pub crashes_on: Option<String>,
+    pub crashing_body: Option<String>,
 }
 
-impl Default for Shape {
+impl Default for ServerConfig {
     fn default() -> Self {
         Self {
             id: "server-0".to_owned(),
             slots: 8,
-            queue: 24,
-            events: 5,
-            step: Duration::from_millis(2),
-            crashes_on: None,
+            max_queued: 24,
+            events_per_stream: 5,
+            step_time: Duration::from_millis(2),
+            crashing_body: None,
         }
     }
 }
@@ -60,35 +60,35 @@
     /// Where it listens.
     pub addr: SocketAddr,
     /// Its faults.
-    pub script: Arc<Script>,
+    pub fault_script: Arc<FaultScript>,
     /// Its record.
-    pub runs: Arc<Runs>,
+    pub run_log: Arc<RunLog>,
     /// Cancelled when it ends.
     ended: CancellationToken,
 }
 
 impl Server {
     /// Whether it crashed or was ended: nothing listens at its address.
-    pub fn has_ended(&self) -> bool {
+    pub fn has_terminated(&self) -> bool {
         self.ended.is_cancelled()
     }
 
     /// Ends it: it closes everything without a word.
-    pub fn end(&self) {
+    pub fn terminate(&self) {
         self.ended.cancel();
     }
 
     /// Fires when it has crashed or was ended.
-    pub fn ended(&self) -> CancellationToken {
+    pub fn termination_token(&self) -> CancellationToken {
         self.ended.clone()
     }
 }
 
 #[derive(Debug)]
 struct Inner {
-    shape: Shape,
-    script: Arc<Script>,
-    runs: Arc<Runs>,
+    shape: ServerConfig,
+    script: Arc<FaultScript>,
+    runs: Arc<RunLog>,
     slots: Arc<Semaphore>,
     waiting: Arc<Semaphore>,
     ended: CancellationToken,
@@ -97,22 +97,22 @@
 /// Starts a stand-in on an ephemeral port of `ip`; it closes everything when cancelled.
 pub async fn start(
     ip: std::net::IpAddr,
-    shape: Shape,
+    shape: ServerConfig,
     cancel: CancellationToken,
 ) -> std::io::Result<Server> {
     let listener = TcpListener::bind((ip, 0)).await?;
     let ended = cancel.child_token();
     let server = Server {
         addr: listener.local_addr()?,
-        script: Arc::default(),
-        runs: Arc::default(),
+        fault_script: Arc::default(),
+        run_log: Arc::default(),
         ended: ended.clone(),
     };
     let inner = Arc::new(Inner {
         slots: Arc::new(Semaphore::new(shape.slots)),
-        waiting: Arc::new(Semaphore::new(shape.slots + shape.queue)),
-        script: Arc::clone(&server.script),
-        runs: Arc::clone(&server.runs),
+        waiting: Arc::new(Semaphore::new(shape.slots + shape.max_queued)),
+        script: Arc::clone(&server.fault_script),
+        runs: Arc::clone(&server.run_log),
         ended: ended.clone(),
         shape,
     });
@@ -129,7 +129,7 @@
                 let service = service_fn(move |request| {
                     let inner = Arc::clone(&inner);
                     // At once: a request whose sender is gone already is never polled.
-                    inner.runs.arrive(id_of(&request));
+                    inner.runs.record_arrival(id_of(&request));
                     async move { inner.answer(request).await }
                 });
                 let connection =
@@ -153,14 +153,14 @@
 
 /// Records the end of a run when it is dropped.
 struct RunGuard {
-    runs: Arc<Runs>,
+    runs: Arc<RunLog>,
     number: usize,
     finished: bool,
 }
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
-        self.runs.end(self.number, self.finished);
+        self.runs.record_end(self.number, self.finished);
     }
 }
 
@@ -191,7 +191,7 @@
         let slot = slots.acquire_owned().await.map_err(std::io::Error::other)?;
         let resumed_after = header(names::LAST_EVENT_ID).and_then(|id| id.parse().ok());
         let target = head.uri.path_and_query().map_or("", |path| path.as_str());
-        let number = self.runs.start(Run {
+        let number = self.runs.record_start(Run {
             request_id: request_id.clone(),
             target: format!("{} {target}", head.method),
             body: body.to_vec(),
@@ -199,14 +199,14 @@
             resumed_after,
             started_at: Instant::now(),
             ended_at: None,
-            finished: None,
+            completed: None,
         });
         let guard = RunGuard {
             runs: Arc::clone(&self.runs),
             number,
             finished: false,
         };
-        tokio::time::sleep(self.shape.step).await;
+        tokio::time::sleep(self.shape.step_time).await;
         if self.crashes_on(&body) {
             self.ended.cancel();
         }
@@ -223,8 +223,8 @@
     ) -> Result<Response<Body>, std::io::Error> {
         let reset = || std::io::Error::from(std::io::ErrorKind::ConnectionReset);
         match fault {
-            Fault::LoseAnswer => Err(reset()),
-            Fault::Silent => std::future::pending().await,
+            Fault::LoseResponse => Err(reset()),
+            Fault::Stall => std::future::pending().await,
             Fault::Fail => Ok(self.whole(StatusCode::INTERNAL_SERVER_ERROR, request_id)),
             Fault::Impossible => Ok(self.whole(StatusCode::UNPROCESSABLE_ENTITY, request_id)),
             Fault::ForeignId => Ok(self.whole(StatusCode::OK, "another-request")),
@@ -234,7 +234,7 @@
                 Ok(answer)
             }
             Fault::Truncate => Ok(self.truncated(request_id)),
-            _ if self.shape.events == 0 => {
+            _ if self.shape.events_per_stream == 0 => {
                 held.finish();
                 Ok(self.whole(StatusCode::OK, request_id))
             }
@@ -243,7 +243,7 @@
     }
 
     fn crashes_on(&self, body: &[u8]) -> bool {
-        let crash = self.shape.crashes_on.as_ref();
+        let crash = self.shape.crashing_body.as_ref();
         crash.is_some_and(|crash| crash.as_bytes() == body)
     }
 
@@ -297,8 +297,8 @@
         held: H,
     ) -> Response<Body> {
         let first = resumed_after.unwrap_or(0) + 1;
-        let last = self.shape.events;
-        let step = self.shape.step;
+        let last = self.shape.events_per_stream;
+        let step = self.shape.step_time;
         let id = request_id.to_owned();
         let events = stream::unfold((first, held), move |(event, mut held)| {
             let text = event_text(&id, event);
@@ -310,12 +310,12 @@
                 tokio::time::sleep(step).await;
                 let broken = std::io::Error::from(std::io::ErrorKind::ConnectionReset);
                 let piece = match fault {
-                    Fault::BreakAfter(count) if event > count => Err(broken),
-                    Fault::BreakWithin(count) if event > count + 1 => Err(broken),
-                    Fault::BreakWithin(count) if event == count + 1 => {
+                    Fault::CutAfter(count) if event > count => Err(broken),
+                    Fault::CutWithin(count) if event > count + 1 => Err(broken),
+                    Fault::CutWithin(count) if event == count + 1 => {
                         Ok(Frame::data(Bytes::from(text[..text.len() / 2].to_owned())))
                     }
-                    Fault::SilentAfter(count) if event > count => std::future::pending().await,
+                    Fault::StallAfter(count) if event > count => std::future::pending().await,
                     _ => Ok(Frame::data(Bytes::from(text))),
                 };
                 Some((piece, (event + 1, held)))
--- a/crates/foxwheel-soak/src/checks.rs
+++ b/crates/foxwheel-soak/src/checks.rs
@@ -217,10 +217,10 @@
 fn check_late_arrivals(evidence: &Evidence, call: &Call, findings: &mut Findings) {
     let deadline = call.ended_at + WITHDRAWAL_TIMEOUT;
     let mut arrivals = evidence.arrivals.iter();
-    let late_arrival =
-        arrivals.find(|seen| seen.arrival.request_id == call.id && seen.arrival.at > deadline);
+    let late_arrival = arrivals
+        .find(|seen| seen.arrival.request_id == call.id && seen.arrival.received_at > deadline);
     let Some(late) = late_arrival else { return };
-    if evidence.had_front_fault(call.front, call.sent_at, late.arrival.at) {
+    if evidence.had_front_fault(call.front, call.sent_at, late.arrival.received_at) {
         return;
     }
     let seen = format!(
@@ -229,7 +229,7 @@
         evidence.elapsed_ms(call.sent_at),
         evidence.elapsed_ms(call.ended_at),
         late.server,
-        evidence.elapsed_ms(late.arrival.at)
+        evidence.elapsed_ms(late.arrival.received_at)
     );
     findings.add(Promise::TakenBack, &call.id, seen);
 }
--- a/crates/foxwheel-soak/src/faults.rs
+++ b/crates/foxwheel-soak/src/faults.rs
@@ -215,9 +215,9 @@
         duration: Duration,
     ) -> Result<CutScope, SoakError> {
         let run_faults = match fault {
-            ServerFault::Hangs => [RunFault::Silent, RunFault::SilentAfter(2)],
-            ServerFault::LosesAnswers => [RunFault::LoseAnswer, RunFault::LoseAnswer],
-            ServerFault::BreaksOff => [RunFault::BreakAfter(2), RunFault::BreakWithin(1)],
+            ServerFault::Hangs => [RunFault::Stall, RunFault::StallAfter(2)],
+            ServerFault::LosesAnswers => [RunFault::LoseResponse, RunFault::LoseResponse],
+            ServerFault::BreaksOff => [RunFault::CutAfter(2), RunFault::CutWithin(1)],
             ServerFault::Garbles => [RunFault::ForeignId, RunFault::Unsigned],
             ServerFault::Fails => [RunFault::Fail, RunFault::Fail],
             ServerFault::Rejects => [RunFault::Reject, RunFault::Reject],
@@ -228,7 +228,11 @@
         };
         let script = {
             let fleet = self.fleet.borrow();
-            Arc::clone(&fleet.servers[index % fleet.servers.len()].emulator.script)
+            Arc::clone(
+                &fleet.servers[index % fleet.servers.len()]
+                    .emulator
+                    .fault_script,
+            )
         };
         script.extend(run_faults.into_iter().cycle().take(FAULTY_REQUESTS));
         tokio::time::sleep(duration).await;
@@ -266,7 +270,7 @@
         let replacement = match leaving_since {
             Some(_) => self.fleet.borrow_mut().next_server_id(),
             None => {
-                emulator.end();
+                emulator.terminate();
                 tokio::time::sleep(duration).await;
                 id.clone()
             }
--- a/crates/foxwheel-soak/src/fleet.rs
+++ b/crates/foxwheel-soak/src/fleet.rs
@@ -7,7 +7,7 @@
 
 use foxwheel_platform_emu::server as store_emu;
 use foxwheel_platform_emu::settings::PlatformSettings;
-use foxwheel_server_emu::server::{self, Server, Shape};
+use foxwheel_server_emu::server::{self, Server, ServerConfig};
 use foxwheel_store::client::{StoreClient, StoreError};
 use hyper::{Method, StatusCode};
 use serde_json::json;
@@ -160,17 +160,22 @@
 
     /// Starts a backend server and lists it as ready. The id can be that of an earlier server.
     pub async fn start_server(&self, id: String) -> Result<ListedServer, SoakError> {
-        let shape = Shape {
+        let shape = ServerConfig {
             id: id.clone(),
-            step: EVENT_INTERVAL,
-            events: EVENT_COUNT,
-            crashes_on: Some(CRASHING_BODY.to_owned()),
-            ..Shape::default()
+            step_time: EVENT_INTERVAL,
+            events_per_stream: EVENT_COUNT,
+            crashing_body: Some(CRASHING_BODY.to_owned()),
+            ..ServerConfig::default()
         };
         let ip = IpAddr::V4(Ipv4Addr::LOCALHOST);
         let emulator = server::start(ip, shape, self.cancel.clone()).await;
         let emulator = emulator.map_err(io_error("start a server"))?;
-        let proxy = FaultProxy::open(SocketAddr::new(ip, 0), emulator.addr, emulator.ended()).await;
+        let proxy = FaultProxy::open(
+            SocketAddr::new(ip, 0),
+            emulator.addr,
+            emulator.termination_token(),
+        )
+        .await;
         let proxy = proxy.map_err(io_error("open the path to a server"))?;
         let server = ListedServer {
             id,
@@ -344,7 +349,7 @@
         let former = self.former_servers.iter().map(|former| &former.server);
         let servers = self.servers.iter().chain(former);
         let arrivals_at_server = |server: &ListedServer| {
-            let arrivals = server.emulator.runs.arrivals().into_iter();
+            let arrivals = server.emulator.run_log.arrivals().into_iter();
             let server = server.id.clone();
             arrivals.map(move |arrival| ServerArrival {
                 server: server.clone(),
@@ -361,7 +366,7 @@
         let former = former.map(|former| (&former.server, former.leaving_since));
         let servers = current.chain(former);
         let runs_of_server = |(server, leaving_since): (&ListedServer, Option<Instant>)| {
-            let runs = server.emulator.runs.all().into_iter();
+            let runs = server.emulator.run_log.all_runs().into_iter();
             let server = server.id.clone();
             runs.map(move |run| ServerRun {
                 server: server.clone(),
--- a/crates/foxwheel-soak/src/run.rs
+++ b/crates/foxwheel-soak/src/run.rs
@@ -314,7 +314,8 @@
 fn take_crashed_servers(fleet: &Rc<RefCell<Fleet>>) -> Vec<String> {
     let mut fleet = fleet.borrow_mut();
     let servers = fleet.servers.iter_mut();
-    let crashed = servers.filter(|server| server.emulator.has_ended() && !server.crash_handled);
+    let crashed =
+        servers.filter(|server| server.emulator.has_terminated() && !server.crash_handled);
     crashed
         .map(|server| {
             server.crash_handled = true;
@@ -333,7 +334,8 @@
     let (operator, is_still_down) = {
         let fleet = fleet.borrow();
         let mut servers = fleet.servers.iter();
-        let is_still_down = servers.any(|server| server.id == id && server.emulator.has_ended());
+        let is_still_down =
+            servers.any(|server| server.id == id && server.emulator.has_terminated());
         (fleet.operator.clone(), is_still_down)
     };
     if is_still_down {
--- a/crates/foxwheel-soak/tests/checks.rs
+++ b/crates/foxwheel-soak/tests/checks.rs
@@ -60,7 +60,7 @@
             resumed_after: None,
             started_at: self.time_at(from_ms),
             ended_at: until_ms.map(|ms| self.time_at(ms)),
-            finished: until_ms.map(|_| true),
+            completed: until_ms.map(|_| true),
         };
         self.evidence.runs.push(ServerRun {
             server: "server-1".to_owned(),
@@ -74,7 +74,10 @@
         let request_id = request.to_owned();
         self.evidence.arrivals.push(ServerArrival {
             server: "server-1".to_owned(),
-            arrival: Arrival { request_id, at },
+            arrival: Arrival {
+                request_id,
+                received_at: at,
+            },
         });
     }
 
