--- a/crates/foxwheel-agent/tests/agent_contract.rs
+++ b/crates/foxwheel-agent/tests/agent_contract.rs
@@ -161,15 +161,15 @@
     // The one slot is the batch request's: each online request preempts it.
     for _ in 0..3 {
         let online = ask("online", "permit?", 5).await.expect("online");
-        let answer = foxwheel_engine_emu::openai::content_of(&online);
+        let answer = foxwheel_engine_emu::openai::extract_text(&online);
         assert_eq!(
             answer,
-            Some(foxwheel_engine_emu::text::answer("permit?", 5).as_str())
+            Some(foxwheel_engine_emu::text::response_text("permit?", 5).as_str())
         );
     }
     let batch = batch.await.expect("batch");
-    let whole = foxwheel_engine_emu::text::answer("renewal letter", 600);
-    let answer = foxwheel_engine_emu::openai::content_of(&batch);
+    let whole = foxwheel_engine_emu::text::response_text("renewal letter", 600);
+    let answer = foxwheel_engine_emu::openai::extract_text(&batch);
     assert_eq!(answer, Some(whole.as_str()));
     assert_eq!(batch["object"], "text_completion");
     assert_eq!(batch["usage"]["completion_tokens"], 600);
--- a/crates/foxwheel-engine-emu/src/cache.rs
+++ b/crates/foxwheel-engine-emu/src/cache.rs
@@ -36,13 +36,13 @@
 /// The cache.
 ///
 /// Invariant: `used_tokens == blocks.len() * BLOCK_TOKENS <= capacity_tokens`, and
-/// `by_age` holds exactly one entry per block.
+/// `blocks_by_last_use` holds exactly one entry per block.
 #[derive(Debug)]
 pub struct PrefixCache {
     capacity_tokens: usize,
     blocks: HashMap<u64, u64>,
-    by_age: BTreeMap<u64, u64>,
-    clock: u64,
+    blocks_by_last_use: BTreeMap<u64, u64>,
+    access_counter: u64,
     events: VecDeque<(Instant, CacheEvent)>,
     next_seq: u64,
     gap_every: u64,
@@ -54,8 +54,8 @@
         Self {
             capacity_tokens,
             blocks: HashMap::new(),
-            by_age: BTreeMap::new(),
-            clock: 0,
+            blocks_by_last_use: BTreeMap::new(),
+            access_counter: 0,
             events: VecDeque::new(),
             next_seq: 0,
             gap_every,
@@ -69,32 +69,32 @@
 
     /// Looks the prompt up block by block, stores the blocks it lacks, and returns how many
     /// leading tokens were already cached.
-    pub fn admit(&mut self, prompt: &str) -> usize {
+    pub fn insert_prompt(&mut self, prompt: &str) -> usize {
         let hashes = block_hashes(prompt);
         let mut hit_blocks = 0;
         let mut missed = false;
         for hash in hashes {
-            self.clock += 1;
+            self.access_counter += 1;
             if let Some(age) = self.blocks.get_mut(&hash) {
-                self.by_age.remove(age);
-                *age = self.clock;
-                self.by_age.insert(self.clock, hash);
+                self.blocks_by_last_use.remove(age);
+                *age = self.access_counter;
+                self.blocks_by_last_use.insert(self.access_counter, hash);
                 if !missed {
                     hit_blocks += 1;
                 }
                 continue;
             }
             missed = true;
-            self.make_room();
-            self.blocks.insert(hash, self.clock);
-            self.by_age.insert(self.clock, hash);
+            self.evict_until_block_fits();
+            self.blocks.insert(hash, self.access_counter);
+            self.blocks_by_last_use.insert(self.access_counter, hash);
             self.publish(CacheEventKind::Stored, hash);
         }
         hit_blocks * BLOCK_TOKENS
     }
 
     /// Events published at least `lag` ago with a sequence number of `from` or more.
-    pub fn events_since(&self, from: u64, lag: Duration) -> Vec<CacheEvent> {
+    pub fn published_events(&self, from: u64, lag: Duration) -> Vec<CacheEvent> {
         let now = Instant::now();
         self.events
             .iter()
@@ -103,9 +103,9 @@
             .collect()
     }
 
-    fn make_room(&mut self) {
+    fn evict_until_block_fits(&mut self) {
         while self.used_tokens() + BLOCK_TOKENS > self.capacity_tokens {
-            let Some((_, hash)) = self.by_age.pop_first() else {
+            let Some((_, hash)) = self.blocks_by_last_use.pop_first() else {
                 return;
             };
             self.blocks.remove(&hash);
--- a/crates/foxwheel-engine-emu/src/orders.rs
+++ b/crates/foxwheel-engine-emu/src/commands.rs
@@ -10,7 +10,7 @@
 /// What an order asks for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
-pub enum OrderKind {
+pub enum CommandKind {
     /// Serve this model (or adapter, or version) from now on.
     LoadModel {
         /// The model's name.
@@ -30,17 +30,18 @@
 
 /// An order as posted to `POST /orders`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct Command {
     /// The sender's fencing number; a newer sender has a larger one.
     pub fencing: FencingToken,
     /// What to do.
-    pub order: OrderKind,
+    #[serde(rename = "order")]
+    pub kind: CommandKind,
 }
 
 /// What the engine did with an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum OrderOutcome {
+pub enum CommandOutcome {
     /// Applied.
     Applied,
     /// Refused: its fencing number is older than one already seen.
@@ -51,7 +52,7 @@
 ///
 /// Invariant: `models` is sorted and free of duplicates; `highest_fencing` never decreases.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct EngineRole {
+pub struct ServingState {
     /// Models served, sorted.
     pub models: Vec<ModelName>,
     /// The engine's role.
@@ -62,8 +63,8 @@
     pub stale_applied: u64,
 }
 
-impl EngineRole {
-    /// Serves `models` in role `mixed`.
+impl ServingState {
+    /// Serves `models` in role `scrambled`.
     pub fn new(mut models: Vec<ModelName>) -> Self {
         models.sort();
         models.dedup();
@@ -82,28 +83,28 @@
     }
 
     /// Applies or refuses an order according to `mode`.
-    pub fn apply(&mut self, order: &Order, mode: FencingMode) -> OrderOutcome {
-        let stale = order.fencing < self.highest_fencing;
+    pub fn apply_command(&mut self, command: &Command, mode: FencingMode) -> CommandOutcome {
+        let stale = command.fencing < self.highest_fencing;
         if stale && mode == FencingMode::Refuse {
-            return OrderOutcome::RefusedStale;
+            return CommandOutcome::RefusedStale;
         }
         if stale {
             self.stale_applied += 1;
         }
-        self.highest_fencing = self.highest_fencing.max(order.fencing);
-        match &order.order {
-            OrderKind::LoadModel { model } => {
+        self.highest_fencing = self.highest_fencing.max(command.fencing);
+        match &command.kind {
+            CommandKind::LoadModel { model } => {
                 if let Err(at) = self.models.binary_search(model) {
                     self.models.insert(at, model.clone());
                 }
             }
-            OrderKind::UnloadModel { model } => {
+            CommandKind::UnloadModel { model } => {
                 if let Ok(at) = self.models.binary_search(model) {
                     self.models.remove(at);
                 }
             }
-            OrderKind::ChangeRole { role } => self.role = role.clone(),
+            CommandKind::ChangeRole { role } => self.role = role.clone(),
         }
-        OrderOutcome::Applied
+        CommandOutcome::Applied
     }
 }
--- a/crates/foxwheel-engine-emu/src/lib.rs
+++ b/crates/foxwheel-engine-emu/src/lib.rs
@@ -6,13 +6,13 @@
 //! that carry a fencing number, which it refuses when old or ignores, as set.
 
 pub mod cache;
+pub mod commands;
 pub mod openai;
-pub mod orders;
 pub mod server;
 pub mod settings;
 pub mod text;
 
 /// The emulator's parts for `use foxwheel_engine_emu::prelude::*`.
 pub mod prelude {
-    pub use crate::{cache, openai, orders, server, settings, text};
+    pub use crate::{cache, commands, openai, server, settings, text};
 }
--- a/crates/foxwheel-engine-emu/src/openai.rs
+++ b/crates/foxwheel-engine-emu/src/openai.rs
@@ -73,7 +73,7 @@
 }
 
 /// Builds the whole (non-streamed) answer body.
-pub fn whole_answer(
+pub fn full_response(
     id: &str,
     request: &CompletionRequest,
     text: &str,
@@ -99,7 +99,7 @@
 }
 
 /// Builds one streamed chunk carrying `piece`; `finish` on the last.
-pub fn chunk(
+pub fn stream_chunk(
     id: &str,
     request: &CompletionRequest,
     piece: &str,
@@ -120,7 +120,7 @@
 }
 
 /// The text of one chunk or whole answer, whichever shape it has.
-pub fn content_of(value: &serde_json::Value) -> Option<&str> {
+pub fn extract_text(value: &serde_json::Value) -> Option<&str> {
     let choice = value.get("choices")?.get(0)?;
     choice
         .get("delta")
--- a/crates/foxwheel-engine-emu/src/server.rs
+++ b/crates/foxwheel-engine-emu/src/server.rs
@@ -19,9 +19,9 @@
 use foxwheel_core::http::{self, ServerOptions};
 
 use crate::cache::PrefixCache;
+use crate::commands::{Command, CommandOutcome, ServingState};
 use crate::openai::{self, CompletionRequest};
-use crate::orders::{EngineRole, Order, OrderOutcome};
-use crate::settings::{Break, EngineFaults, EngineSettings};
+use crate::settings::{EngineFaults, EngineSettings, ResponseFault};
 use crate::text;
 
 /// Chunks buffered per stream before the engine waits for the reader.
@@ -60,7 +60,7 @@
     running: AtomicUsize,
     waiting: AtomicUsize,
     cache: Mutex<PrefixCache>,
-    role: Mutex<EngineRole>,
+    role: Mutex<ServingState>,
     faults: Mutex<EngineFaults>,
     published: Mutex<EngineLoad>,
     requests_total: AtomicU64,
@@ -80,7 +80,7 @@
                 settings.cache_event_gap_every,
             )),
             faults: Mutex::new(settings.faults),
-            role: Mutex::new(EngineRole::new(settings.models.clone())),
+            role: Mutex::new(ServingState::new(settings.models.clone())),
             published: Mutex::new(EngineLoad::default()),
             requests_total: AtomicU64::new(0),
             tokens_total: AtomicU64::new(0),
@@ -107,7 +107,7 @@
     }
 
     fn prefill_time(&self, prompt: &str, resume_from: usize) -> Duration {
-        let cached = self.cache.lock().expect("cache lock").admit(prompt);
+        let cached = self.cache.lock().expect("cache lock").insert_prompt(prompt);
         let tokens = text::count_tokens(prompt) + resume_from;
         let uncached = tokens.saturating_sub(cached) as u64;
         Duration::from_micros(uncached * self.settings.prefill_us_per_token)
@@ -141,8 +141,8 @@
             tokio::time::sleep(self.step_time()).await;
             let piece = text::token(hash, index);
             let finish = index + 1 == max_tokens;
-            let chunk = openai::chunk(&id, &request, &piece, finish).to_string();
-            if out.send(chunk).await.is_err() {
+            let stream_chunk = openai::stream_chunk(&id, &request, &piece, finish).to_string();
+            if out.send(stream_chunk).await.is_err() {
                 self.cancelled_total.fetch_add(1, Ordering::Relaxed);
                 break;
             }
@@ -191,7 +191,7 @@
     let faults = *engine.faults.lock().expect("faults lock");
     actix_web::rt::spawn(engine.generate(id.clone(), request.clone(), resume_from, tx));
     if request.stream {
-        let events = with_faults(async_stream(rx), faults);
+        let events = apply_fault(sse_events(rx), faults);
         return HttpResponse::Ok()
             .content_type("text/event-stream")
             .insert_header(("cache-control", "no-cache"))
@@ -199,12 +199,12 @@
     }
     let mut answer = String::new();
     let mut tokens = 0;
-    while let Some(chunk) = rx.recv().await {
-        if faults.break_answers.is_some() && tokens == faults.after_tokens {
+    while let Some(stream_chunk) = rx.recv().await {
+        if faults.response_fault.is_some() && tokens == faults.after_tokens {
             let half = futures::stream::once(async { Ok(Bytes::from_static(b"{\"choices\": [")) });
             return HttpResponse::Ok()
                 .content_type("application/json")
-                .streaming(with_faults(
+                .streaming(apply_fault(
                     half,
                     EngineFaults {
                         after_tokens: 1,
@@ -212,8 +212,8 @@
                     },
                 ));
         }
-        let value: serde_json::Value = serde_json::from_str(&chunk).unwrap_or_default();
-        answer.push_str(openai::content_of(&value).unwrap_or_default());
+        let value: serde_json::Value = serde_json::from_str(&stream_chunk).unwrap_or_default();
+        answer.push_str(openai::extract_text(&value).unwrap_or_default());
         tokens += 1;
     }
     let prompt_tokens = text::count_tokens(&request.prompt_text());
@@ -222,23 +222,23 @@
         completion_tokens: tokens,
         total_tokens: prompt_tokens + tokens,
     };
-    HttpResponse::Ok().json(openai::whole_answer(&id, &request, &answer, usage))
+    HttpResponse::Ok().json(openai::full_response(&id, &request, &answer, usage))
 }
 
 /// Breaks a stream of events as `faults` says, after so many of them.
-fn with_faults(
+fn apply_fault(
     events: impl futures::Stream<Item = Result<Bytes, actix_web::Error>> + 'static,
     faults: EngineFaults,
 ) -> futures::stream::LocalBoxStream<'static, Result<Bytes, actix_web::Error>> {
     use futures::StreamExt;
-    let Some(how) = faults.break_answers else {
+    let Some(how) = faults.response_fault else {
         return events.boxed_local();
     };
     let cut = events.take(faults.after_tokens);
     match how {
-        Break::EndEarly => cut.boxed_local(),
-        Break::Stall => cut.chain(futures::stream::pending()).boxed_local(),
-        Break::Abort => {
+        ResponseFault::EndEarly => cut.boxed_local(),
+        ResponseFault::Stall => cut.chain(futures::stream::pending()).boxed_local(),
+        ResponseFault::Abort => {
             let abort = actix_web::error::ErrorInternalServerError("aborted by fault");
             cut.chain(futures::stream::once(async { Err(abort) }))
                 .boxed_local()
@@ -247,16 +247,16 @@
 }
 
 /// Turns the chunk channel into server-sent events, ending with `data: [DONE]`.
-fn async_stream(
+fn sse_events(
     rx: mpsc::Receiver<String>,
 ) -> impl futures::Stream<Item = Result<Bytes, actix_web::Error>> {
     use futures::StreamExt;
-    let chunks = tokio_stream_from(rx).map(|c| Ok(Bytes::from(format!("data: {c}\n\n"))));
+    let chunks = receiver_stream(rx).map(|c| Ok(Bytes::from(format!("data: {c}\n\n"))));
     let done = futures::stream::once(async { Ok(Bytes::from_static(b"data: [DONE]\n\n")) });
     chunks.chain(done)
 }
 
-fn tokio_stream_from(mut rx: mpsc::Receiver<String>) -> impl futures::Stream<Item = String> {
+fn receiver_stream(mut rx: mpsc::Receiver<String>) -> impl futures::Stream<Item = String> {
     futures::stream::poll_fn(move |cx| rx.poll_recv(cx))
 }
 
@@ -277,12 +277,16 @@
     HttpResponse::Ok().json(role)
 }
 
-async fn order(engine: web::Data<Engine>, body: web::Json<Order>) -> HttpResponse {
+async fn apply_command(engine: web::Data<Engine>, body: web::Json<Command>) -> HttpResponse {
     let mode = engine.settings.fencing_mode;
-    let outcome = engine.role.lock().expect("role lock").apply(&body, mode);
+    let outcome = engine
+        .role
+        .lock()
+        .expect("role lock")
+        .apply_command(&body, mode);
     match outcome {
-        OrderOutcome::Applied => HttpResponse::Ok().json(outcome),
-        OrderOutcome::RefusedStale => HttpResponse::Conflict().json(outcome),
+        CommandOutcome::Applied => HttpResponse::Ok().json(outcome),
+        CommandOutcome::RefusedStale => HttpResponse::Conflict().json(outcome),
     }
 }
 
@@ -303,7 +307,7 @@
         .cache
         .lock()
         .expect("cache lock")
-        .events_since(query.from, lag);
+        .published_events(query.from, lag);
     HttpResponse::Ok().json(events)
 }
 
@@ -315,7 +319,7 @@
         .route("/load", web::get().to(load))
         .route("/stats", web::get().to(stats))
         .route("/faults", web::post().to(set_faults))
-        .route("/orders", web::post().to(order))
+        .route("/orders", web::post().to(apply_command))
         .route("/cache/events", web::get().to(cache_events));
 }
 
--- a/crates/foxwheel-engine-emu/src/settings.rs
+++ b/crates/foxwheel-engine-emu/src/settings.rs
@@ -19,7 +19,7 @@
 /// How a stream breaks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Break {
+pub enum ResponseFault {
     /// The connection is closed in the middle of the answer.
     Abort,
     /// The answer ends as if it were whole, without its last event.
@@ -34,7 +34,8 @@
 pub struct EngineFaults {
     /// Breaks every answer, streamed or whole, in this way.
     #[serde(default)]
-    pub break_answers: Option<Break>,
+    #[serde(rename = "break_answers")]
+    pub response_fault: Option<ResponseFault>,
     /// After this many tokens.
     #[serde(default)]
     pub after_tokens: usize,
--- a/crates/foxwheel-engine-emu/src/text.rs
+++ b/crates/foxwheel-engine-emu/src/text.rs
@@ -36,15 +36,15 @@
 
 /// The `index`-th token of the answer to a prompt with hash `hash`, with its trailing space.
 pub fn token(hash: u64, index: usize) -> String {
-    let mixed = hash
+    let scrambled = hash
         .wrapping_add(index as u64)
         .wrapping_mul(0x9E37_79B9_7F4A_7C15)
         .rotate_left(17);
-    format!("{} ", WORDS[(mixed % WORDS.len() as u64) as usize])
+    format!("{} ", WORDS[(scrambled % WORDS.len() as u64) as usize])
 }
 
 /// The whole answer of `max_tokens` tokens to `prompt`.
-pub fn answer(prompt: &str, max_tokens: usize) -> String {
+pub fn response_text(prompt: &str, max_tokens: usize) -> String {
     let hash = prompt_hash(prompt);
     (0..max_tokens).map(|i| token(hash, i)).collect()
 }
--- a/crates/foxwheel-engine-emu/tests/engine_contract.rs
+++ b/crates/foxwheel-engine-emu/tests/engine_contract.rs
@@ -81,7 +81,7 @@
             .filter_map(|l| l.strip_prefix("data: "))
         {
             match serde_json::from_str::<serde_json::Value>(data) {
-                Ok(chunk) => answer.push_str(openai::content_of(&chunk).unwrap_or_default()),
+                Ok(chunk) => answer.push_str(openai::extract_text(&chunk).unwrap_or_default()),
                 Err(_) => done = data == "[DONE]",
             }
         }
@@ -104,7 +104,7 @@
         let (tail, done) = engine.stream("cut sheet", 9, delivered).await;
         assert_eq!(
             format!("{head}{tail}"),
-            text::answer("cut sheet", 9),
+            text::response_text("cut sheet", 9),
             "resumed after {delivered} tokens"
         );
         assert!(done, "resumed after {delivered} tokens: ends with [DONE]");
@@ -159,7 +159,7 @@
         .expect("stream");
     drop(response);
     let (answer, done) = engine.stream("short", 3, 0).await;
-    assert_eq!(answer, text::answer("short", 3));
+    assert_eq!(answer, text::response_text("short", 3));
     assert!(done, "the only slot was free again");
     assert_eq!(engine.cancelled_in_the_end().await, 1);
 }
--- a/crates/foxwheel-gateway/tests/batch_faults.rs
+++ b/crates/foxwheel-gateway/tests/batch_faults.rs
@@ -217,8 +217,8 @@
     let body = response.body().limit(1_000_000).await.expect("body");
     let line: serde_json::Value = serde_json::from_slice(&body).expect("one line");
     assert_eq!(
-        foxwheel_engine_emu::openai::content_of(&line["response"]),
-        Some(foxwheel_engine_emu::text::answer("a long draft", 4_000).as_str())
+        foxwheel_engine_emu::openai::extract_text(&line["response"]),
+        Some(foxwheel_engine_emu::text::response_text("a long draft", 4_000).as_str())
     );
     fleet.cancel.cancel();
 }
--- a/crates/foxwheel-gateway/tests/caller_api_contract.rs
+++ b/crates/foxwheel-gateway/tests/caller_api_contract.rs
@@ -128,10 +128,10 @@
                 format!("req-{n}"),
                 "every chunk carries the caller's request id"
             );
-            answer.push_str(foxwheel_engine_emu::openai::content_of(&chunk).unwrap_or_default());
+            answer.push_str(foxwheel_engine_emu::openai::extract_text(&chunk).unwrap_or_default());
         }
         assert!(text.trim_end().ends_with("data: [DONE]"));
-        assert_eq!(answer, foxwheel_engine_emu::text::answer(&prompt, 7));
+        assert_eq!(answer, foxwheel_engine_emu::text::response_text(&prompt, 7));
     }
     fleet.cancel.cancel();
 }
--- a/crates/foxwheel-gateway/tests/common/mod.rs
+++ b/crates/foxwheel-gateway/tests/common/mod.rs
@@ -327,8 +327,9 @@
         assert_eq!(lines.len(), count);
         for (i, line) in lines.iter().enumerate() {
             assert_eq!(line["custom_id"], format!("letter-{i}"));
-            let answer = foxwheel_engine_emu::openai::content_of(&line["response"]);
-            let own = foxwheel_engine_emu::text::answer(&format!("renewal letter {i}"), tokens);
+            let answer = foxwheel_engine_emu::openai::extract_text(&line["response"]);
+            let own =
+                foxwheel_engine_emu::text::response_text(&format!("renewal letter {i}"), tokens);
             assert_eq!(answer, Some(own.as_str()), "{line}");
         }
     }
--- a/crates/foxwheel-gateway/tests/planned_stop.rs
+++ b/crates/foxwheel-gateway/tests/planned_stop.rs
@@ -28,9 +28,9 @@
         .lines()
         .filter_map(|l| l.strip_prefix("data: "))
         .filter_map(|data| serde_json::from_str::<serde_json::Value>(data).ok())
-        .filter_map(|chunk| openai::content_of(&chunk).map(str::to_owned))
+        .filter_map(|chunk| openai::extract_text(&chunk).map(str::to_owned))
         .collect();
-    answer == text::answer(&prompt, 120)
+    answer == text::response_text(&prompt, 120)
 }
 
 #[actix_web::test]
--- a/crates/foxwheel-gateway/tests/run_state_faults.rs
+++ b/crates/foxwheel-gateway/tests/run_state_faults.rs
@@ -104,8 +104,8 @@
         assert_eq!(answer.status(), 200, "request {n}");
         let answer: serde_json::Value = answer.json().await.expect("json");
         assert_eq!(
-            foxwheel_engine_emu::openai::content_of(&answer),
-            Some(foxwheel_engine_emu::text::answer(&format!("deck {n}"), 3).as_str())
+            foxwheel_engine_emu::openai::extract_text(&answer),
+            Some(foxwheel_engine_emu::text::response_text(&format!("deck {n}"), 3).as_str())
         );
     }
     assert!(broken.received.load(Ordering::SeqCst) > 0);
--- a/crates/foxwheel-gateway/tests/stream_faults.rs
+++ b/crates/foxwheel-gateway/tests/stream_faults.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use foxwheel_engine_emu::settings::{Break, EngineFaults};
+use foxwheel_engine_emu::settings::{EngineFaults, ResponseFault};
 use foxwheel_engine_emu::{openai, text};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -43,7 +43,7 @@
     }
     if !stream {
         return match serde_json::from_str::<serde_json::Value>(body) {
-            Ok(answer) => Seen::Whole(openai::content_of(&answer).unwrap_or_default().to_owned()),
+            Ok(answer) => Seen::Whole(openai::extract_text(&answer).unwrap_or_default().to_owned()),
             Err(_) => Seen::CutShort(body.to_owned()),
         };
     }
@@ -53,7 +53,7 @@
         match serde_json::from_str::<serde_json::Value>(data) {
             Ok(chunk) => {
                 assert_eq!(chunk["id"], prompt, "each chunk bears the caller's id");
-                answer.push_str(openai::content_of(&chunk).unwrap_or_default());
+                answer.push_str(openai::extract_text(&chunk).unwrap_or_default());
             }
             Err(_) => done = data == "[DONE]",
         }
@@ -74,11 +74,15 @@
 #[actix_web::test]
 async fn an_answer_broken_off_by_one_engine_is_finished_by_another() {
     for stream in [true, false] {
-        for how in [Break::Abort, Break::EndEarly, Break::Stall] {
+        for how in [
+            ResponseFault::Abort,
+            ResponseFault::EndEarly,
+            ResponseFault::Stall,
+        ] {
             for after_tokens in [0, 1, 5] {
                 let fleet = common::start(2).await;
                 let faults = EngineFaults {
-                    break_answers: Some(how),
+                    response_fault: Some(how),
                     after_tokens,
                 };
                 set_faults(&fleet, 0, faults).await;
@@ -86,7 +90,11 @@
                 for n in 0..6 {
                     let prompt = format!("panel {n} of {case}");
                     let seen = ask(&fleet, &prompt, 9, stream).await;
-                    assert_eq!(seen, Seen::Whole(text::answer(&prompt, 9)), "case {case}");
+                    assert_eq!(
+                        seen,
+                        Seen::Whole(text::response_text(&prompt, 9)),
+                        "case {case}"
+                    );
                 }
                 fleet.cancel.cancel();
             }
@@ -97,11 +105,11 @@
 #[actix_web::test]
 async fn an_answer_that_nobody_finishes_is_seen_to_be_broken() {
     for stream in [true, false] {
-        for how in [Break::Abort, Break::EndEarly] {
+        for how in [ResponseFault::Abort, ResponseFault::EndEarly] {
             let fleet = common::start(2).await;
             for engine in 0..2 {
                 let faults = EngineFaults {
-                    break_answers: Some(how),
+                    response_fault: Some(how),
                     after_tokens: 2,
                 };
                 set_faults(&fleet, engine, faults).await;
--- a/crates/foxwheel-load/src/online.rs
+++ b/crates/foxwheel-load/src/online.rs
@@ -144,7 +144,7 @@
             last = now;
             streamed
                 .text
-                .push_str(openai::content_of(&value).unwrap_or_default());
+                .push_str(openai::extract_text(&value).unwrap_or_default());
         }
     }
     if !ended {
@@ -198,7 +198,7 @@
             });
             match answer {
                 Ok(streamed) => {
-                    let expected = text::answer(&prompt, one.max_tokens);
+                    let expected = text::response_text(&prompt, one.max_tokens);
                     if streamed.text != expected || !streamed.ids_match {
                         tally.wrong_answers += 1;
                         return;
