--- a/crates/foxwheel-platform-emu/src/data_file.rs
+++ b/crates/foxwheel-platform-emu/src/data_file.rs
@@ -3,10 +3,10 @@
 use std::io;
 use std::path::Path;
 
-use crate::state::Saved;
+use crate::state::StoreSnapshot;
 
 /// Reads a data file; `None` when there is none yet.
-pub fn load(path: &Path) -> io::Result<Option<Saved>> {
+pub fn load(path: &Path) -> io::Result<Option<StoreSnapshot>> {
     match std::fs::read(path) {
         Ok(bytes) => serde_json::from_slice(&bytes)
             .map(Some)
@@ -17,8 +17,8 @@
 }
 
 /// Replaces the data file whole: a crash leaves the old one or the new one.
-pub fn save(path: &Path, everything: &Saved) -> io::Result<()> {
-    let bytes = serde_json::to_vec(everything).map_err(io::Error::other)?;
+pub fn save(path: &Path, snapshot: &StoreSnapshot) -> io::Result<()> {
+    let bytes = serde_json::to_vec(snapshot).map_err(io::Error::other)?;
     let next = path.with_extension("next");
     std::fs::write(&next, bytes)?;
     std::fs::rename(next, path)
--- a/crates/foxwheel-platform-emu/src/server.rs
+++ b/crates/foxwheel-platform-emu/src/server.rs
@@ -15,7 +15,7 @@
 
 use crate::data_file;
 use crate::settings::PlatformSettings;
-use crate::state::{Data, Metadata, Object, RateLimit, Refused};
+use crate::state::{Metadata, Object, ObjectStore, RateLimit, StoreError};
 
 /// Longest a watch may wait, in milliseconds.
 const MAX_WATCH_WAIT_MS: u64 = 30_000;
@@ -35,7 +35,7 @@
 }
 
 struct Inner {
-    data: Data,
+    data: ObjectStore,
     reads: RateLimit,
     writes: RateLimit,
     counts: CallCounts,
@@ -55,8 +55,8 @@
     pub fn new(settings: &PlatformSettings) -> std::io::Result<Self> {
         let saved = settings.data_file.as_deref().map(data_file::load);
         let data = match saved.transpose()?.flatten() {
-            Some(saved) => Data::restore(saved, settings.history_len),
-            None => Data::new(settings.history_len),
+            Some(saved) => ObjectStore::restore(saved, settings.history_len),
+            None => ObjectStore::new(settings.history_len),
         };
         Ok(Self {
             inner: Mutex::new(Inner {
@@ -90,7 +90,7 @@
             Some(Refusal::RateLimited) => Err(HttpResponse::TooManyRequests()
                 .insert_header(("retry-after", "1"))
                 .body("rate limited")),
-            Some(Refusal::Reset) => Err(broken_answer()),
+            Some(Refusal::Reset) => Err(aborted_response()),
             Some(Refusal::Silent) => std::future::pending().await,
         }
     }
@@ -110,8 +110,8 @@
         } else {
             let started = self.started;
             let allowed = match kind {
-                CallKind::Write => inner.writes.take(started),
-                CallKind::Read | CallKind::Watch => inner.reads.take(started),
+                CallKind::Write => inner.writes.try_acquire(started),
+                CallKind::Read | CallKind::Watch => inner.reads.try_acquire(started),
             };
             (!allowed).then_some(Refusal::RateLimited)
         };
@@ -120,7 +120,7 @@
     }
 
     /// If the answer of this write is to be lost: how long before the write is done.
-    fn lost_reply(&self) -> Option<Duration> {
+    fn next_lost_write_delay(&self) -> Option<Duration> {
         let mut inner = self.lock();
         inner.writes_seen += 1;
         let every = inner.faults.lose_reply_every;
@@ -128,7 +128,7 @@
         lost.then(|| Duration::from_millis(inner.faults.late_ms))
     }
 
-    fn apply(&self, change: Change) -> Result<Object, Refused> {
+    fn apply(&self, change: WriteOperation) -> Result<Object, StoreError> {
         let result = change.apply(&mut self.lock().data);
         if result.is_ok() {
             self.changed.notify_waiters();
@@ -138,7 +138,7 @@
 }
 
 /// One write.
-enum Change {
+enum WriteOperation {
     Create {
         kind: String,
         object: Object,
@@ -160,8 +160,8 @@
     },
 }
 
-impl Change {
-    fn apply(self, data: &mut Data) -> Result<Object, Refused> {
+impl WriteOperation {
+    fn apply(self, data: &mut ObjectStore) -> Result<Object, StoreError> {
         match self {
             Self::Create { kind, object } => data.create(&kind, object),
             Self::Replace { kind, name, body } => {
@@ -209,26 +209,30 @@
 }
 
 /// An answer that breaks off, so that the connection closes without a whole answer.
-fn broken_answer() -> HttpResponse {
+fn aborted_response() -> HttpResponse {
     let broken = std::io::Error::from(std::io::ErrorKind::ConnectionReset);
     let body = futures::stream::once(async move { Err::<web::Bytes, _>(broken) });
     HttpResponse::Ok().streaming(body)
 }
 
-fn refusal(refused: Refused) -> HttpResponse {
+fn refusal(refused: StoreError) -> HttpResponse {
     match refused {
-        Refused::NotFound => HttpResponse::NotFound().finish(),
-        Refused::Conflict(object) => HttpResponse::Conflict().json(object),
-        Refused::Gone => HttpResponse::Gone().finish(),
-        Refused::TooLarge => HttpResponse::PayloadTooLarge().body("value larger than 1 MiB"),
+        StoreError::NotFound => HttpResponse::NotFound().finish(),
+        StoreError::Conflict(object) => HttpResponse::Conflict().json(object),
+        StoreError::HistoryExpired => HttpResponse::Gone().finish(),
+        StoreError::TooLarge => HttpResponse::PayloadTooLarge().body("value larger than 1 MiB"),
     }
 }
 
-async fn write(emu: web::Data<Emulator>, request: HttpRequest, change: Change) -> HttpResponse {
+async fn write(
+    emu: web::Data<Emulator>,
+    request: HttpRequest,
+    change: WriteOperation,
+) -> HttpResponse {
     if let Err(refused) = emu.admit(CallKind::Write, &request).await {
         return refused;
     }
-    match emu.lost_reply() {
+    match emu.next_lost_write_delay() {
         None => match emu.apply(change) {
             Ok(object) => HttpResponse::Ok().json(object),
             Err(refused) => refusal(refused),
@@ -236,14 +240,14 @@
         Some(late) if late.is_zero() => {
             // Its answer is lost, whatever it is.
             let _ = emu.apply(change);
-            broken_answer()
+            aborted_response()
         }
         Some(late) => {
             actix_web::rt::spawn(async move {
                 tokio::time::sleep(late).await;
                 let _ = emu.apply(change);
             });
-            broken_answer()
+            aborted_response()
         }
     }
 }
@@ -255,7 +259,7 @@
     body: web::Json<ObjectBody>,
 ) -> HttpResponse {
     let body = body.into_inner();
-    let change = Change::Create {
+    let change = WriteOperation::Create {
         kind: kind.into_inner(),
         object: Object {
             metadata: Metadata {
@@ -280,7 +284,7 @@
 ) -> HttpResponse {
     let (kind, name) = path.into_inner();
     let body = body.into_inner();
-    write(emu, request, Change::Replace { kind, name, body }).await
+    write(emu, request, WriteOperation::Replace { kind, name, body }).await
 }
 
 async fn set_status(
@@ -291,7 +295,7 @@
 ) -> HttpResponse {
     let (kind, name) = path.into_inner();
     let body = body.into_inner();
-    write(emu, request, Change::SetStatus { kind, name, body }).await
+    write(emu, request, WriteOperation::SetStatus { kind, name, body }).await
 }
 
 #[derive(Debug, Deserialize)]
@@ -306,7 +310,7 @@
     query: web::Query<DeleteQuery>,
 ) -> HttpResponse {
     let (kind, name) = path.into_inner();
-    let change = Change::Delete {
+    let change = WriteOperation::Delete {
         kind,
         name,
         revision: query.revision,
@@ -393,7 +397,7 @@
 async fn stats(emu: web::Data<Emulator>) -> HttpResponse {
     let inner = emu.lock();
     let mut counts = inner.counts.clone();
-    (counts.objects, counts.stored_bytes) = inner.data.sizes();
+    (counts.objects, counts.stored_bytes) = inner.data.object_count_and_bytes();
     HttpResponse::Ok().json(counts)
 }
 
@@ -430,18 +434,18 @@
 }
 
 /// Saves the objects whenever they changed, until `cancel` fires and once more then.
-async fn keep_saved(emu: web::Data<Emulator>, path: PathBuf, cancel: CancellationToken) {
+async fn save_periodically(emu: web::Data<Emulator>, path: PathBuf, cancel: CancellationToken) {
     let mut saved_revision = 0;
     loop {
         let stopping = cancel.is_cancelled();
-        let everything = {
+        let snapshot = {
             let inner = emu.lock();
             let changed = inner.data.revision() != saved_revision;
-            changed.then(|| inner.data.save())
+            changed.then(|| inner.data.snapshot())
         };
-        if let Some(everything) = everything {
-            match data_file::save(&path, &everything) {
-                Ok(()) => saved_revision = everything.revision,
+        if let Some(snapshot) = snapshot {
+            match data_file::save(&path, &snapshot) {
+                Ok(()) => saved_revision = snapshot.revision,
                 Err(e) => log::warn!("{} not written: {e}", path.display()),
             }
         }
@@ -462,7 +466,7 @@
 ) -> std::io::Result<(SocketAddr, actix_web::dev::Server)> {
     let emu = web::Data::from(Arc::new(Emulator::new(settings)?));
     if let Some(path) = settings.data_file.clone() {
-        actix_web::rt::spawn(keep_saved(emu.clone(), path, cancel.clone()));
+        actix_web::rt::spawn(save_periodically(emu.clone(), path, cancel.clone()));
     }
     let shape = ServerOptions {
         shutdown_timeout: Duration::from_secs(5),
--- a/crates/foxwheel-platform-emu/src/state.rs
+++ b/crates/foxwheel-platform-emu/src/state.rs
@@ -10,13 +10,13 @@
 
 /// Why a call was refused by the data layer.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Refused {
+pub enum StoreError {
     /// The object is not there.
     NotFound,
     /// The object exists already, or a conditional write found another revision.
     Conflict(Box<Object>),
     /// The watch asked for history no longer kept.
-    Gone,
+    HistoryExpired,
     /// The value is larger than 1 MiB.
     TooLarge,
 }
@@ -43,7 +43,7 @@
     }
 
     /// Takes one call's allowance; `false` when this second's is spent.
-    pub fn take(&mut self, started: Instant) -> bool {
+    pub fn try_acquire(&mut self, started: Instant) -> bool {
         let second = started.elapsed().as_secs();
         if second != self.second {
             self.second = second;
@@ -91,7 +91,7 @@
 
 /// One change.
 #[derive(Debug, Clone, Serialize)]
-pub struct Event {
+pub struct ChangeEvent {
     /// The kind of the object.
     #[serde(skip)]
     pub kind: String,
@@ -103,7 +103,7 @@
 
 /// Everything that is kept over a restart.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Saved {
+pub struct StoreSnapshot {
     /// The store's revision.
     pub revision: Version,
     /// Kinds and their objects, sorted by kind and name.
@@ -113,19 +113,19 @@
 /// All objects and their history.
 ///
 /// Invariant: `revision` is the largest revision of any object or event, and every event in
-/// `history` is newer than `oldest_kept`.
+/// `history` is newer than `history_start`.
 #[derive(Debug)]
-pub struct Data {
+pub struct ObjectStore {
     /// Sorted by kind and name.
     objects: Vec<(String, Object)>,
     revision: Version,
-    history: VecDeque<Event>,
+    history: VecDeque<ChangeEvent>,
     history_len: usize,
-    oldest_kept: Version,
+    history_start: Version,
     stored_bytes: u64,
 }
 
-impl Data {
+impl ObjectStore {
     /// Empty, keeping `history_len` changes for watches.
     pub fn new(history_len: usize) -> Self {
         Self {
@@ -133,27 +133,27 @@
             revision: 0,
             history: VecDeque::new(),
             history_len,
-            oldest_kept: 0,
+            history_start: 0,
             stored_bytes: 0,
         }
     }
 
     /// The objects of `saved` at its revision. Watches from before it must list again, as
     /// the changes that led to it are not kept.
-    pub fn restore(saved: Saved, history_len: usize) -> Self {
+    pub fn restore(saved: StoreSnapshot, history_len: usize) -> Self {
         let stored_bytes = saved.objects.iter().map(|(_, o)| value_bytes(o)).sum();
         Self {
             objects: saved.objects,
             revision: saved.revision,
-            oldest_kept: saved.revision,
+            history_start: saved.revision,
             stored_bytes,
             ..Self::new(history_len)
         }
     }
 
     /// What is kept over a restart.
-    pub fn save(&self) -> Saved {
-        Saved {
+    pub fn snapshot(&self) -> StoreSnapshot {
+        StoreSnapshot {
             revision: self.revision,
             objects: self.objects.clone(),
         }
@@ -165,15 +165,15 @@
     }
 
     /// Counts of objects and bytes.
-    pub fn sizes(&self) -> (u64, u64) {
+    pub fn object_count_and_bytes(&self) -> (u64, u64) {
         (self.objects.len() as u64, self.stored_bytes)
     }
 
     /// One object.
-    pub fn get(&self, kind: &str, name: &str) -> Result<Object, Refused> {
+    pub fn get(&self, kind: &str, name: &str) -> Result<Object, StoreError> {
         let at = self.position(kind, name);
         at.map(|at| self.objects[at].1.clone())
-            .map_err(|_| Refused::NotFound)
+            .map_err(|_| StoreError::NotFound)
     }
 
     /// At most `limit` objects of a kind whose names come after `after`, and whether there
@@ -191,11 +191,11 @@
     }
 
     /// Creates an object.
-    pub fn create(&mut self, kind: &str, object: Object) -> Result<Object, Refused> {
+    pub fn create(&mut self, kind: &str, object: Object) -> Result<Object, StoreError> {
         self.check_size(&object)?;
         let Err(at) = self.position(kind, &object.metadata.name) else {
-            let standing = self.get(kind, &object.metadata.name)?;
-            return Err(Refused::Conflict(Box::new(standing)));
+            let current = self.get(kind, &object.metadata.name)?;
+            return Err(StoreError::Conflict(Box::new(current)));
         };
         self.revision += 1;
         let mut created = object;
@@ -216,22 +216,24 @@
         name: &str,
         revision: Option<Version>,
         alter: impl FnOnce(&mut Object),
-    ) -> Result<Object, Refused> {
-        let at = self.position(kind, name).map_err(|_| Refused::NotFound)?;
-        let standing = self.objects[at].1.clone();
-        if revision.is_some_and(|revision| revision != standing.metadata.revision) {
-            return Err(Refused::Conflict(Box::new(standing)));
+    ) -> Result<Object, StoreError> {
+        let at = self
+            .position(kind, name)
+            .map_err(|_| StoreError::NotFound)?;
+        let current = self.objects[at].1.clone();
+        if revision.is_some_and(|revision| revision != current.metadata.revision) {
+            return Err(StoreError::Conflict(Box::new(current)));
         }
-        let mut changed = standing.clone();
+        let mut changed = current.clone();
         alter(&mut changed);
-        if changed == standing {
-            return Ok(standing);
+        if changed == current {
+            return Ok(current);
         }
         self.check_size(&changed)?;
         self.revision += 1;
         changed.metadata.revision = self.revision;
         self.stored_bytes += value_bytes(&changed);
-        self.stored_bytes -= value_bytes(&standing);
+        self.stored_bytes -= value_bytes(&current);
         let goes = changed.metadata.deleting && changed.metadata.finalizers.is_empty();
         if goes {
             self.stored_bytes -= value_bytes(&changed);
@@ -243,24 +245,25 @@
         Ok(changed)
     }
 
-    /// Changes of `kind` after `from`, or `Gone` when they are no longer all kept.
-    pub fn changes_since(&self, kind: &str, from: Version) -> Result<Vec<Event>, Refused> {
-        if from < self.oldest_kept {
-            return Err(Refused::Gone);
+    /// Changes of `kind` after `from`, or `HistoryExpired` when they are no longer all kept.
+    pub fn changes_since(&self, kind: &str, from: Version) -> Result<Vec<ChangeEvent>, StoreError> {
+        if from < self.history_start {
+            return Err(StoreError::HistoryExpired);
         }
-        let newer = |event: &&Event| event.object.metadata.revision > from && event.kind == kind;
+        let newer =
+            |event: &&ChangeEvent| event.object.metadata.revision > from && event.kind == kind;
         Ok(self.history.iter().filter(newer).cloned().collect())
     }
 
     /// Forgets the whole history.
     pub fn drop_history(&mut self) {
         self.history.clear();
-        self.oldest_kept = self.revision;
+        self.history_start = self.revision;
     }
 
-    fn check_size(&self, object: &Object) -> Result<(), Refused> {
+    fn check_size(&self, object: &Object) -> Result<(), StoreError> {
         if value_bytes(object) > MAX_VALUE_BYTES as u64 {
-            return Err(Refused::TooLarge);
+            return Err(StoreError::TooLarge);
         }
         Ok(())
     }
@@ -272,14 +275,14 @@
     }
 
     fn record(&mut self, kind: &str, object: Object, tombstone: bool) {
-        self.history.push_back(Event {
+        self.history.push_back(ChangeEvent {
             kind: kind.to_owned(),
             object,
             tombstone,
         });
         while self.history.len() > self.history_len {
             if let Some(dropped) = self.history.pop_front() {
-                self.oldest_kept = dropped.object.metadata.revision;
+                self.history_start = dropped.object.metadata.revision;
             }
         }
     }
--- a/crates/foxwheel-service-emu/src/lib.rs
+++ b/crates/foxwheel-service-emu/src/lib.rs
@@ -45,7 +45,7 @@
 
 /// How often one (path, key) pair was executed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Execution {
+pub struct ExecutionCount {
     /// The path posted to.
     pub path: String,
     /// The `Idempotency-Key` sent, or empty.
@@ -62,7 +62,11 @@
     executions: Mutex<BTreeMap<(String, String), u64>>,
 }
 
-async fn execute(service: web::Data<Service>, req: HttpRequest, body: web::Bytes) -> HttpResponse {
+async fn record_execution(
+    service: web::Data<Service>,
+    req: HttpRequest,
+    body: web::Bytes,
+) -> HttpResponse {
     tokio::time::sleep(service.delay).await;
     let key = req
         .headers()
@@ -97,12 +101,12 @@
 }
 
 async fn executions(service: web::Data<Service>) -> HttpResponse {
-    let list: Vec<Execution> = service
+    let list: Vec<ExecutionCount> = service
         .executions
         .lock()
         .expect("executions lock")
         .iter()
-        .map(|((path, key), count)| Execution {
+        .map(|((path, key), count)| ExecutionCount {
             path: path.clone(),
             idempotency_key: key.clone(),
             count: *count,
@@ -137,6 +141,6 @@
     if req.method() == actix_web::http::Method::GET {
         read(service, req).await
     } else {
-        execute(service, req, body).await
+        record_execution(service, req, body).await
     }
 }
