--- a/crates/foxwheel-load/src/args.rs
+++ b/crates/foxwheel-load/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line of `foxwheel-load`.
+//! Parses the command line of `foxwheel-load`.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -18,77 +18,78 @@
   model --scenario FILE --out FOLDER     variants of the decisions on the load model;
                                          writes report.md and first-token.svg";
 
-/// Calls of `overhead`, each way, unless told otherwise.
+/// Default of `--calls`: the calls each way for `overhead`, the changes for `propagation`.
 const DEFAULT_CALLS: u64 = 2_000;
 
-/// A parsed command.
+/// A parsed command with its options.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// `run`.
+    /// `run`: runs one experiment.
     Run {
         /// The experiment file.
         experiment: PathBuf,
-        /// Where results go.
+        /// The folder that results are written to.
         out: PathBuf,
     },
-    /// `sweep`.
+    /// `sweep`: runs an experiment at many points.
     Sweep {
         /// The sweep file.
         sweep: PathBuf,
-        /// Where results go.
+        /// The folder that results are written to.
         out: PathBuf,
     },
-    /// `fit`.
+    /// `fit`: fits one column of a sweep's rows to others.
     Fit {
-        /// A sweep's rows.
+        /// The file with a sweep's rows.
         rows: PathBuf,
         /// The column to fit.
         y: String,
-        /// The columns it depends on.
+        /// The columns, or products of columns, that it depends on.
         xs: Vec<String>,
     },
-    /// `overhead`.
+    /// `overhead`: compares a gateway with direct calls.
     Overhead {
         /// The experiment file; its fleet and first online load are used.
         experiment: PathBuf,
-        /// Where results go.
+        /// The folder that results are written to.
         out: PathBuf,
-        /// Calls each way.
+        /// The number of calls each way.
         calls: u64,
     },
-    /// `propagation`.
+    /// `propagation`: measures the time until changes are in force.
     Propagation {
         /// The experiment file; its fleet is used.
         experiment: PathBuf,
-        /// Where results go.
+        /// The folder that results are written to.
         out: PathBuf,
-        /// Changes applied.
+        /// The number of changes to apply.
         changes: u64,
     },
-    /// `model`.
+    /// `model`: simulates the variants of a scenario.
     Model {
         /// The scenario file.
         scenario: PathBuf,
-        /// Where results go.
+        /// The folder that results are written to.
         out: PathBuf,
     },
-    /// `--help`.
+    /// `--help`: prints the usage text.
     Help,
-    /// `--version`.
+    /// `--version`: prints the version.
     Version,
 }
 
-/// Parses the arguments after the program name.
+/// Parses the arguments that follow the program name. Returns an error for an unknown command
+/// or option, and if a required option is missing.
 pub fn parse(args: impl IntoIterator<Item = OsString>) -> Result<Command, lexopt::Error> {
     use lexopt::prelude::*;
     let mut parser = lexopt::Parser::from_args(args);
-    let mut name = None;
+    let mut command_name = None;
     let (mut experiment, mut sweep, mut scenario) = (None, None, None);
     let (mut rows, mut out) = (None, None);
     let (mut y, mut xs, mut calls) = (None, None, DEFAULT_CALLS);
     while let Some(arg) = parser.next()? {
         match arg {
-            Value(word) if name.is_none() => name = Some(word.string()?),
+            Value(value) if command_name.is_none() => command_name = Some(value.string()?),
             Short('e') | Long("experiment") => experiment = Some(PathBuf::from(parser.value()?)),
             Long("sweep") => sweep = Some(PathBuf::from(parser.value()?)),
             Long("scenario") => scenario = Some(PathBuf::from(parser.value()?)),
@@ -105,40 +106,40 @@
             _ => return Err(arg.unexpected()),
         }
     }
-    match name.as_deref() {
+    match command_name.as_deref() {
         Some("run") => Ok(Command::Run {
-            experiment: need(experiment, "--experiment")?,
-            out: need(out, "--out")?,
+            experiment: require_option(experiment, "--experiment")?,
+            out: require_option(out, "--out")?,
         }),
         Some("sweep") => Ok(Command::Sweep {
-            sweep: need(sweep, "--sweep")?,
-            out: need(out, "--out")?,
+            sweep: require_option(sweep, "--sweep")?,
+            out: require_option(out, "--out")?,
         }),
         Some("fit") => Ok(Command::Fit {
-            rows: need(rows, "--rows")?,
-            y: need(y, "--y")?,
-            xs: need(xs, "--x")?,
+            rows: require_option(rows, "--rows")?,
+            y: require_option(y, "--y")?,
+            xs: require_option(xs, "--x")?,
         }),
         Some("overhead") => Ok(Command::Overhead {
-            experiment: need(experiment, "--experiment")?,
-            out: need(out, "--out")?,
+            experiment: require_option(experiment, "--experiment")?,
+            out: require_option(out, "--out")?,
             calls,
         }),
         Some("propagation") => Ok(Command::Propagation {
-            experiment: need(experiment, "--experiment")?,
-            out: need(out, "--out")?,
+            experiment: require_option(experiment, "--experiment")?,
+            out: require_option(out, "--out")?,
             changes: calls,
         }),
         Some("model") => Ok(Command::Model {
-            scenario: need(scenario, "--scenario")?,
-            out: need(out, "--out")?,
+            scenario: require_option(scenario, "--scenario")?,
+            out: require_option(out, "--out")?,
         }),
         Some(other) => Err(format!("unknown command `{other}`").into()),
         None => Err("no command given".into()),
     }
 }
 
-fn need<T>(value: Option<T>, option: &str) -> Result<T, lexopt::Error> {
+fn require_option<T>(value: Option<T>, option: &str) -> Result<T, lexopt::Error> {
     value.ok_or_else(|| lexopt::Error::MissingValue {
         option: Some(option.to_owned()),
     })
--- a/crates/foxwheel-load/src/batch.rs
+++ b/crates/foxwheel-load/src/batch.rs
@@ -1,5 +1,5 @@
-//! Batch load: each job is sent twice with its client key (a resending client), possibly
-//! cancelled, then waited for; the results are read back and checked.
+//! Batch load: sends each job twice with its client key, as by a client that resends, cancels it
+//! if the experiment says so, waits for it, and reads and counts its results.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -10,52 +10,53 @@
 use crate::experiment::BatchLoad;
 use crate::timeline::BatchPoint;
 
-/// What one job came to.
+/// The statistics of one job.
 #[derive(Debug, Clone, Default)]
-pub struct BatchTally {
-    /// The client key.
+pub struct BatchStats {
+    /// The client key of the job.
     pub client_key: String,
-    /// The job id the gateway gave; the same for both sends when resends are idempotent.
+    /// The job ids in the responses to both submissions. They are equal if resending is idempotent.
     pub job_ids: Vec<String>,
-    /// Items sent.
+    /// The number of items submitted.
     pub items: u64,
-    /// Items done, failed, cancelled, still pending, as read from the results.
+    /// The number of items done, as read from the results.
     pub done: u64,
-    /// Failed items.
+    /// The number of failed items.
     pub failed: u64,
-    /// Cancelled items.
+    /// The number of cancelled items.
     pub cancelled: u64,
-    /// Items still pending when the wait ended.
+    /// The number of items without a final result when the wait ended.
     pub pending: u64,
-    /// Result lines whose custom_id was seen more than once, or was never sent.
+    /// The number of result lines whose `custom_id` was seen before or was never submitted.
     pub duplicate_or_unknown: u64,
-    /// Seconds from sending to the job's end (all items final), if it ended.
+    /// Time from submission to the end of the job (all items final), in seconds; None if it did not
+    /// end.
     pub elapsed_s: Option<f64>,
-    /// Items finished over time.
+    /// The number of finished items over time.
     pub finished: Vec<BatchPoint>,
-    /// Whether it was cancelled.
-    pub cancelled_job: bool,
-    /// An error that stopped the job's run.
+    /// Whether a cancellation was sent.
+    pub cancel_sent: bool,
+    /// The error that ended the load before its results were read.
     pub error: Option<String>,
 }
 
-/// The pause between two status calls.
-const POLL: Duration = Duration::from_millis(250);
+/// The interval between two status calls, and between two attempts to submit a job.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Deserialize)]
 struct StatusBody {
-    job: JobBody,
-    counts: Counts,
+    job: JobStatus,
+    counts: ItemCounts,
 }
 
 #[derive(Debug, Deserialize)]
-struct JobBody {
+struct JobStatus {
     id: String,
     state: String,
 }
 
 #[derive(Debug, Deserialize)]
-struct Counts {
+struct ItemCounts {
     pending: u64,
     done: u64,
     failed: u64,
@@ -67,7 +68,7 @@
     state: String,
 }
 
-fn items(load: &BatchLoad) -> Vec<serde_json::Value> {
+fn build_items(load: &BatchLoad) -> Vec<serde_json::Value> {
     (0..load.items)
         .map(|i| {
             let prompt = format!("{} (item {i})", load.prompts[i % load.prompts.len()]);
@@ -104,18 +105,19 @@
     serde_json::from_slice(&bytes).map_err(|e| e.to_string())
 }
 
-/// Sends the job again, as clients do, while it is refused or unanswered.
+/// Submits the job repeatedly, as clients do, until it is accepted or `wait` has passed. Returns
+/// the last error if it is not accepted.
 async fn post_until_accepted(
     client: &awc::Client,
     gateway: &str,
     body: &serde_json::Value,
     wait: Duration,
 ) -> Result<StatusBody, String> {
-    let started = Instant::now();
+    let started_at = Instant::now();
     loop {
         match post_job(client, gateway, body).await {
-            Err(_) if started.elapsed() < wait => tokio::time::sleep(POLL).await,
-            answer => return answer,
+            Err(_) if started_at.elapsed() < wait => tokio::time::sleep(POLL_INTERVAL).await,
+            result => return result,
         }
     }
 }
@@ -140,26 +142,26 @@
     body.await.map_err(|e| e.to_string())
 }
 
-/// Sends the job, waits for it at most `wait`, and tallies its results.
-pub async fn run(gateways: Vec<String>, load: BatchLoad, wait: Duration) -> BatchTally {
-    let mut tally = BatchTally {
+/// Submits the job, waits for its end for at most `wait`, and returns its statistics.
+pub async fn run_batch_load(gateways: Vec<String>, load: BatchLoad, wait: Duration) -> BatchStats {
+    let mut stats = BatchStats {
         client_key: load.client_key.clone(),
         items: load.items as u64,
-        ..BatchTally::default()
+        ..BatchStats::default()
     };
-    if let Err(e) = run_job(&gateways, &load, wait, &mut tally).await {
-        tally.error = Some(e);
+    if let Err(e) = submit_and_await_job(&gateways, &load, wait, &mut stats).await {
+        stats.error = Some(e);
     }
-    tally
+    stats
 }
 
-async fn run_job(
+async fn submit_and_await_job(
     gateways: &[String],
     load: &BatchLoad,
     wait: Duration,
-    tally: &mut BatchTally,
+    stats: &mut BatchStats,
 ) -> Result<(), String> {
-    let load_started = Instant::now();
+    let load_started_at = Instant::now();
     tokio::time::sleep(Duration::from_secs(load.start_after_s)).await;
     let client = awc::Client::builder()
         .timeout(Duration::from_secs(120))
@@ -168,66 +170,71 @@
         "client_key": load.client_key,
         "model": load.model,
         "completion_window_s": 3600,
-        "items": items(load),
+        "items": build_items(load),
     });
     let sent_at = Instant::now();
-    let first = post_until_accepted(&client, &gateways[0], &body, wait).await?;
-    let resent = post_until_accepted(&client, &gateways[gateways.len() - 1], &body, wait).await?;
-    tally.job_ids = vec![first.job.id.clone(), resent.job.id.clone()];
-    let id = first.job.id;
+    let first_response = post_until_accepted(&client, &gateways[0], &body, wait).await?;
+    let resend_response =
+        post_until_accepted(&client, &gateways[gateways.len() - 1], &body, wait).await?;
+    stats.job_ids = vec![
+        first_response.job.id.clone(),
+        resend_response.job.id.clone(),
+    ];
+    let id = first_response.job.id;
     let gateway = &gateways[0];
     loop {
         let elapsed = sent_at.elapsed();
-        if let Some(after) = load.cancel_after_s {
-            if !tally.cancelled_job && elapsed >= Duration::from_secs(after) {
+        if let Some(delay_s) = load.cancel_after_s {
+            if !stats.cancel_sent && elapsed >= Duration::from_secs(delay_s) {
                 let _ = client
                     .post(format!("{gateway}/v1/batches/{id}/cancel"))
                     .send()
                     .await;
-                tally.cancelled_job = true;
+                stats.cancel_sent = true;
             }
         }
-        // A status refused while the store is down is asked for again until the wait ends.
+        // The gateway refuses status calls while the store is down; they are retried until the
+        // wait ends.
         let Ok(status) = get_status(&client, gateway, &id).await else {
             if elapsed > wait {
-                return Err("no status until the wait ended".to_owned());
+                return Err("no job status was received before the wait ended".to_owned());
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             continue;
         };
-        tally.finished.push(BatchPoint {
-            at_s: load_started.elapsed().as_secs_f64(),
+        stats.finished.push(BatchPoint {
+            at_s: load_started_at.elapsed().as_secs_f64(),
             finished: status.counts.done + status.counts.failed,
         });
         if status.counts.pending == 0 || status.job.state != "running" {
-            tally.elapsed_s = Some(elapsed.as_secs_f64());
+            stats.elapsed_s = Some(elapsed.as_secs_f64());
             break;
         }
         if elapsed > wait {
             break;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    let bytes = read_results(&client, gateway, &id).await?;
-    let mut seen: BTreeMap<String, u32> = (0..load.items)
+    let results = read_results(&client, gateway, &id).await?;
+    let mut line_counts: BTreeMap<String, u32> = (0..load.items)
         .map(|i| (format!("{}-{i:06}", load.client_key), 0))
         .collect();
-    for line in String::from_utf8_lossy(&bytes).lines() {
+    for line in String::from_utf8_lossy(&results).lines() {
         let result: ResultLine = serde_json::from_str(line).map_err(|e| e.to_string())?;
-        match seen.get_mut(&result.custom_id) {
+        match line_counts.get_mut(&result.custom_id) {
             Some(count) if *count == 0 => *count += 1,
             _ => {
-                tally.duplicate_or_unknown += 1;
+                stats.duplicate_or_unknown += 1;
                 continue;
             }
         }
         match result.state.as_str() {
-            "done" => tally.done += 1,
-            "failed" => tally.failed += 1,
-            "cancelled" => tally.cancelled += 1,
-            _ => tally.pending += 1,
+            "done" => stats.done += 1,
+            "failed" => stats.failed += 1,
+            "cancelled" => stats.cancelled += 1,
+            _ => stats.pending += 1,
         }
     }
-    tally.pending += seen.values().filter(|c| **c == 0).count() as u64;
+    stats.pending += line_counts.values().filter(|count| **count == 0).count() as u64;
     Ok(())
 }
--- a/crates/foxwheel-load/src/burn.rs
+++ b/crates/foxwheel-load/src/burn.rs
@@ -1,8 +1,9 @@
-//! Service-level burn: how fast each deployment spends its error budget.
+//! Error budget burn: how fast each deployment spends its error budget.
 //!
-//! A request is bad when it got no whole answer, or its first token or mean time between
-//! tokens missed the objective. The budget is the share of bad requests the target allows;
-//! a burn rate of 1 spends it exactly, of 10 ten times as fast.
+//! A request is bad if it got no complete response, or if its time to first token or its mean
+//! time between tokens missed the objective. The error budget is the share of bad requests that
+//! the target allows. A burn rate of 1 spends the budget exactly, a rate of 10 spends it ten times
+//! as fast.
 
 use std::time::Duration;
 
@@ -10,19 +11,19 @@
 
 use crate::experiment::Objective;
 
-/// How one online request went, for burn and for the timeline.
+/// The outcome of one online request, from which burn and timeline are computed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Outcome {
-    /// When it was sent, from the start of the load.
+pub struct RequestOutcome {
+    /// The time from the start of the load to the request.
     pub sent_at: Duration,
-    /// Time to first token; `None` without a whole answer.
+    /// Time to first token; None without a complete response.
     pub ttft: Option<Duration>,
-    /// Mean time between tokens.
+    /// Mean time between tokens; zero without a complete response.
     pub mean_tbt: Duration,
 }
 
-impl Outcome {
-    fn meets(&self, objective: &Objective) -> bool {
+impl RequestOutcome {
+    fn meets_objective(&self, objective: &Objective) -> bool {
         self.ttft.is_some_and(|ttft| {
             ttft <= Duration::from_millis(objective.ttft_ms)
                 && self.mean_tbt <= Duration::from_millis(objective.tbt_ms)
@@ -30,51 +31,51 @@
     }
 }
 
-/// Requests of one window.
+/// The requests of one window of time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Window {
-    /// The window's start, in seconds from the start of the load.
+    /// The start of the window, in seconds from the start of the load.
     pub start_s: u64,
-    /// Requests sent in it.
+    /// The number of requests sent in the window.
     pub requests: u64,
-    /// Those that missed the objective.
+    /// The number of these requests that are bad.
     pub bad: u64,
-    /// The share of bad requests over the share the target allows.
+    /// The share of bad requests divided by the share that the target allows.
     pub burn_rate: f64,
 }
 
-/// One deployment's burn.
+/// The error budget burn of one deployment.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Burn {
-    /// The deployment's model.
+    /// The model of the deployment.
     pub model: String,
-    /// Windows with requests, in order.
+    /// The windows that contain requests, in order of time.
     pub windows: Vec<Window>,
-    /// The whole run as one window.
+    /// The entire load as one window.
     pub whole: Window,
 }
 
-/// The burn of `model` from its requests' outcomes.
-pub fn of(model: &str, outcomes: &[Outcome], objective: &Objective) -> Burn {
+/// Computes the burn of `model` from the outcomes of its requests.
+pub fn compute_burn(model: &str, outcomes: &[RequestOutcome], objective: &Objective) -> Burn {
     let mut windows: Vec<Window> = Vec::new();
     let mut whole = Window::default();
     for outcome in outcomes {
         let start_s = outcome.sent_at.as_secs() / objective.window_s * objective.window_s;
-        let at = match windows.binary_search_by_key(&start_s, |w| w.start_s) {
-            Ok(at) => at,
-            Err(at) => {
+        let index = match windows.binary_search_by_key(&start_s, |window| window.start_s) {
+            Ok(index) => index,
+            Err(index) => {
                 let window = Window {
                     start_s,
                     ..Window::default()
                 };
-                windows.insert(at, window);
-                at
+                windows.insert(index, window);
+                index
             }
         };
-        let bad = u64::from(!outcome.meets(objective));
-        for window in [&mut windows[at], &mut whole] {
+        let bad_count = u64::from(!outcome.meets_objective(objective));
+        for window in [&mut windows[index], &mut whole] {
             window.requests += 1;
-            window.bad += bad;
+            window.bad += bad_count;
         }
     }
     for window in windows.iter_mut().chain([&mut whole]) {
--- a/crates/foxwheel-load/src/experiment.rs
+++ b/crates/foxwheel-load/src/experiment.rs
@@ -1,5 +1,5 @@
 //! The experiment file: the fleet to start, the load to send, the faults to cause and the
-//! service levels to judge by.
+//! service-level objective.
 
 use std::path::PathBuf;
 
@@ -8,26 +8,26 @@
 
 use foxwheel_core::settings::{Check, Problems};
 
-/// Online load for one model.
+/// The online load for one model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OnlineLoad {
-    /// The model asked for.
+    /// The model that requests name.
     pub model: String,
-    /// The caller's workspace header.
+    /// The workspace that requests name in their header; none if absent.
     #[serde(default)]
     pub workspace: Option<String>,
-    /// Mean arrivals per second (Poisson).
+    /// Mean rate of the Poisson arrivals, in requests per second.
     pub rate_per_s: f64,
-    /// Seconds after the start at which arrivals begin.
+    /// Time from the start of the load to the first arrival, in seconds.
     #[serde(default)]
     pub start_after_s: u64,
-    /// How long arrivals go on, in seconds; to the end of the experiment when absent.
+    /// Duration of the arrivals, in seconds; until the end of the experiment if absent.
     #[serde(default)]
     pub for_s: Option<u64>,
-    /// Tokens asked for per answer.
+    /// The number of tokens requested per response.
     pub max_tokens: usize,
-    /// Prompts, drawn at random.
+    /// The prompts; each request uses a randomly chosen one.
     pub prompts: Vec<String>,
 }
 
@@ -35,20 +35,21 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BatchLoad {
-    /// The model every item asks for.
+    /// The model that every item names.
     pub model: String,
-    /// The client's key; the job is sent twice with it, as a resending client does.
+    /// The client key of the job. The job is sent twice with it, as by a client that resends.
     pub client_key: String,
-    /// Seconds after the start at which it is sent.
+    /// Time from the start of the load to the submission of the job, in seconds.
     #[serde(default)]
     pub start_after_s: u64,
-    /// Tokens asked for per item.
+    /// The number of tokens requested per item.
     pub max_tokens: usize,
-    /// Item prompts; each becomes one item.
+    /// The prompts of the items, used in turn.
     pub prompts: Vec<String>,
-    /// Items in the job: the prompts are repeated (with a numbered suffix) up to this.
+    /// The number of items of the job. Each item's prompt ends in the number of the item.
     pub items: usize,
-    /// Cancel the job this many seconds after sending it.
+    /// Time from the submission of the job to its cancellation, in seconds; the job is not
+    /// cancelled if absent.
     #[serde(default)]
     pub cancel_after_s: Option<u64>,
 }
@@ -57,133 +58,134 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceLoad {
-    /// The service, e.g. `yardbook`.
+    /// The name of the service, e.g. `yardbook`.
     pub service: String,
-    /// The path, e.g. `/orders`.
+    /// The request path, e.g. `/orders`.
     pub path: String,
-    /// Calls per second.
+    /// Mean rate of the Poisson arrivals, in calls per second.
     pub rate_per_s: f64,
-    /// Share of calls sent a second time with the same key, 0 to 1.
+    /// The share of calls that are sent a second time with the same key, 0 to 1.
     pub resend_share: f64,
-    /// Bodies, drawn at random.
+    /// The request bodies; each call uses a randomly chosen one.
     pub bodies: Vec<serde_json::Value>,
-    /// The stand-ins' addresses, to count executions afterwards. Those of `fleet` when it
-    /// is given.
+    /// The base URLs of the service emulators, whose executions are counted after the load. If
+    /// `fleet` is set, those of the fleet are used instead.
     #[serde(default)]
     pub emulator_urls: Vec<String>,
 }
 
-/// The processes to start for an experiment, all on loopback.
+/// The processes to start for an experiment, all on the loopback interface.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSpec {
-    /// The store stand-in listens here; gateways, then agents and back ends, on the ports
-    /// that follow.
+    /// The port of the store emulator. The gateways use the ports after it. Each replica then uses
+    /// three: for its backend, its agent and the control address of its agent.
     pub base_port: u16,
-    /// The declarations to apply; the path is relative to the experiment file.
+    /// The path of the declarations to apply, relative to the experiment file.
     pub manifest: PathBuf,
-    /// One gateway in each of these zones.
+    /// The zones of the gateways; one gateway is started for each entry.
     pub gateway_zones: Vec<Zone>,
-    /// The replicas to start, each a back end and its agent.
+    /// The deployments to start. Each replica is a backend emulator and its agent.
     pub deployments: Vec<FleetDeployment>,
-    /// Further settings of the store stand-in.
+    /// Additional settings of the store emulator.
     #[serde(default)]
     pub store: serde_json::Map<String, serde_json::Value>,
-    /// Further settings of every gateway.
+    /// Additional settings of every gateway.
     #[serde(default)]
     pub gateway: serde_json::Map<String, serde_json::Value>,
 }
 
-/// The replicas of one deployment of the manifest, spread over its zones in turn.
+/// The replicas to start of one deployment in the manifest, spread over its zones in turn.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetDeployment {
     /// The deployment's name in the manifest.
     pub name: DeploymentName,
-    /// Replicas started, whatever the manifest declares.
+    /// The number of replicas to start; the number in the manifest is ignored.
     pub replicas: usize,
-    /// Further settings of each back end stand-in.
+    /// Additional settings of each backend emulator.
     #[serde(default)]
     pub backend: serde_json::Map<String, serde_json::Value>,
-    /// Further settings of each agent.
+    /// Additional settings of each agent.
     #[serde(default)]
     pub agent: serde_json::Map<String, serde_json::Value>,
 }
 
-/// Something that goes wrong.
+/// A fault that the load tool causes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind", deny_unknown_fields)]
 pub enum Fault {
     /// The store refuses every call.
     StoreOutage {
-        /// For this long, in milliseconds.
+        /// Duration of the fault, in milliseconds.
         for_ms: u64,
     },
     /// The store delays every call.
     StoreSlow {
-        /// By this much, in milliseconds.
+        /// The delay of each call, in milliseconds.
         delay_ms: u64,
-        /// For this long, in milliseconds.
+        /// Duration of the fault, in milliseconds.
         for_ms: u64,
     },
-    /// The store loses the reply to every n-th write after it took effect.
+    /// The store applies every n-th write but does not respond to it.
     StoreLosesReplies {
-        /// Every n-th.
+        /// The n: 1 affects every write.
         every: u64,
-        /// For this long, in milliseconds.
+        /// Duration of the fault, in milliseconds.
         for_ms: u64,
     },
-    /// A process is killed (SIGKILL) and, if asked for, started again with its settings.
+    /// A process is killed (SIGKILL) and optionally restarted with the same settings.
     Kill {
-        /// Its name, e.g. `agent-draftsman-0`.
+        /// The name of the process, e.g. `agent-draftsman-0`.
         process: String,
-        /// Started again after this long, in milliseconds.
+        /// Delay before the restart, in milliseconds; no restart if absent.
         #[serde(default)]
         restart_after_ms: Option<u64>,
     },
-    /// A process is told to stop (SIGTERM) and, if asked for, started again.
+    /// A process is stopped gracefully (SIGTERM) and optionally restarted with the same settings.
     Terminate {
-        /// Its name.
+        /// The name of the process.
         process: String,
-        /// Started again after this long, in milliseconds.
+        /// Delay before the restart, in milliseconds; no restart if absent.
         #[serde(default)]
         restart_after_ms: Option<u64>,
     },
-    /// A process is paused (SIGSTOP), then goes on.
+    /// A process is paused (SIGSTOP) and later resumed (SIGCONT).
     Freeze {
-        /// Its name.
+        /// The name of the process.
         process: String,
-        /// For this long, in milliseconds.
+        /// Duration of the fault, in milliseconds.
         for_ms: u64,
     },
 }
 
-/// A fault and when it comes.
+/// A fault and the time at which it is caused.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TimedFault {
-    /// Milliseconds after the load starts.
+    /// Time from the start of the load, in milliseconds.
     pub at_ms: u64,
-    /// What goes wrong.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// The service level online requests are judged by.
+/// The service-level objective of online requests.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Objective {
-    /// The first token within this, in milliseconds.
+    /// The longest acceptable time to first token, in milliseconds.
     pub ttft_ms: u64,
-    /// The mean time between tokens of the request within this, in milliseconds.
+    /// The longest acceptable mean time between the tokens of a request, in milliseconds.
     pub tbt_ms: u64,
-    /// The share of requests that meet both, 0 to 1 exclusive.
+    /// The required share of requests that meet both limits; above 0 and below 1.
     pub target: f64,
-    /// Burn is reported for windows of this length, in seconds.
+    /// Length of the windows that the burn rate is reported for, in seconds.
     pub window_s: u64,
 }
 
 impl Default for Objective {
-    /// The users' plan: 0.77 s and 34 ms for 95 in 100.
+    /// The service level of the users' plan: a first token within 0.77 s and a mean time between
+    /// tokens of at most 34 ms for 95 of 100 requests.
     fn default() -> Self {
         Self {
             ttft_ms: 770,
@@ -194,42 +196,42 @@
     }
 }
 
-/// The whole experiment.
+/// The content of an experiment file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Gateway base URLs; requests are spread over them as a balancer would. Those of
-    /// `fleet` when it is given.
+    /// The base URLs of the gateways. Requests are spread over them in turn, as by a load
+    /// balancer. If `fleet` is set, its gateways are used instead.
     #[serde(default)]
     pub gateways: Vec<String>,
-    /// The processes to start; none when a fleet runs already.
+    /// The processes to start; absent if the fleet runs already.
     #[serde(default)]
     pub fleet: Option<FleetSpec>,
-    /// What goes wrong, and when.
+    /// The faults to cause; they require `fleet`.
     #[serde(default)]
     pub faults: Vec<TimedFault>,
-    /// The service level online requests are judged by.
+    /// The service-level objective of online requests.
     #[serde(default)]
     pub objective: Objective,
-    /// How long arrivals are sent, in seconds.
+    /// Duration of the arrivals, in seconds.
     pub duration_s: u64,
-    /// How long to wait for batch jobs after the arrivals end, in seconds.
-    #[serde(default = "default_drain_s")]
+    /// How long to wait for batch jobs after the end of the arrivals, in seconds.
+    #[serde(default = "default_batch_wait_s")]
     pub batch_wait_s: u64,
-    /// The random generator's seed.
+    /// The seed of the random number generators.
     pub seed: u64,
-    /// Online load.
+    /// The online loads, one for each model.
     #[serde(default)]
     pub online: Vec<OnlineLoad>,
-    /// Batch jobs.
+    /// The batch jobs.
     #[serde(default)]
     pub batches: Vec<BatchLoad>,
-    /// Non-idempotent service calls.
+    /// The loads of non-idempotent service calls.
     #[serde(default)]
     pub services: Vec<ServiceLoad>,
 }
 
-fn default_drain_s() -> u64 {
+fn default_batch_wait_s() -> u64 {
     120
 }
 
@@ -240,7 +242,7 @@
                 problems.add("gateways", "must name a gateway");
             }
             None if !self.faults.is_empty() => {
-                problems.add("faults", "need a `fleet` to befall");
+                problems.add("faults", "require a `fleet`");
             }
             Some(fleet) if fleet.gateway_zones.is_empty() => {
                 problems.add("fleet.gateway_zones", "must name a zone");
@@ -253,27 +255,27 @@
         }
         problems.require_positive("objective.window_s", self.objective.window_s);
         problems.require_positive("duration_s", self.duration_s);
-        for (i, o) in self.online.iter().enumerate() {
-            if o.prompts.is_empty() {
+        for (i, load) in self.online.iter().enumerate() {
+            if load.prompts.is_empty() {
                 problems.add(format!("online[{i}].prompts"), "must not be empty");
             }
-            if o.rate_per_s.is_nan() || o.rate_per_s <= 0.0 {
+            if load.rate_per_s.is_nan() || load.rate_per_s <= 0.0 {
                 problems.add(
                     format!("online[{i}].rate_per_s"),
                     "must be greater than zero",
                 );
             }
         }
-        for (i, b) in self.batches.iter().enumerate() {
-            if b.prompts.is_empty() || b.items == 0 {
+        for (i, job) in self.batches.iter().enumerate() {
+            if job.prompts.is_empty() || job.items == 0 {
                 problems.add(format!("batches[{i}]"), "needs prompts and items");
             }
         }
-        for (i, s) in self.services.iter().enumerate() {
-            if s.bodies.is_empty() {
+        for (i, load) in self.services.iter().enumerate() {
+            if load.bodies.is_empty() {
                 problems.add(format!("services[{i}].bodies"), "must not be empty");
             }
-            if !(0.0..=1.0).contains(&s.resend_share) {
+            if !(0.0..=1.0).contains(&load.resend_share) {
                 problems.add(format!("services[{i}].resend_share"), "must be 0 to 1");
             }
         }
--- a/crates/foxwheel-load/src/faults.rs
+++ b/crates/foxwheel-load/src/faults.rs
@@ -1,4 +1,4 @@
-//! Causing an experiment's faults at their times.
+//! Causes the faults of an experiment at their times.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,19 +11,18 @@
 use crate::experiment::{Fault, TimedFault};
 use crate::fleet::Fleet;
 
-/// Causes every fault of `faults` on `fleet`, each at its time, and waits until the last
-/// has passed.
-pub async fn run(fleet: Rc<RefCell<Fleet>>, faults: Vec<TimedFault>) {
-    let started = Instant::now();
+/// Causes every fault of `faults` on `fleet` at its time, and waits until the last one has ended.
+pub async fn cause_faults(fleet: Rc<RefCell<Fleet>>, faults: Vec<TimedFault>) {
+    let started_at = Instant::now();
     let tasks: Vec<_> = faults
         .into_iter()
         .map(|timed| {
-            let at = started + Duration::from_millis(timed.at_ms);
+            let fault_at = started_at + Duration::from_millis(timed.at_ms);
             let fleet = fleet.clone();
             actix_web::rt::spawn(async move {
-                tokio::time::sleep_until(at.into()).await;
+                tokio::time::sleep_until(fault_at.into()).await;
                 log::info!("fault: {:?}", timed.fault);
-                cause(&fleet, timed.fault).await;
+                cause_fault(&fleet, timed.fault).await;
             })
         })
         .collect();
@@ -32,28 +31,28 @@
     }
 }
 
-async fn cause(fleet: &RefCell<Fleet>, fault: Fault) {
+async fn cause_fault(fleet: &RefCell<Fleet>, fault: Fault) {
     match fault {
         Fault::StoreOutage { for_ms } => {
             let faults = StoreFaults {
                 outage: true,
                 ..StoreFaults::default()
             };
-            store_fault(fleet, faults, for_ms).await;
+            set_store_faults(fleet, faults, for_ms).await;
         }
         Fault::StoreSlow { delay_ms, for_ms } => {
             let faults = StoreFaults {
                 delay_ms,
                 ..StoreFaults::default()
             };
-            store_fault(fleet, faults, for_ms).await;
+            set_store_faults(fleet, faults, for_ms).await;
         }
         Fault::StoreLosesReplies { every, for_ms } => {
             let faults = StoreFaults {
                 lose_reply_every: every,
                 ..StoreFaults::default()
             };
-            store_fault(fleet, faults, for_ms).await;
+            set_store_faults(fleet, faults, for_ms).await;
         }
         Fault::Kill {
             process,
@@ -64,44 +63,46 @@
             restart_after_ms,
         } => stop_process(fleet, &process, Signal::SIGTERM, restart_after_ms).await,
         Fault::Freeze { process, for_ms } => {
-            signal(fleet, &process, Signal::SIGSTOP);
+            send_signal(fleet, &process, Signal::SIGSTOP);
             tokio::time::sleep(Duration::from_millis(for_ms)).await;
-            signal(fleet, &process, Signal::SIGCONT);
+            send_signal(fleet, &process, Signal::SIGCONT);
         }
     }
 }
 
-async fn store_fault(fleet: &RefCell<Fleet>, faults: StoreFaults, for_ms: u64) {
+/// Sets faults of the store emulator and clears them after `for_ms`.
+async fn set_store_faults(fleet: &RefCell<Fleet>, faults: StoreFaults, for_ms: u64) {
     let store = StoreClient::new(&fleet.borrow().store_url);
-    for (faults, then) in [(faults, for_ms), (StoreFaults::default(), 0)] {
+    for (faults, wait_ms) in [(faults, for_ms), (StoreFaults::default(), 0)] {
         if let Err(e) = store.set_faults(&faults).await {
-            log::warn!("store faults not set: {e}");
+            log::warn!("could not set the faults of the store: {e}");
         }
-        tokio::time::sleep(Duration::from_millis(then)).await;
+        tokio::time::sleep(Duration::from_millis(wait_ms)).await;
     }
 }
 
-fn signal(fleet: &RefCell<Fleet>, name: &str, signal: Signal) {
-    match fleet.borrow_mut().process(name) {
-        Some(process) => process.signal(signal),
-        None => log::warn!("no process `{name}` to send {signal} to"),
+fn send_signal(fleet: &RefCell<Fleet>, name: &str, signal: Signal) {
+    match fleet.borrow_mut().find_process(name) {
+        Some(process) => process.send_signal(signal),
+        None => log::warn!("cannot send {signal}: the fleet has no process `{name}`"),
     }
 }
 
+/// Stops a process with `stop_signal` and restarts it after the delay, if there is one.
 async fn stop_process(
     fleet: &RefCell<Fleet>,
     name: &str,
-    how: Signal,
+    stop_signal: Signal,
     restart_after_ms: Option<u64>,
 ) {
-    signal(fleet, name, how);
-    let Some(pause_ms) = restart_after_ms else {
+    send_signal(fleet, name, stop_signal);
+    let Some(delay_ms) = restart_after_ms else {
         return;
     };
-    tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-    if let Some(process) = fleet.borrow_mut().process(name) {
+    tokio::time::sleep(Duration::from_millis(delay_ms)).await;
+    if let Some(process) = fleet.borrow_mut().find_process(name) {
         if let Err(e) = process.restart() {
-            log::warn!("{name} not started again: {e}");
+            log::warn!("could not restart {name}: {e}");
         }
     }
 }
--- a/crates/foxwheel-load/src/fit.rs
+++ b/crates/foxwheel-load/src/fit.rs
@@ -1,22 +1,22 @@
-//! Slopes from a sweep's rows, by ordinary least squares.
+//! Fits a linear model to the rows of a sweep by ordinary least squares.
 
 use std::collections::BTreeMap;
 use std::path::Path;
 
 use linregress::{FormulaRegressionBuilder, RegressionDataBuilder};
 
-/// Why no slopes could be taken.
+/// The errors of a fit.
 #[derive(Debug, thiserror::Error)]
 pub enum FitError {
     /// The rows could not be read.
     #[error("{path}: {source}")]
     Read {
-        /// The file.
+        /// The path of the file.
         path: String,
         /// The underlying error.
         source: std::io::Error,
     },
-    /// A column is not there, or holds something else than numbers.
+    /// A column does not exist or contains a value that is not a number.
     #[error("no column `{0}` of numbers")]
     Column(String),
     /// The rows do not determine the slopes.
@@ -24,18 +24,19 @@
     Regression(#[from] linregress::Error),
 }
 
-/// A fitted line `y = intercept + sum(slope * x)`.
+/// A fitted linear model `y = intercept + sum(slope * x)`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fit {
-    /// The value at the origin.
+    /// The value of y where every x is 0.
     pub intercept: f64,
-    /// The slope of each x, in the order asked for.
+    /// The name and slope of each x, in the order of the request.
     pub slopes: Vec<(String, f64)>,
-    /// The share of the variance explained.
+    /// The share of the variance of y that the model explains.
     pub r_squared: f64,
 }
 
-/// The columns of tab-separated rows under a header line; those of numbers only.
+/// Reads tab-separated rows under a header line. Returns the columns that contain only numbers, by
+/// name, or an error if the file cannot be read.
 pub fn read_columns(path: &Path) -> Result<BTreeMap<String, Vec<f64>>, FitError> {
     let text = std::fs::read_to_string(path).map_err(|source| FitError::Read {
         path: path.display().to_string(),
@@ -44,37 +45,50 @@
     let mut lines = text.lines();
     let names: Vec<&str> = lines.next().unwrap_or_default().split('\t').collect();
     let rows: Vec<Vec<&str>> = lines.map(|line| line.split('\t').collect()).collect();
-    let column = |i: usize| -> Option<Vec<f64>> {
-        let values = rows.iter().map(|row| row.get(i)?.parse().ok());
+    let parse_column = |index: usize| -> Option<Vec<f64>> {
+        let values = rows.iter().map(|row| row.get(index)?.parse().ok());
         values.collect()
     };
     let columns = names.iter().enumerate();
     Ok(columns
-        .filter_map(|(i, name)| Some(((*name).to_owned(), column(i)?)))
+        .filter_map(|(index, name)| Some(((*name).to_owned(), parse_column(index)?)))
         .collect())
 }
 
-/// The column `name`, or the product of columns for `a*b`.
-fn column(columns: &BTreeMap<String, Vec<f64>>, name: &str) -> Result<Vec<f64>, FitError> {
+/// Returns the column `name`, or the product of columns if `name` is of the form `a*b`.
+fn column_or_product(
+    columns: &BTreeMap<String, Vec<f64>>,
+    name: &str,
+) -> Result<Vec<f64>, FitError> {
     let mut product: Option<Vec<f64>> = None;
     for factor in name.split('*') {
         let values = columns.get(factor);
         let values = values.ok_or_else(|| FitError::Column(factor.to_owned()))?;
         product = Some(match product {
             None => values.clone(),
-            Some(so_far) => so_far.iter().zip(values).map(|(a, b)| a * b).collect(),
+            Some(partial_product) => partial_product
+                .iter()
+                .zip(values)
+                .map(|(a, b)| a * b)
+                .collect(),
         });
     }
     product.ok_or_else(|| FitError::Column(name.to_owned()))
 }
 
-/// Fits column `y` to columns `xs`; `a*b` stands for the product of two columns.
-pub fn fit(columns: &BTreeMap<String, Vec<f64>>, y: &str, xs: &[String]) -> Result<Fit, FitError> {
-    // Plain names for the library, which may not take a product's own.
-    let names: Vec<String> = (0..xs.len()).map(|i| format!("x{i}")).collect();
-    let mut data = vec![("y".to_owned(), column(columns, y)?)];
+/// Fits column `y` as a linear function of the columns `xs`, where `a*b` is the product of two
+/// columns. Returns an error if a column is not one of numbers or the rows do not determine the
+/// slopes.
+pub fn fit_columns(
+    columns: &BTreeMap<String, Vec<f64>>,
+    y: &str,
+    xs: &[String],
+) -> Result<Fit, FitError> {
+    // The library may not accept the names of products, so it gets generated names.
+    let names: Vec<String> = (0..xs.len()).map(|index| format!("x{index}")).collect();
+    let mut data = vec![("y".to_owned(), column_or_product(columns, y)?)];
     for (name, x) in names.iter().zip(xs) {
-        data.push((name.clone(), column(columns, x)?));
+        data.push((name.clone(), column_or_product(columns, x)?));
     }
     let data = RegressionDataBuilder::new().build_from(data)?;
     let model = FormulaRegressionBuilder::new()
--- a/crates/foxwheel-load/src/fleet.rs
+++ b/crates/foxwheel-load/src/fleet.rs
@@ -1,7 +1,7 @@
-//! Starting and stopping the processes of an experiment, all on loopback.
+//! Starts and stops the processes of an experiment, all on the loopback interface.
 //!
-//! The programs are taken from the folder this one stands in. Each gets a settings file and
-//! a log under the output folder; all are stopped, gracefully first, when the fleet is.
+//! The programs are those in the folder of the running program. Each process has a settings file
+//! and a log under the output folder. Stopping the fleet stops all processes, first gracefully.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -16,56 +16,56 @@
 
 use crate::experiment::{FleetDeployment, FleetSpec};
 
-/// How long processes have to open their ports and be routed to.
+/// The time within which the store must open its port and the gateways must route to all agents.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a graceful stop may take before a process is killed.
+/// The time within which processes must stop gracefully before they are killed.
 const STOP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a process does, for figures per role.
+/// The role of a process. Resource usage is reported by role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// The store stand-in.
+    /// The store emulator.
     Store,
     /// A gateway.
     Gateway,
     /// An agent.
     Agent,
-    /// A model engine or service stand-in.
+    /// An engine emulator or service emulator.
     Backend,
 }
 
-/// Why a fleet did not start.
+/// The errors when starting a fleet or one of its processes.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// A file or program could not be used.
+    /// A file or folder could not be created, or a program could not be started.
     #[error("{origin}: {source}")]
     Io {
-        /// The step and the file or program.
+        /// The failed step and the file or program.
         origin: Origin,
         /// The underlying error.
         source: std::io::Error,
     },
-    /// The declarations are refused, or lack a deployment.
+    /// The declarations are invalid or refused, or do not contain a deployment.
     #[error("declarations: {0}")]
     Manifest(String),
-    /// A process did not become ready in time.
+    /// A process was not ready within the timeout.
     #[error("{0} was not ready within {READY_TIMEOUT:?}")]
     NotReady(String),
 }
 
-fn io_error(step: &'static str, peer: &Path) -> impl FnOnce(std::io::Error) -> FleetError {
-    let origin = Origin::new(step, peer.display().to_string());
+fn io_error(step: &'static str, path: &Path) -> impl FnOnce(std::io::Error) -> FleetError {
+    let origin = Origin::new(step, path.display().to_string());
     move |source| FleetError::Io { origin, source }
 }
 
-/// One process.
+/// A process of the fleet.
 #[derive(Debug)]
 pub struct Process {
-    /// Its name, e.g. `agent-draftsman-0`.
+    /// The name of the process, e.g. `agent-draftsman-0`.
     pub name: String,
-    /// What it does.
+    /// The role of the process.
     pub role: Role,
-    /// The address it listens on.
+    /// The address that the process listens on, as `ip:port`.
     pub addr: String,
     program: PathBuf,
     settings: PathBuf,
@@ -74,25 +74,26 @@
 }
 
 impl Process {
-    /// Its process id.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal; a process that ended already is left alone.
-    pub fn signal(&self, signal: Signal) {
+    /// Sends a signal to the process. Does nothing if the process has ended.
+    pub fn send_signal(&self, signal: Signal) {
         let _ = kill(Pid::from_raw(self.pid() as i32), signal);
     }
 
-    /// Waits for its end and starts it again with the same settings.
+    /// Waits until the process has ended and starts it again with the same settings. Returns an
+    /// error if it does not start.
     pub fn restart(&mut self) -> Result<(), FleetError> {
         let _ = self.child.wait();
-        self.child = spawn(&self.program, &self.settings, &self.log)?;
+        self.child = spawn_process(&self.program, &self.settings, &self.log)?;
         Ok(())
     }
 }
 
-fn spawn(program: &Path, settings: &Path, log: &Path) -> Result<Child, FleetError> {
+fn spawn_process(program: &Path, settings: &Path, log: &Path) -> Result<Child, FleetError> {
     let log_file = std::fs::OpenOptions::new()
         .create(true)
         .append(true)
@@ -108,26 +109,27 @@
         .map_err(io_error("start", program))
 }
 
-/// A running fleet; dropping it stops every process.
+/// A running fleet. Dropping it kills every process.
 pub struct Fleet {
-    /// Every process, in the order started.
+    /// All processes, in the order in which they were started.
     pub processes: Vec<Process>,
-    /// The store stand-in's base URL.
+    /// The base URL of the store emulator.
     pub store_url: String,
-    /// The gateways' base URLs.
+    /// The base URLs of the gateways.
     pub gateway_urls: Vec<String>,
-    /// The service stand-ins' base URLs, by deployment.
+    /// The base URLs of the service emulators, each with the name of its deployment.
     pub service_urls: Vec<(String, String)>,
-    /// Agents started.
+    /// The number of agents.
     pub agents: usize,
     folder: PathBuf,
     next_port: u16,
 }
 
 impl Fleet {
-    /// Starts the processes of `spec`, applies its declarations and waits until every
-    /// gateway routes to every agent. `base` is the folder the spec's paths are relative
-    /// to; settings and logs go under `out`.
+    /// Starts the processes of `spec`, applies its declarations and waits until every gateway
+    /// routes to every agent. The paths of `spec` are relative to `base`; settings and logs are
+    /// written under `out`. Returns an error if a process does not start or is not ready in
+    /// time, or if the declarations are refused.
     pub async fn start(spec: &FleetSpec, base: &Path, out: &Path) -> Result<Self, FleetError> {
         let manifest_path = base.join(&spec.manifest);
         let manifest: Manifest =
@@ -141,25 +143,25 @@
             folder: out.to_owned(),
             next_port: spec.base_port,
         };
-        for sub in ["settings", "logs"] {
-            let path = out.join(sub);
+        for folder_name in ["settings", "logs"] {
+            let path = out.join(folder_name);
             std::fs::create_dir_all(&path).map_err(io_error("create folder", &path))?;
         }
-        let store_addr = fleet.take_addr();
-        let store = with(&spec.store, [("listen_addr", json!(store_addr))]);
-        fleet.launch("platform", Role::Store, "foxwheel-platform-emu", store)?;
+        let store_addr = fleet.allocate_addr();
+        let store = with_fields(&spec.store, [("listen_addr", json!(store_addr))]);
+        fleet.start_process("platform", Role::Store, "foxwheel-platform-emu", store)?;
         wait_for_port(&store_addr, "platform").await?;
         let gateway_addrs: Vec<String> = spec
             .gateway_zones
             .iter()
-            .map(|_| fleet.take_addr())
+            .map(|_| fleet.allocate_addr())
             .collect();
         fleet.gateway_urls = gateway_addrs
             .iter()
-            .map(|a| format!("http://{a}"))
+            .map(|addr| format!("http://{addr}"))
             .collect();
-        for (i, zone) in spec.gateway_zones.iter().enumerate() {
-            fleet.start_gateway(i, &gateway_addrs[i], zone, &spec.gateway)?;
+        for (index, zone) in spec.gateway_zones.iter().enumerate() {
+            fleet.start_gateway(index, &gateway_addrs[index], zone, &spec.gateway)?;
         }
         for deployment in &spec.deployments {
             fleet.start_deployment(deployment, &manifest)?;
@@ -169,13 +171,13 @@
         Ok(fleet)
     }
 
-    fn take_addr(&mut self) -> String {
+    fn allocate_addr(&mut self) -> String {
         let addr = format!("127.0.0.1:{}", self.next_port);
         self.next_port += 1;
         addr
     }
 
-    fn launch(
+    fn start_process(
         &mut self,
         name: &str,
         role: Role,
@@ -187,7 +189,7 @@
         std::fs::write(&path, text).map_err(io_error("write settings", &path))?;
         let log = self.folder.join("logs").join(format!("{name}.log"));
         let program = program_path(program)?;
-        let child = spawn(&program, &path, &log)?;
+        let child = spawn_process(&program, &path, &log)?;
         let addr = settings.get("listen_addr").and_then(Value::as_str);
         self.processes.push(Process {
             name: name.to_owned(),
@@ -203,16 +205,16 @@
 
     fn start_gateway(
         &mut self,
-        i: usize,
+        index: usize,
         addr: &str,
         zone: &str,
-        further: &Map<String, Value>,
+        extra_settings: &Map<String, Value>,
     ) -> Result<(), FleetError> {
-        let name = format!("gateway-{i}");
+        let name = format!("gateway-{index}");
         let mut peers = self.gateway_urls.clone();
-        peers.remove(i);
-        let settings = with(
-            further,
+        peers.remove(index);
+        let settings = with_fields(
+            extra_settings,
             [
                 ("listen_addr", json!(addr)),
                 ("name", json!(name)),
@@ -221,7 +223,7 @@
                 ("peers", json!(peers)),
             ],
         );
-        self.launch(&name, Role::Gateway, "foxwheel-gateway", settings)
+        self.start_process(&name, Role::Gateway, "foxwheel-gateway", settings)
     }
 
     fn start_deployment(
@@ -229,17 +231,20 @@
         spec: &FleetDeployment,
         manifest: &Manifest,
     ) -> Result<(), FleetError> {
-        let declared = manifest.deployments.iter().find(|d| d.name == spec.name);
+        let declared = manifest
+            .deployments
+            .iter()
+            .find(|deployment| deployment.name == spec.name);
         let declared = declared.ok_or_else(|| {
             FleetError::Manifest(format!("deployment `{}` is not declared", spec.name))
         })?;
-        for i in 0..spec.replicas {
-            let zone = &declared.zones[i % declared.zones.len()];
-            let (backend_addr, agent_addr) = (self.take_addr(), self.take_addr());
-            let control_addr = self.take_addr();
+        for index in 0..spec.replicas {
+            let zone = &declared.zones[index % declared.zones.len()];
+            let (backend_addr, agent_addr) = (self.allocate_addr(), self.allocate_addr());
+            let control_addr = self.allocate_addr();
             let backend_url = format!("http://{backend_addr}");
-            let backend_name = format!("backend-{}-{i}", spec.name);
-            let (program, what) = match declared.backend {
+            let backend_name = format!("backend-{}-{index}", spec.name);
+            let (program, backend_field) = match declared.backend {
                 BackendKind::Model => ("foxwheel-engine-emu", ("models", json!(declared.models))),
                 BackendKind::Service => ("foxwheel-service-emu", ("service", json!(spec.name))),
             };
@@ -247,14 +252,17 @@
                 let url = backend_url.clone();
                 self.service_urls.push((spec.name.clone(), url));
             }
-            let backend = with(&spec.backend, [("listen_addr", json!(backend_addr)), what]);
-            self.launch(&backend_name, Role::Backend, program, backend)?;
-            let agent = with(
+            let backend = with_fields(
+                &spec.backend,
+                [("listen_addr", json!(backend_addr)), backend_field],
+            );
+            self.start_process(&backend_name, Role::Backend, program, backend)?;
+            let agent = with_fields(
                 &spec.agent,
                 [
                     ("listen_addr", json!(agent_addr)),
                     ("control_addr", json!(control_addr)),
-                    ("host", json!(format!("{zone}-{}-{i}", spec.name))),
+                    ("host", json!(format!("{zone}-{}-{index}", spec.name))),
                     ("zone", json!(zone)),
                     ("deployment", json!(spec.name)),
                     ("backend", json!(declared.backend)),
@@ -262,14 +270,15 @@
                     ("store_url", json!(self.store_url)),
                 ],
             );
-            let name = format!("agent-{}-{i}", spec.name);
-            self.launch(&name, Role::Agent, "foxwheel-agent", agent)?;
+            let name = format!("agent-{}-{index}", spec.name);
+            self.start_process(&name, Role::Agent, "foxwheel-agent", agent)?;
             self.agents += 1;
         }
         Ok(())
     }
 
-    /// Applies declarations with `foxwheel-ctl`, as an operator does.
+    /// Applies declarations with `foxwheel-ctl`, as an operator does. Returns an error with its
+    /// output if it fails.
     pub async fn apply(&self, manifest: &Path) -> Result<(), FleetError> {
         let program = program_path("foxwheel-ctl")?;
         let output = tokio::process::Command::new(&program)
@@ -289,7 +298,7 @@
         let http = awc::Client::default();
         let deadline = Instant::now() + READY_TIMEOUT;
         for gateway in &self.gateway_urls {
-            while !routes_to_all(&http, gateway, deployments).await {
+            while !routes_to_all_replicas(&http, gateway, deployments).await {
                 if Instant::now() > deadline {
                     return Err(FleetError::NotReady(gateway.clone()));
                 }
@@ -299,28 +308,35 @@
         Ok(())
     }
 
-    /// The base URLs of the processes of `role`.
-    pub fn urls_of(&self, role: Role) -> Vec<String> {
-        let processes = self.processes.iter().filter(|p| p.role == role);
-        processes.map(|p| format!("http://{}", p.addr)).collect()
+    /// Returns the base URLs of the processes with `role`.
+    pub fn urls_with_role(&self, role: Role) -> Vec<String> {
+        let processes = self.processes.iter().filter(|process| process.role == role);
+        processes
+            .map(|process| format!("http://{}", process.addr))
+            .collect()
     }
 
-    /// The process called `name`.
-    pub fn process(&mut self, name: &str) -> Option<&mut Process> {
-        self.processes.iter_mut().find(|p| p.name == name)
+    /// Returns the process with this name, if there is one.
+    pub fn find_process(&mut self, name: &str) -> Option<&mut Process> {
+        self.processes
+            .iter_mut()
+            .find(|process| process.name == name)
     }
 
-    /// Stops every process: the gateways and agents gracefully, so that a stop that hangs
-    /// shows, then the rest.
+    /// Stops every process gracefully and kills those that have not stopped within the timeout. A
+    /// process that hangs on its way to stop is logged.
     pub async fn stop(mut self) {
         for process in &self.processes {
-            process.signal(Signal::SIGTERM);
+            process.send_signal(Signal::SIGTERM);
         }
         let deadline = Instant::now() + STOP_TIMEOUT;
         for process in &mut self.processes {
             while matches!(process.child.try_wait(), Ok(None)) {
                 if Instant::now() > deadline {
-                    log::warn!("{} did not stop in time: killed", process.name);
+                    log::warn!(
+                        "{} did not stop within the timeout; killing it",
+                        process.name
+                    );
                     break;
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
@@ -338,7 +354,11 @@
     }
 }
 
-async fn routes_to_all(http: &awc::Client, gateway: &str, expected: &[FleetDeployment]) -> bool {
+async fn routes_to_all_replicas(
+    http: &awc::Client,
+    gateway: &str,
+    deployments: &[FleetDeployment],
+) -> bool {
     let Ok(mut response) = http.get(format!("{gateway}/status")).send().await else {
         return false;
     };
@@ -349,22 +369,24 @@
         .as_array()
         .cloned()
         .unwrap_or_default();
-    expected.iter().all(|spec| {
-        let found = listed.iter().find(|d| d["deployment"] == *spec.name);
-        found.is_some_and(|d| d["live_hosts"] == spec.replicas)
+    deployments.iter().all(|spec| {
+        let found = listed
+            .iter()
+            .find(|entry| entry["deployment"] == *spec.name);
+        found.is_some_and(|entry| entry["live_hosts"] == spec.replicas)
     })
 }
 
 fn program_path(program: &str) -> Result<PathBuf, FleetError> {
-    let own = std::env::current_exe().map_err(io_error("find", Path::new(program)))?;
-    Ok(own.with_file_name(program))
+    let own_path = std::env::current_exe().map_err(io_error("find", Path::new(program)))?;
+    Ok(own_path.with_file_name(program))
 }
 
-fn with<const N: usize>(
-    further: &Map<String, Value>,
+fn with_fields<const N: usize>(
+    extra_settings: &Map<String, Value>,
     fields: [(&str, Value); N],
 ) -> Map<String, Value> {
-    let mut settings = further.clone();
+    let mut settings = extra_settings.clone();
     for (name, value) in fields {
         settings.insert(name.to_owned(), value);
     }
--- a/crates/foxwheel-load/src/lib.rs
+++ b/crates/foxwheel-load/src/lib.rs
@@ -1,15 +1,17 @@
 //! The load and experiment tool.
 //!
-//! An [`experiment::Experiment`] (JSON) names the fleet, the load, the faults and the
-//! service levels. [`run`] starts the fleet ([`fleet`]), sends the load and causes the
-//! faults ([`faults`]); [`online`] sends open-loop arrivals from a seeded generator and
-//! measures time to first token and time between tokens; [`batch`] creates jobs (resending
-//! them, as clients do) and waits for them; [`services`] sends non-idempotent calls,
-//! resending some with the same key. [`report`] checks the brief's promises on what came
-//! back; [`burn`], [`timeline`], [`usage`] and [`plot`] make the figures. [`sweep`] runs an
-//! experiment at many points and [`fit`] takes slopes from them; [`overhead`] compares a
-//! gateway with a direct call, [`propagation`] times a change until it is in force.
-//! [`model_report`] weighs variants of the decisions on `foxwheel-model`.
+//! An [`experiment::Experiment`] (a JSON file) defines the fleet, the load, the faults and the
+//! service-level objective. [`run`] starts the fleet ([`fleet`]), sends the load and causes the
+//! faults ([`faults`]). [`online`] sends open-loop arrivals from a seeded generator and
+//! measures time to first token and time between tokens. [`batch`] creates jobs, each sent twice
+//! as by a client that resends, and waits for them. [`services`] sends non-idempotent calls, some
+//! of them twice with the same key. [`report`] checks the responses against the system's
+//! guarantees; [`burn`], [`timeline`], [`usage`] and [`plot`] compute and draw the figures.
+//!
+//! [`sweep`] runs an experiment with varying values and [`fit`] fits linear models to the
+//! results; [`overhead`] compares calls through a gateway with direct calls; [`propagation`]
+//! measures the time until a change is in force; [`model_report`] compares variants of the
+//! scheduling decisions with `foxwheel-model`.
 
 pub mod args;
 pub mod batch;
--- a/crates/foxwheel-load/src/main.rs
+++ b/crates/foxwheel-load/src/main.rs
@@ -1,4 +1,4 @@
-//! `foxwheel-load`: runs experiments and sweeps, and checks what came back.
+//! `foxwheel-load`: runs experiments and sweeps, and checks their results.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -10,37 +10,37 @@
 use foxwheel_load::{fit, model_report, overhead, plot, propagation, report, run, sweep};
 use foxwheel_model::scenario::Scenario;
 
-/// Any failure, for the one line it ends in.
-type Failure = Box<dyn std::error::Error>;
+/// Any error of a command. `main` prints it as one line.
+type BoxedError = Box<dyn std::error::Error>;
 
-/// The folder a file's paths are relative to.
-fn base_of(path: &Path) -> &Path {
+/// Returns the folder that the paths in the file at `path` are relative to.
+fn base_folder(path: &Path) -> &Path {
     path.parent().unwrap_or(Path::new("."))
 }
 
-/// Runs one experiment; answers whether every check held.
-async fn run_experiment(path: &Path, out: &Path) -> Result<bool, Failure> {
+/// Runs one experiment and writes its results. Returns whether all checks passed.
+async fn run_experiment(path: &Path, out: &Path) -> Result<bool, BoxedError> {
     let experiment: Experiment = settings::load(path)?;
     std::fs::create_dir_all(out)?;
-    let result = run::run(experiment, base_of(path), out).await?;
-    let text = report::text(&result);
+    let result = run::run_experiment(experiment, base_folder(path), out).await?;
+    let text = report::format_text(&result);
     print!("{text}");
     std::fs::write(out.join("report.txt"), text)?;
     let json = serde_json::to_string_pretty(&result)?;
     std::fs::write(out.join("result.json"), json)?;
-    plot::draw_all(&result, out)?;
+    plot::draw_plots(&result, out)?;
     Ok(result.failed_checks.is_empty())
 }
 
-async fn run_sweep(path: &Path, out: &Path) -> Result<(), Failure> {
-    let points: Sweep = settings::load(path)?;
+async fn run_sweep(path: &Path, out: &Path) -> Result<(), BoxedError> {
+    let sweep_file: Sweep = settings::load(path)?;
     std::fs::create_dir_all(out)?;
-    sweep::run(path, &points, out).await?;
+    sweep::run_sweep(path, &sweep_file, out).await?;
     Ok(())
 }
 
-fn print_fit(rows: &Path, y: &str, xs: &[String]) -> Result<(), Failure> {
-    let fitted = fit::fit(&fit::read_columns(rows)?, y, xs)?;
+fn print_fit(rows: &Path, y: &str, xs: &[String]) -> Result<(), BoxedError> {
+    let fitted = fit::fit_columns(&fit::read_columns(rows)?, y, xs)?;
     print!("{y} = {:.6}", fitted.intercept);
     for (name, slope) in &fitted.slopes {
         print!(" + {slope:.9} * {name}");
@@ -49,41 +49,41 @@
     Ok(())
 }
 
-async fn run_overhead(path: &Path, out: &Path, calls: u64) -> Result<(), Failure> {
+async fn run_overhead(path: &Path, out: &Path, calls: u64) -> Result<(), BoxedError> {
     let experiment: Experiment = settings::load(path)?;
     let spec = experiment.fleet.ok_or("the experiment has no fleet")?;
-    let first = experiment.online.first();
-    let model = &first.ok_or("the experiment has no online load")?.model;
+    let first_load = experiment.online.first();
+    let model = &first_load.ok_or("the experiment has no online load")?.model;
     std::fs::create_dir_all(out)?;
-    let measured = overhead::measure(&spec, base_of(path), out, model, calls).await?;
-    let json = serde_json::to_string_pretty(&measured)?;
+    let result = overhead::measure(&spec, base_folder(path), out, model, calls).await?;
+    let json = serde_json::to_string_pretty(&result)?;
     println!("{json}");
     std::fs::write(out.join("overhead.json"), json)?;
     Ok(())
 }
 
-async fn run_propagation(path: &Path, out: &Path, changes: u64) -> Result<(), Failure> {
+async fn run_propagation(path: &Path, out: &Path, changes: u64) -> Result<(), BoxedError> {
     let experiment: Experiment = settings::load(path)?;
     let spec = experiment.fleet.ok_or("the experiment has no fleet")?;
     std::fs::create_dir_all(out)?;
-    let measured = propagation::measure(&spec, base_of(path), out, changes).await?;
-    let json = serde_json::to_string_pretty(&measured)?;
+    let result = propagation::measure(&spec, base_folder(path), out, changes).await?;
+    let json = serde_json::to_string_pretty(&result)?;
     println!("{json}");
     std::fs::write(out.join("propagation.json"), json)?;
     Ok(())
 }
 
-fn run_model(path: &Path, out: &Path) -> Result<(), Failure> {
+fn run_model(path: &Path, out: &Path) -> Result<(), BoxedError> {
     let scenario: Scenario = settings::load(path)?;
     std::fs::create_dir_all(out)?;
-    let outcomes = model_report::play(&scenario);
-    let table = model_report::table(&outcomes);
+    let outcomes = model_report::simulate_variants(&scenario);
+    let table = model_report::markdown_table(&outcomes);
     print!("{table}");
     std::fs::write(out.join("report.md"), table)?;
-    model_report::draw(&outcomes, out)
+    model_report::draw_plot(&outcomes, out)
 }
 
-async fn execute(command: Command) -> Result<bool, Failure> {
+async fn execute_command(command: Command) -> Result<bool, BoxedError> {
     match command {
         Command::Help => println!("{}", args::USAGE),
         Command::Version => println!("foxwheel-load {}", env!("CARGO_PKG_VERSION")),
@@ -114,7 +114,7 @@
             return ExitCode::from(2);
         }
     };
-    match actix_web::rt::System::new().block_on(execute(command)) {
+    match actix_web::rt::System::new().block_on(execute_command(command)) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
--- a/crates/foxwheel-load/src/model_report.rs
+++ b/crates/foxwheel-load/src/model_report.rs
@@ -1,4 +1,4 @@
-//! Weighing variants of the decisions on the load model: figures and plots.
+//! Compares variants of the scheduling decisions by simulation: a table and a plot.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -8,11 +8,12 @@
 use foxwheel_model::simulation;
 use foxwheel_plot::{Line, PlotError};
 
-/// Quantiles of the plotted distribution: each hundredth.
-const PLOT_STEPS: usize = 100;
+/// The number of intervals between the plotted quantiles, which are a hundredth apart.
+const QUANTILE_STEPS: usize = 100;
 
-/// Plays every variant on every seed; answers the outcomes in the order of the variants.
-pub fn play(scenario: &Scenario) -> Vec<(String, Outcome)> {
+/// Simulates every variant with every seed. Returns the names and outcomes of the variants in
+/// their order.
+pub fn simulate_variants(scenario: &Scenario) -> Vec<(String, Outcome)> {
     let variants = scenario.variants.iter().map(|variant| {
         let mut outcome = Outcome::default();
         for seed in &scenario.seeds {
@@ -23,8 +24,8 @@
     variants.collect()
 }
 
-/// The figures as a Markdown table.
-pub fn table(outcomes: &[(String, Outcome)]) -> String {
+/// Formats the outcomes as a Markdown table.
+pub fn markdown_table(outcomes: &[(String, Outcome)]) -> String {
     let mut table = String::from(
         "| variant | online on time | late | served on return | lost | first token p50 / p95 / p99 ms | items on time | late | runs stopped |\n\
          |---|---|---|---|---|---|---|---|---|\n",
@@ -51,12 +52,13 @@
 }
 
 /// Draws `first-token.svg` into `folder`: the time to the first token by share of requests.
-pub fn draw(outcomes: &[(String, Outcome)], folder: &Path) -> Result<(), PlotError> {
+/// Returns an error if the file cannot be written.
+pub fn draw_plot(outcomes: &[(String, Outcome)], folder: &Path) -> Result<(), PlotError> {
     let lines = outcomes.iter().map(|(name, outcome)| Line {
         label: name.clone(),
-        points: (0..=PLOT_STEPS)
+        points: (0..=QUANTILE_STEPS)
             .map(|step| {
-                let share = step as f64 / PLOT_STEPS as f64;
+                let share = step as f64 / QUANTILE_STEPS as f64;
                 (share * 100.0, outcome.first_token_ms(share))
             })
             .collect(),
--- a/crates/foxwheel-load/src/online.rs
+++ b/crates/foxwheel-load/src/online.rs
@@ -1,5 +1,5 @@
-//! Open-loop online load: Poisson arrivals from a seeded generator, each a streamed chat
-//! completion, with time to first token and time between tokens measured at the caller.
+//! Open-loop online load: sends streamed chat completions with Poisson arrivals from a seeded
+//! generator, and measures time to first token and time between tokens at the caller.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -12,36 +12,36 @@
 use foxwheel_core::protocol::{self, REQUEST_ID_HEADER, WORKSPACE_HEADER};
 use foxwheel_engine_emu::{openai, text};
 
-use crate::burn::Outcome;
+use crate::burn::RequestOutcome;
 use crate::experiment::OnlineLoad;
 
-/// What one model's online load measured.
+/// The statistics of one model's online load.
 #[derive(Debug, Clone)]
-pub struct OnlineTally {
+pub struct OnlineStats {
     /// The model.
     pub model: String,
-    /// Requests sent.
+    /// The number of requests sent.
     pub sent: u64,
-    /// Requests answered in whole.
+    /// The number of requests with a complete and correct response.
     pub ok: u64,
-    /// Requests refused, with a `Retry-After` or not.
+    /// The number of requests that were refused, with or without `Retry-After`, or that failed.
     pub refused: u64,
-    /// Requests whose answer was not the whole answer to their own prompt, or carried
-    /// another request's id.
+    /// The number of requests whose response was not the complete response to their own prompt, or
+    /// contained the id of another request.
     pub wrong_answers: u64,
-    /// Time to first token, microseconds.
+    /// Time to first token, in microseconds.
     pub ttft_us: Histogram<u64>,
-    /// Time between tokens, microseconds.
+    /// Time between tokens, in microseconds.
     pub tbt_us: Histogram<u64>,
-    /// Tokens received.
+    /// The number of tokens received in correct responses.
     pub tokens: u64,
-    /// Why requests got no answer, each kind with its count, sorted.
+    /// The errors of refused and failed requests, each with its count, sorted by text.
     pub errors: Vec<(String, u64)>,
-    /// How each request went, in the order they ended.
-    pub outcomes: Vec<Outcome>,
+    /// The outcome of each request, in the order in which they ended.
+    pub outcomes: Vec<RequestOutcome>,
 }
 
-impl OnlineTally {
+impl OnlineStats {
     fn new(model: &str) -> Self {
         Self {
             model: model.to_owned(),
@@ -58,38 +58,42 @@
     }
 }
 
-impl OnlineTally {
-    fn refuse(&mut self, error: String) {
+impl OnlineStats {
+    fn record_error(&mut self, error: String) {
         self.refused += 1;
         match self.errors.binary_search_by(|(known, _)| known.cmp(&error)) {
-            Ok(at) => self.errors[at].1 += 1,
-            Err(at) => self.errors.insert(at, (error, 1)),
+            Ok(index) => self.errors[index].1 += 1,
+            Err(index) => self.errors.insert(index, (error, 1)),
         }
     }
 }
 
-/// One streamed answer as the caller saw it.
-struct Streamed {
+/// A complete streamed response as received by the caller.
+struct StreamedResponse {
     text: String,
+    /// Whether every event contained the id of the request.
     ids_match: bool,
     first_token: Option<Duration>,
-    gaps: Vec<Duration>,
+    /// The times between consecutive tokens.
+    token_gaps: Vec<Duration>,
 }
 
-impl Streamed {
+impl StreamedResponse {
     fn mean_gap(&self) -> Duration {
-        let gaps = self.gaps.len().max(1) as u32;
-        self.gaps.iter().sum::<Duration>() / gaps
+        let token_gaps = self.token_gaps.len().max(1) as u32;
+        self.token_gaps.iter().sum::<Duration>() / token_gaps
     }
 }
 
-async fn stream_one(
+/// Sends one request and reads its stream. Returns an error for a refusal, a failure of the
+/// connection, and a stream that ends early.
+async fn stream_response(
     client: &awc::Client,
     gateway: &str,
     load: &OnlineLoad,
     prompt: &str,
     id: &str,
-) -> Result<Streamed, String> {
+) -> Result<StreamedResponse, String> {
     let body = serde_json::json!({
         "model": load.model,
         "messages": [{"role": "user", "content": prompt}],
@@ -102,126 +106,126 @@
     if let Some(workspace) = &load.workspace {
         request = request.insert_header((WORKSPACE_HEADER, workspace.as_str()));
     }
-    let started = Instant::now();
+    let started_at = Instant::now();
     let mut response = request.send_json(&body).await.map_err(|e| e.to_string())?;
     if !response.status().is_success() {
         let status = response.status();
-        let refusal = response.json::<protocol::RefusalBody>().await;
-        let code = refusal.map(|body| body.error.code).unwrap_or_default();
+        let refusal_body = response.json::<protocol::RefusalBody>().await;
+        let code = refusal_body.map(|body| body.error.code).unwrap_or_default();
         return Err(format!("status {status}, {code}"));
     }
     let mut buffer = Vec::new();
-    let mut streamed = Streamed {
+    let mut streamed = StreamedResponse {
         text: String::new(),
         ids_match: true,
         first_token: None,
-        gaps: Vec::new(),
+        token_gaps: Vec::new(),
     };
-    let mut last = started;
-    let mut ended = false;
+    let mut last_token_at = started_at;
+    let mut is_complete = false;
     while let Some(chunk) = response.next().await {
         let chunk = chunk.map_err(|e| e.to_string())?;
         buffer.extend_from_slice(&chunk);
         while let Some(end) = find_event_end(&buffer) {
             let event: Vec<u8> = buffer.drain(..end + 2).collect();
             let line = String::from_utf8_lossy(&event);
-            let Some(data) = line.trim().strip_prefix("data: ") else {
+            let Some(json) = line.trim().strip_prefix("data: ") else {
                 continue;
             };
-            if data == "[DONE]" {
-                ended = true;
+            if json == "[DONE]" {
+                is_complete = true;
                 continue;
             }
-            let value: serde_json::Value = serde_json::from_str(data).map_err(|e| e.to_string())?;
+            let value: serde_json::Value = serde_json::from_str(json).map_err(|e| e.to_string())?;
             if value.get("id").and_then(|v| v.as_str()) != Some(id) {
                 streamed.ids_match = false;
             }
             let now = Instant::now();
             match streamed.first_token {
-                None => streamed.first_token = Some(now - started),
-                Some(_) => streamed.gaps.push(now - last),
+                None => streamed.first_token = Some(now - started_at),
+                Some(_) => streamed.token_gaps.push(now - last_token_at),
             }
-            last = now;
+            last_token_at = now;
             streamed
                 .text
                 .push_str(openai::extract_text(&value).unwrap_or_default());
         }
     }
-    if !ended {
-        // Seen to be broken off, as any client of the protocol sees it.
-        return Err("the stream broke off".to_owned());
+    if !is_complete {
+        // As for any client of the protocol, a stream without the final event is incomplete.
+        return Err("the stream ended before its final event".to_owned());
     }
     Ok(streamed)
 }
 
 fn find_event_end(buffer: &[u8]) -> Option<usize> {
-    buffer.windows(2).position(|w| w == b"\n\n")
+    buffer.windows(2).position(|bytes| bytes == b"\n\n")
 }
 
-/// Sends `load` for `duration` and returns what it measured.
-pub async fn run(
+/// Sends `load` for `duration`, waits for all responses and returns the statistics.
+pub async fn run_online_load(
     gateways: Vec<String>,
     load: OnlineLoad,
     duration: Duration,
     seed: u64,
-) -> OnlineTally {
-    let tally = Rc::new(RefCell::new(OnlineTally::new(&load.model)));
+) -> OnlineStats {
+    let stats = Rc::new(RefCell::new(OnlineStats::new(&load.model)));
     let client = awc::Client::builder()
         .timeout(Duration::from_secs(120))
         .finish();
     let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
-    let started = Instant::now();
+    let started_at = Instant::now();
     let mut next_at = Duration::from_secs(load.start_after_s);
     let end = load.for_s.map_or(duration, |for_s| {
         duration.min(next_at + Duration::from_secs(for_s))
     });
     let mut tasks = Vec::new();
-    let mut n = 0u64;
+    let mut request_number = 0u64;
     while next_at < end {
-        let wait = (started + next_at).saturating_duration_since(Instant::now());
+        let wait = (started_at + next_at).saturating_duration_since(Instant::now());
         tokio::time::sleep(wait).await;
         let prompt = load.prompts[rng.random_range(0..load.prompts.len())].clone();
-        let gateway = gateways[n as usize % gateways.len()].clone();
-        let id = format!("load-{seed}-{n}");
-        n += 1;
-        let (client, one, tally) = (client.clone(), load.clone(), tally.clone());
+        let gateway = gateways[request_number as usize % gateways.len()].clone();
+        let id = format!("load-{seed}-{request_number}");
+        request_number += 1;
+        let (client, request_load, stats) = (client.clone(), load.clone(), stats.clone());
         let sent_at = next_at;
         tasks.push(actix_web::rt::spawn(async move {
-            tally.borrow_mut().sent += 1;
-            let answer = stream_one(&client, &gateway, &one, &prompt, &id).await;
-            let mut tally = tally.borrow_mut();
-            let whole = answer.as_ref().ok();
-            tally.outcomes.push(Outcome {
+            stats.borrow_mut().sent += 1;
+            let result = stream_response(&client, &gateway, &request_load, &prompt, &id).await;
+            let mut stats = stats.borrow_mut();
+            let complete = result.as_ref().ok();
+            stats.outcomes.push(RequestOutcome {
                 sent_at,
-                ttft: whole.and_then(|streamed| streamed.first_token),
-                mean_tbt: whole.map_or(Duration::ZERO, Streamed::mean_gap),
+                ttft: complete.and_then(|streamed| streamed.first_token),
+                mean_tbt: complete.map_or(Duration::ZERO, StreamedResponse::mean_gap),
             });
-            match answer {
+            match result {
                 Ok(streamed) => {
-                    let expected = text::response_text(&prompt, one.max_tokens);
+                    let expected = text::response_text(&prompt, request_load.max_tokens);
                     if streamed.text != expected || !streamed.ids_match {
-                        tally.wrong_answers += 1;
+                        stats.wrong_answers += 1;
                         return;
                     }
-                    tally.ok += 1;
-                    tally.tokens += one.max_tokens as u64;
-                    if let Some(first) = streamed.first_token {
-                        let _ = tally.ttft_us.record(first.as_micros().max(1) as u64);
+                    stats.ok += 1;
+                    stats.tokens += request_load.max_tokens as u64;
+                    if let Some(first_token) = streamed.first_token {
+                        let _ = stats.ttft_us.record(first_token.as_micros().max(1) as u64);
                     }
-                    for gap in streamed.gaps {
-                        let _ = tally.tbt_us.record(gap.as_micros().max(1) as u64);
+                    for gap in streamed.token_gaps {
+                        let _ = stats.tbt_us.record(gap.as_micros().max(1) as u64);
                     }
                 }
-                Err(e) => tally.refuse(e),
+                Err(e) => stats.record_error(e),
             }
         }));
-        let u: f64 = rng.random::<f64>().max(f64::MIN_POSITIVE);
-        next_at += Duration::from_secs_f64(-u.ln() / load.rate_per_s);
+        let uniform: f64 = rng.random::<f64>().max(f64::MIN_POSITIVE);
+        next_at += Duration::from_secs_f64(-uniform.ln() / load.rate_per_s);
     }
     for task in tasks {
         let _ = task.await;
     }
-    Rc::try_unwrap(tally)
+    Rc::try_unwrap(stats)
         .map(RefCell::into_inner)
-        .unwrap_or_else(|rc| rc.borrow().clone())
+        .unwrap_or_else(|shared| shared.borrow().clone())
 }
--- a/crates/foxwheel-load/src/overhead.rs
+++ b/crates/foxwheel-load/src/overhead.rs
@@ -1,5 +1,5 @@
-//! The gateway's overhead per request, against direct calls to the same engine in the same
-//! run. The two are sent in turn, so both meet the same state of the machine.
+//! Measures the overhead of a gateway per request, compared with direct calls to the same engine in
+//! the same run. The two kinds of calls alternate, so that both see the same state of the machine.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -8,20 +8,21 @@
 
 use crate::experiment::FleetSpec;
 use crate::fleet::{Fleet, FleetError};
-use crate::report::{percentiles, Percentiles};
+use crate::report::{compute_percentiles, Percentiles};
 
-/// What the comparison gave: latencies of whole answers of one token.
+/// Latencies of complete responses of one token.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct Overhead {
-    /// Calls straight to the engine stand-in.
+    /// Calls directly to the engine emulator.
     pub direct: Percentiles,
-    /// The same calls through a gateway and the engine's agent.
+    /// The same calls through a gateway and the agent of the engine.
     pub through_gateway: Percentiles,
-    /// Calls that failed, of either kind.
+    /// The number of failed calls of both kinds.
     pub failed: u64,
 }
 
-/// Sends `calls` requests for `model` each way, one at a time.
+/// Starts a fleet and sends `calls` requests for `model` each way, one at a time. Returns an error
+/// if the fleet does not start.
 pub async fn measure(
     spec: &FleetSpec,
     base: &Path,
@@ -30,7 +31,8 @@
     calls: u64,
 ) -> Result<Overhead, FleetError> {
     let fleet = Fleet::start(spec, base, out).await?;
-    // The first deployment's first back end listens right after the store and the gateways.
+    // The first backend of the first deployment uses the port after those of the store and the
+    // gateways.
     let engine_port = spec.base_port + 1 + spec.gateway_zones.len() as u16;
     let urls = [
         format!("http://127.0.0.1:{engine_port}"),
@@ -42,19 +44,18 @@
     let new_histogram = || Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds");
     let mut latencies = [new_histogram(), new_histogram()];
     let mut failed = 0;
-    for n in 0..calls {
-        let body =
-            serde_json::json!({"model": model, "prompt": format!("call {n}"), "max_tokens": 1});
+    for call_number in 0..calls {
+        let body = serde_json::json!({"model": model, "prompt": format!("call {call_number}"), "max_tokens": 1});
         for (url, latency) in urls.iter().zip(&mut latencies) {
-            let started = Instant::now();
-            match call(&client, url, &body).await {
-                true => latency.saturating_record(started.elapsed().as_micros() as u64),
+            let started_at = Instant::now();
+            match send_call(&client, url, &body).await {
+                true => latency.saturating_record(started_at.elapsed().as_micros() as u64),
                 false => failed += 1,
             }
         }
     }
     fleet.stop().await;
-    let [direct, through_gateway] = latencies.map(|h| percentiles(&h));
+    let [direct, through_gateway] = latencies.map(|histogram| compute_percentiles(&histogram));
     Ok(Overhead {
         direct,
         through_gateway,
@@ -62,9 +63,10 @@
     })
 }
 
-async fn call(client: &awc::Client, url: &str, body: &serde_json::Value) -> bool {
-    let sent = client.post(format!("{url}/v1/completions")).send_json(body);
-    match sent.await {
+/// Sends one call. Returns whether the complete response arrived with a 2xx status.
+async fn send_call(client: &awc::Client, url: &str, body: &serde_json::Value) -> bool {
+    let request = client.post(format!("{url}/v1/completions")).send_json(body);
+    match request.await {
         Ok(mut response) => response.status().is_success() && response.body().await.is_ok(),
         Err(_) => false,
     }
--- a/crates/foxwheel-load/src/plot.rs
+++ b/crates/foxwheel-load/src/plot.rs
@@ -1,4 +1,5 @@
-//! Plots of a result as SVG: time to first token and batch items over time, and burn.
+//! Draws the plots of a result as SVG files: time to first token, finished batch items and error
+//! budget burn over time.
 
 use std::path::Path;
 
@@ -6,22 +7,24 @@
 
 use crate::report::ExperimentResult;
 
-/// The x axis of plots over time.
-const LOAD_SECONDS: &str = "seconds from the start of the load";
-/// Draws `timeline.svg`, `batch.svg` and `burn.svg` into `folder`.
-pub fn draw_all(result: &ExperimentResult, folder: &Path) -> Result<(), PlotError> {
-    let ttft = result.online.iter().map(|o| Line {
-        label: o.model.clone(),
-        points: o
+/// The label of the x axis.
+const TIME_AXIS_LABEL: &str = "seconds from the start of the load";
+
+/// Draws `timeline.svg`, `batch.svg` and `burn.svg` into `folder`. Returns an error if a file
+/// cannot be written.
+pub fn draw_plots(result: &ExperimentResult, folder: &Path) -> Result<(), PlotError> {
+    let ttft = result.online.iter().map(|online| Line {
+        label: online.model.clone(),
+        points: online
             .seconds
             .iter()
-            .map(|s| (s.second as f64, s.ttft_p95_ms))
+            .map(|second| (second.second as f64, second.ttft_p95_ms))
             .collect(),
     });
     foxwheel_plot::draw_line_plot(
         &folder.join("timeline.svg"),
         "p95 time to first token, per second (ms)",
-        LOAD_SECONDS,
+        TIME_AXIS_LABEL,
         ttft.collect(),
     )?;
     let finished = Line {
@@ -29,27 +32,27 @@
         points: result
             .batch_finished
             .iter()
-            .map(|p| (p.at_s, p.finished as f64))
+            .map(|point| (point.at_s, point.finished as f64))
             .collect(),
     };
     foxwheel_plot::draw_line_plot(
         &folder.join("batch.svg"),
         "batch items finished",
-        LOAD_SECONDS,
+        TIME_AXIS_LABEL,
         vec![finished],
     )?;
-    let burn = result.burn.iter().map(|b| Line {
-        label: b.model.clone(),
-        points: b
+    let burn = result.burn.iter().map(|burn| Line {
+        label: burn.model.clone(),
+        points: burn
             .windows
             .iter()
-            .map(|w| (w.start_s as f64, w.burn_rate))
+            .map(|window| (window.start_s as f64, window.burn_rate))
             .collect(),
     });
     foxwheel_plot::draw_line_plot(
         &folder.join("burn.svg"),
         "error budget burn rate, per window",
-        LOAD_SECONDS,
+        TIME_AXIS_LABEL,
         burn.collect(),
     )
 }
--- a/crates/foxwheel-load/src/propagation.rs
+++ b/crates/foxwheel-load/src/propagation.rs
@@ -1,4 +1,4 @@
-//! How long an applied change takes to be in force on every gateway and every agent.
+//! Measures how long an applied change takes to be in force on every gateway and every agent.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -10,23 +10,25 @@
 
 use crate::experiment::FleetSpec;
 use crate::fleet::{Fleet, FleetError, Role};
-use crate::report::{percentiles, Percentiles};
+use crate::report::{compute_percentiles, Percentiles};
 
-/// The pause between two looks at a process.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
-/// After this long a change counts as late, with this as its time.
-const GIVE_UP: Duration = Duration::from_secs(30);
+/// The interval between two polls of a process.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The time after which a change is no longer waited for; it is recorded with this time.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Times from the store's answer to the write until the last process has the change.
+/// Times from the store's response to the write until the change is in force.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct Propagation {
-    /// Until the last gateway has it.
+    /// Times until it is in force on all gateways.
     pub gateways: Percentiles,
-    /// Until the last agent has it.
+    /// Times until it is in force on all agents.
     pub agents: Percentiles,
 }
 
-/// Applies `changes` changes of the rules, one after the other.
+/// Starts a fleet, applies `changes` changes of the rules to it one after the other, and returns
+/// their propagation times. Changes that the store does not accept are left out. Returns an
+/// error if the fleet does not start.
 pub async fn measure(
     spec: &FleetSpec,
     base: &Path,
@@ -35,51 +37,58 @@
 ) -> Result<Propagation, FleetError> {
     let fleet = Fleet::start(spec, base, out).await?;
     let store = StoreClient::new(&fleet.store_url);
-    let agent_urls = fleet.urls_of(Role::Agent);
+    let agent_urls = fleet.urls_with_role(Role::Agent);
     let new_histogram = || Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds");
     let (mut gateways, mut agents) = (new_histogram(), new_histogram());
-    for n in 0..changes {
-        let Some(revision) = change_rules(&store, n).await else {
+    for change_number in 0..changes {
+        let Some(revision) = add_rule(&store, change_number).await else {
             continue;
         };
-        let started = Instant::now();
-        let on_gateways = wait_for_all(&fleet.gateway_urls, "status", revision, started);
-        let on_agents = wait_for_all(&agent_urls, "load", revision, started);
-        let (on_gateways, on_agents) = futures::join!(on_gateways, on_agents);
-        gateways.saturating_record(on_gateways.as_micros() as u64);
-        agents.saturating_record(on_agents.as_micros() as u64);
+        let started_at = Instant::now();
+        let gateways_wait = wait_for_revision(&fleet.gateway_urls, "status", revision, started_at);
+        let agents_wait = wait_for_revision(&agent_urls, "load", revision, started_at);
+        let (gateways_time, agents_time) = futures::join!(gateways_wait, agents_wait);
+        gateways.saturating_record(gateways_time.as_micros() as u64);
+        agents.saturating_record(agents_time.as_micros() as u64);
     }
     fleet.stop().await;
     Ok(Propagation {
-        gateways: percentiles(&gateways),
-        agents: percentiles(&agents),
+        gateways: compute_percentiles(&gateways),
+        agents: compute_percentiles(&agents),
     })
 }
 
-/// Writes the rules with one more that matches nothing; answers the revision written.
-async fn change_rules(store: &StoreClient, n: u64) -> Option<u64> {
-    let found = store.get_value::<RuleSet>(keys::RULES_KEY).await.ok()??;
-    let (mut rules, version) = found;
-    let mut extra = rules.rules.first()?.clone();
-    extra.name = format!("propagation-{n}");
-    extra.when.workspace = Some("no-such-workspace".to_owned());
-    rules.rules.push(extra);
+/// Adds a rule that matches no request. Returns the revision written, or None if the rules could
+/// not be read or written, or are empty.
+async fn add_rule(store: &StoreClient, change_number: u64) -> Option<u64> {
+    let stored_rules = store.get_value::<RuleSet>(keys::RULES_KEY).await.ok()??;
+    let (mut rules, version) = stored_rules;
+    let mut new_rule = rules.rules.first()?.clone();
+    new_rule.name = format!("propagation-{change_number}");
+    new_rule.when.workspace = Some("no-such-workspace".to_owned());
+    rules.rules.push(new_rule);
     let written = store.put(keys::RULES_KEY, &rules, Some(version)).await;
     Some(written.ok()?.version)
 }
 
-/// The time from `started` until every process reports `revision` or a later one.
-async fn wait_for_all(urls: &[String], page: &str, revision: u64, started: Instant) -> Duration {
+/// Waits until every process reports `revision` or a later one. Returns the time since
+/// `started_at`, or the timeout if it has passed before.
+async fn wait_for_revision(
+    urls: &[String],
+    page: &str,
+    revision: u64,
+    started_at: Instant,
+) -> Duration {
     let http = awc::Client::default();
     for url in urls {
         while !has_revision(&http, &format!("{url}/{page}"), revision).await {
-            if started.elapsed() > GIVE_UP {
-                return GIVE_UP;
+            if started_at.elapsed() > CHANGE_TIMEOUT {
+                return CHANGE_TIMEOUT;
             }
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
-    started.elapsed()
+    started_at.elapsed()
 }
 
 async fn has_revision(http: &awc::Client, url: &str, revision: u64) -> bool {
--- a/crates/foxwheel-load/src/report.rs
+++ b/crates/foxwheel-load/src/report.rs
@@ -1,131 +1,131 @@
-//! The report: figures for people, a JSON result for machines, and the checks of the
-//! brief's promises that decide the exit code.
+//! Builds the result of an experiment, formats it as text, and checks the system's guarantees. A
+//! failed check makes the command exit with 1.
 
 use serde::Serialize;
 
-use crate::batch::BatchTally;
+use crate::batch::BatchStats;
 use crate::burn::{self, Burn};
 use crate::experiment::Objective;
-use crate::online::OnlineTally;
-use crate::services::ServiceTally;
+use crate::online::OnlineStats;
+use crate::services::ServiceStats;
 use crate::timeline::{self, BatchPoint, OnlineSecond};
 use crate::usage::Usage;
 
-/// Percentiles of one latency, in milliseconds.
+/// Percentiles of a latency, in milliseconds.
 #[derive(Debug, Clone, Serialize)]
 pub struct Percentiles {
-    /// Median.
+    /// The median.
     pub p50_ms: f64,
-    /// 95th percentile.
+    /// The 95th percentile.
     pub p95_ms: f64,
-    /// 99th percentile.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// Samples.
+    /// The number of samples.
     pub count: u64,
 }
 
-/// The percentiles of a histogram of microseconds.
-pub fn percentiles(h: &hdrhistogram::Histogram<u64>) -> Percentiles {
-    let ms = |q: f64| h.value_at_quantile(q) as f64 / 1000.0;
+/// Computes the percentiles of a histogram of microseconds.
+pub fn compute_percentiles(histogram: &hdrhistogram::Histogram<u64>) -> Percentiles {
+    let quantile_ms = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1000.0;
     Percentiles {
-        p50_ms: ms(0.50),
-        p95_ms: ms(0.95),
-        p99_ms: ms(0.99),
-        count: h.len(),
+        p50_ms: quantile_ms(0.50),
+        p95_ms: quantile_ms(0.95),
+        p99_ms: quantile_ms(0.99),
+        count: histogram.len(),
     }
 }
 
-/// One model's online figures.
+/// The results of one model's online load.
 #[derive(Debug, Clone, Serialize)]
 pub struct OnlineResult {
     /// The model.
     pub model: String,
-    /// Requests sent.
+    /// The number of requests sent.
     pub sent: u64,
-    /// Answered whole and right.
+    /// The number of requests with a complete and correct response.
     pub ok: u64,
-    /// Refused.
+    /// The number of requests that were refused or failed.
     pub refused: u64,
-    /// Wrong or crossed answers.
+    /// The number of requests with an incorrect response or the response of another request.
     pub wrong_answers: u64,
     /// Time to first token.
     pub ttft: Percentiles,
     /// Time between tokens.
     pub tbt: Percentiles,
-    /// Tokens received.
+    /// The number of tokens received in correct responses.
     pub tokens: u64,
-    /// Why requests got no answer, each kind with its count.
+    /// The errors of refused and failed requests, each with its count.
     pub errors: Vec<(String, u64)>,
-    /// Figures per second.
+    /// The results of each second.
     pub seconds: Vec<OnlineSecond>,
 }
 
-/// One batch job's figures.
+/// The results of one batch job.
 #[derive(Debug, Clone, Serialize)]
 pub struct BatchResult {
-    /// Client key.
+    /// The client key of the job.
     pub client_key: String,
-    /// Items.
+    /// The number of items submitted.
     pub items: u64,
-    /// Done.
+    /// The number of items done.
     pub done: u64,
-    /// Failed.
+    /// The number of failed items.
     pub failed: u64,
-    /// Cancelled.
+    /// The number of cancelled items.
     pub cancelled: u64,
-    /// Still pending at the end of the wait.
+    /// The number of items without a final result at the end of the wait.
     pub pending: u64,
-    /// Items finished per second.
+    /// Finished items per second; None if the job did not end.
     pub items_per_s: Option<f64>,
-    /// Whether the resend with the same key gave the same job.
+    /// Whether resending the job with the same client key returned the same job id.
     pub resend_same_job: bool,
-    /// Result lines duplicated or unknown.
+    /// The number of result lines for an item seen before or never submitted.
     pub duplicate_or_unknown: u64,
-    /// An error, if the job's run stopped.
+    /// The error that ended the load before its results were read, if any.
     pub error: Option<String>,
 }
 
-/// The whole result.
+/// The result of an experiment, as written to `result.json`.
 #[derive(Debug, Clone, Serialize)]
 pub struct ExperimentResult {
-    /// Online figures by model.
+    /// Results of the online loads, one for each model.
     pub online: Vec<OnlineResult>,
-    /// Batch figures by job.
+    /// Results of the batch jobs.
     pub batches: Vec<BatchResult>,
-    /// Executions of non-idempotent calls.
+    /// Results of the non-idempotent service calls.
     pub services: Vec<ServiceResult>,
-    /// Service-level burn by model.
+    /// Error budget burn of each model.
     pub burn: Vec<Burn>,
-    /// Batch items finished over time, all jobs together.
+    /// The number of finished batch items over time, summed over all jobs.
     pub batch_finished: Vec<BatchPoint>,
-    /// What the fleet used, when the experiment started it.
+    /// The resource usage of the fleet, if the experiment started it.
     pub usage: Option<Usage>,
-    /// Failed checks; empty when every promise held.
+    /// The failed checks; empty if every guarantee held.
     pub failed_checks: Vec<String>,
 }
 
-/// One service path's figures.
+/// The results of one service path.
 #[derive(Debug, Clone, Serialize)]
 pub struct ServiceResult {
-    /// `service path`.
+    /// The service and the path, separated by a space.
     pub name: String,
-    /// Distinct keys.
+    /// The number of distinct idempotency keys.
     pub keys: u64,
-    /// Sends, resends included.
+    /// The number of requests sent, including those sent again.
     pub sends: u64,
-    /// Answered.
+    /// The number of requests with a 2xx response.
     pub answered: u64,
-    /// Executions recorded by the stand-ins.
+    /// The number of executions that the service emulators recorded.
     pub executions: u64,
-    /// Keys executed more than once.
+    /// The number of keys that were executed more than once.
     pub executed_twice: u64,
 }
 
-/// Builds the result and runs the checks.
-pub fn build(
-    online: Vec<OnlineTally>,
-    batches: Vec<BatchTally>,
-    services: Vec<ServiceTally>,
+/// Builds the result from the statistics of all loads and runs the checks.
+pub fn build_result(
+    online: Vec<OnlineStats>,
+    batches: Vec<BatchStats>,
+    services: Vec<ServiceStats>,
     objective: &Objective,
 ) -> ExperimentResult {
     let failed_checks = online
@@ -136,176 +136,188 @@
         .collect();
     let burn = online
         .iter()
-        .map(|t| burn::of(&t.model, &t.outcomes, objective))
+        .map(|load| burn::compute_burn(&load.model, &load.outcomes, objective))
         .collect();
-    let jobs: Vec<Vec<BatchPoint>> = batches.iter().map(|t| t.finished.clone()).collect();
+    let jobs: Vec<Vec<BatchPoint>> = batches.iter().map(|job| job.finished.clone()).collect();
     ExperimentResult {
         online: online.into_iter().map(online_result).collect(),
         batches: batches.into_iter().map(batch_result).collect(),
         services: services.into_iter().map(service_result).collect(),
         burn,
-        batch_finished: timeline::batch(&jobs),
+        batch_finished: timeline::sum_finished_items(&jobs),
         usage: None,
         failed_checks,
     }
 }
 
-/// The answer to a request is the whole answer to it.
-fn failed_online_checks(tally: &OnlineTally) -> Option<String> {
-    let wrong = tally.wrong_answers;
+/// Checks that every response is the complete response to its own request.
+fn failed_online_checks(stats: &OnlineStats) -> Option<String> {
+    let wrong = stats.wrong_answers;
     (wrong > 0).then(|| {
         format!(
-            "{}: {wrong} answers were not the whole answer to their own request",
-            tally.model
+            "{}: {wrong} responses were not the complete response to their own request",
+            stats.model
         )
     })
 }
 
-/// Accepted items finish, once; a resend is the same job; only a cancel cancels.
-fn failed_batch_checks(tally: &BatchTally) -> Vec<String> {
-    if let Some(e) = &tally.error {
-        return vec![format!("batch {}: {e}", tally.client_key)];
+/// Checks that accepted items finish exactly once, that resending a job does not create another
+/// one, and that items are cancelled only in jobs that were cancelled.
+fn failed_batch_checks(stats: &BatchStats) -> Vec<String> {
+    if let Some(e) = &stats.error {
+        return vec![format!("batch {}: {e}", stats.client_key)];
     }
     let checks = [
         (
-            !resend_gave_same_job(tally),
-            "a resend made another job".to_owned(),
+            !has_same_job_after_resend(stats),
+            "resending the job created another job".to_owned(),
         ),
         (
-            tally.duplicate_or_unknown > 0,
+            stats.duplicate_or_unknown > 0,
             format!(
-                "{} results duplicated or unknown",
-                tally.duplicate_or_unknown
+                "{} results are duplicated or unknown",
+                stats.duplicate_or_unknown
             ),
         ),
         (
-            tally.pending > 0,
-            format!("{} accepted items never finished", tally.pending),
+            stats.pending > 0,
+            format!("{} accepted items did not finish", stats.pending),
         ),
         (
-            !tally.cancelled_job && tally.cancelled > 0,
-            "items cancelled in a job nobody cancelled".to_owned(),
+            !stats.cancel_sent && stats.cancelled > 0,
+            "items were cancelled in a job that was not cancelled".to_owned(),
         ),
     ];
     checks
         .into_iter()
         .filter(|(failed, _)| *failed)
-        .map(|(_, what)| format!("batch {}: {what}", tally.client_key))
+        .map(|(_, message)| format!("batch {}: {message}", stats.client_key))
         .collect()
 }
 
-/// A non-idempotent call runs at most once.
-fn failed_service_checks(tally: &ServiceTally) -> Option<String> {
-    let twice = tally.executed_twice;
+/// Checks that no non-idempotent call was executed more than once.
+fn failed_service_checks(stats: &ServiceStats) -> Option<String> {
+    let twice = stats.executed_twice;
     (twice > 0).then(|| {
         format!(
-            "{}: {twice} non-idempotent calls ran more than once",
-            tally.name
+            "{}: {twice} non-idempotent calls were executed more than once",
+            stats.name
         )
     })
 }
 
-fn resend_gave_same_job(tally: &BatchTally) -> bool {
-    matches!(tally.job_ids.as_slice(), [first, resent] if first == resent)
+fn has_same_job_after_resend(stats: &BatchStats) -> bool {
+    matches!(stats.job_ids.as_slice(), [first, resent] if first == resent)
 }
 
-fn online_result(tally: OnlineTally) -> OnlineResult {
+fn online_result(stats: OnlineStats) -> OnlineResult {
     OnlineResult {
-        seconds: timeline::online(&tally.outcomes),
-        ttft: percentiles(&tally.ttft_us),
-        tbt: percentiles(&tally.tbt_us),
-        model: tally.model,
-        sent: tally.sent,
-        ok: tally.ok,
-        refused: tally.refused,
-        wrong_answers: tally.wrong_answers,
-        tokens: tally.tokens,
-        errors: tally.errors,
+        seconds: timeline::online_seconds(&stats.outcomes),
+        ttft: compute_percentiles(&stats.ttft_us),
+        tbt: compute_percentiles(&stats.tbt_us),
+        model: stats.model,
+        sent: stats.sent,
+        ok: stats.ok,
+        refused: stats.refused,
+        wrong_answers: stats.wrong_answers,
+        tokens: stats.tokens,
+        errors: stats.errors,
     }
 }
 
-fn batch_result(tally: BatchTally) -> BatchResult {
-    let finished = (tally.done + tally.failed) as f64;
+fn batch_result(stats: BatchStats) -> BatchResult {
+    let finished = (stats.done + stats.failed) as f64;
     BatchResult {
-        items_per_s: tally.elapsed_s.map(|s| finished / s.max(0.001)),
-        resend_same_job: resend_gave_same_job(&tally),
-        client_key: tally.client_key,
-        items: tally.items,
-        done: tally.done,
-        failed: tally.failed,
-        cancelled: tally.cancelled,
-        pending: tally.pending,
-        duplicate_or_unknown: tally.duplicate_or_unknown,
-        error: tally.error,
+        items_per_s: stats
+            .elapsed_s
+            .map(|elapsed_s| finished / elapsed_s.max(0.001)),
+        resend_same_job: has_same_job_after_resend(&stats),
+        client_key: stats.client_key,
+        items: stats.items,
+        done: stats.done,
+        failed: stats.failed,
+        cancelled: stats.cancelled,
+        pending: stats.pending,
+        duplicate_or_unknown: stats.duplicate_or_unknown,
+        error: stats.error,
     }
 }
 
-fn service_result(tally: ServiceTally) -> ServiceResult {
+fn service_result(stats: ServiceStats) -> ServiceResult {
     ServiceResult {
-        name: tally.name,
-        keys: tally.keys,
-        sends: tally.sends,
-        answered: tally.answered,
-        executions: tally.executions,
-        executed_twice: tally.executed_twice,
+        name: stats.name,
+        keys: stats.keys,
+        sends: stats.sends,
+        answered: stats.answered,
+        executions: stats.executions,
+        executed_twice: stats.executed_twice,
     }
 }
 
-/// The report for people.
-pub fn text(result: &ExperimentResult) -> String {
-    let mut out = String::new();
-    out.push_str("== online ==\n");
-    for o in &result.online {
-        out.push_str(&format!(
+/// Formats the result as the text of `report.txt`.
+pub fn format_text(result: &ExperimentResult) -> String {
+    let mut text = String::new();
+    text.push_str("== online ==\n");
+    for online in &result.online {
+        text.push_str(&format!(
             "{:<14} sent {:>5} ok {:>5} refused {:>3} wrong {:>2} | TTFT p50 {:>7.1} ms p95 {:>7.1} ms | TBT p50 {:>5.1} ms p95 {:>5.1} ms\n",
-            o.model, o.sent, o.ok, o.refused, o.wrong_answers, o.ttft.p50_ms, o.ttft.p95_ms, o.tbt.p50_ms, o.tbt.p95_ms
+            online.model, online.sent, online.ok, online.refused, online.wrong_answers, online.ttft.p50_ms, online.ttft.p95_ms, online.tbt.p50_ms, online.tbt.p95_ms
         ));
     }
-    for (error, count) in result.online.iter().flat_map(|o| &o.errors) {
-        out.push_str(&format!("  {count} x {error}\n"));
+    for (error, count) in result.online.iter().flat_map(|online| &online.errors) {
+        text.push_str(&format!("  {count} x {error}\n"));
     }
-    out.push_str("== batch ==\n");
-    for b in &result.batches {
-        let rate = b
+    text.push_str("== batch ==\n");
+    for job in &result.batches {
+        let rate = job
             .items_per_s
-            .map(|r| format!("{r:.1}"))
+            .map(|rate| format!("{rate:.1}"))
             .unwrap_or_else(|| "-".to_owned());
-        out.push_str(&format!(
+        text.push_str(&format!(
             "{:<22} items {:>5} done {:>5} failed {:>3} cancelled {:>4} pending {:>3} | {} items/s | resend same job: {}\n",
-            b.client_key, b.items, b.done, b.failed, b.cancelled, b.pending, rate, b.resend_same_job
+            job.client_key, job.items, job.done, job.failed, job.cancelled, job.pending, rate, job.resend_same_job
         ));
     }
-    out.push_str("== non-idempotent calls ==\n");
-    for s in &result.services {
-        out.push_str(&format!(
+    text.push_str("== non-idempotent calls ==\n");
+    for service in &result.services {
+        text.push_str(&format!(
             "{:<22} keys {:>4} sends {:>4} answered {:>4} executions {:>4} executed twice {}\n",
-            s.name, s.keys, s.sends, s.answered, s.executions, s.executed_twice
+            service.name,
+            service.keys,
+            service.sends,
+            service.answered,
+            service.executions,
+            service.executed_twice
         ));
     }
-    out.push_str("== service-level burn (1.0 spends the error budget exactly) ==\n");
-    for b in &result.burn {
-        let worst = b.windows.iter().map(|w| w.burn_rate).fold(0.0, f64::max);
-        out.push_str(&format!(
+    text.push_str("== service-level burn (1.0 spends the error budget exactly) ==\n");
+    for burn in &result.burn {
+        let worst_rate = burn
+            .windows
+            .iter()
+            .map(|window| window.burn_rate)
+            .fold(0.0, f64::max);
+        text.push_str(&format!(
             "{:<14} requests {:>5} bad {:>4} burn {:>5.2} worst window {:>5.2}\n",
-            b.model, b.whole.requests, b.whole.bad, b.whole.burn_rate, worst
+            burn.model, burn.whole.requests, burn.whole.bad, burn.whole.burn_rate, worst_rate
         ));
     }
     if let Some(usage) = &result.usage {
-        out.push_str(&usage_text(usage));
+        text.push_str(&format_usage(usage));
     }
     if result.failed_checks.is_empty() {
-        out.push_str("checks: every accepted item finished once; no non-idempotent call ran twice; every answer whole and its own\n");
+        text.push_str("checks: every accepted item finished once; no non-idempotent call was executed twice; every response complete and its own\n");
     } else {
-        out.push_str("FAILED CHECKS:\n");
-        for f in &result.failed_checks {
-            out.push_str(&format!("  - {f}\n"));
+        text.push_str("FAILED CHECKS:\n");
+        for check in &result.failed_checks {
+            text.push_str(&format!("  - {check}\n"));
         }
     }
-    out
+    text
 }
 
-fn usage_text(usage: &Usage) -> String {
-    let mut out = format!("== used in {:.1} s ==\n", usage.window_s);
+fn format_usage(usage: &Usage) -> String {
+    let mut text = format!("== used in {:.1} s ==\n", usage.window_s);
     let roles = [
         ("gateway", &usage.gateway),
         ("agent", &usage.agent),
@@ -313,17 +325,17 @@
         ("store", &usage.store),
     ];
     for (name, role) in roles {
-        out.push_str(&format!(
+        text.push_str(&format!(
             "{name:<9} processes {:>3} cpu {:>7.2} s largest {:>6} KiB\n",
             role.processes, role.cpu_s, role.max_rss_kib
         ));
     }
-    out.push_str(&format!(
+    text.push_str(&format!(
         "store calls: {} reads, {} writes, {} watches; loopback {} KiB\n",
         usage.store_reads,
         usage.store_writes,
         usage.store_watches,
         usage.loopback_bytes / 1024
     ));
-    out
+    text
 }
--- a/crates/foxwheel-load/src/run.rs
+++ b/crates/foxwheel-load/src/run.rs
@@ -1,4 +1,4 @@
-//! Running one experiment from its file to its result.
+//! Runs one experiment: starts its fleet, sends its load, causes its faults and builds the result.
 
 use std::cell::RefCell;
 use std::path::Path;
@@ -7,23 +7,23 @@
 
 use crate::experiment::{Experiment, OnlineLoad};
 use crate::fleet::{Fleet, FleetError};
-use crate::online::OnlineTally;
+use crate::online::OnlineStats;
 use crate::report::{self, ExperimentResult};
 use crate::usage::Sample;
 use crate::{batch, faults, online, services};
 
-/// The pause after the fleet is ready, so that start-up is not measured.
-const SETTLE: Duration = Duration::from_secs(1);
+/// The delay between the fleet being ready and the load, so that start-up is not measured.
+const SETTLE_DELAY: Duration = Duration::from_secs(1);
 
-/// Runs `experiment`, whose paths are relative to `base`; the fleet's settings and logs go
-/// under `out`.
-pub async fn run(
+/// Runs `experiment`, whose paths are relative to `base`. The settings and logs of the fleet are
+/// written under `out`. Returns an error if the fleet does not start.
+pub async fn run_experiment(
     mut experiment: Experiment,
     base: &Path,
     out: &Path,
 ) -> Result<ExperimentResult, FleetError> {
     let Some(spec) = experiment.fleet.take() else {
-        return Ok(load(&experiment).await);
+        return Ok(send_load(&experiment).await);
     };
     let fleet = Fleet::start(&spec, base, out).await?;
     experiment.gateways = fleet.gateway_urls.clone();
@@ -34,77 +34,88 @@
             .map(|(_, url)| url.clone())
             .collect();
     }
-    tokio::time::sleep(SETTLE).await;
-    let before = Sample::take(&fleet).await;
+    tokio::time::sleep(SETTLE_DELAY).await;
+    let before = Sample::read(&fleet).await;
     let fleet = Rc::new(RefCell::new(fleet));
-    let faults = actix_web::rt::spawn(faults::run(fleet.clone(), experiment.faults.clone()));
-    let mut result = load(&experiment).await;
+    let faults = actix_web::rt::spawn(faults::cause_faults(
+        fleet.clone(),
+        experiment.faults.clone(),
+    ));
+    let mut result = send_load(&experiment).await;
     let _ = faults.await;
     if let Ok(fleet) = Rc::try_unwrap(fleet) {
         let fleet = fleet.into_inner();
-        let after = Sample::take(&fleet).await;
-        result.usage = Some(before.until(&after));
+        let after = Sample::read(&fleet).await;
+        result.usage = Some(before.usage_until(&after));
         fleet.stop().await;
     }
     Ok(result)
 }
 
-/// Sends the load and waits for its end.
-async fn load(experiment: &Experiment) -> ExperimentResult {
+/// Sends the load, waits until all requests have ended and the batch jobs have finished or their
+/// wait has ended, and builds the result.
+async fn send_load(experiment: &Experiment) -> ExperimentResult {
     let duration = Duration::from_secs(experiment.duration_s);
-    let wait = duration + Duration::from_secs(experiment.batch_wait_s);
+    let batch_wait = duration + Duration::from_secs(experiment.batch_wait_s);
     let gateways = &experiment.gateways;
     let online: Vec<_> = experiment
         .online
         .iter()
         .zip(experiment.seed..)
-        .map(|(load, seed)| online_thread(gateways.clone(), load.clone(), duration, seed))
+        .map(|(load, seed)| spawn_online_load(gateways.clone(), load.clone(), duration, seed))
         .collect();
     let batches: Vec<_> = experiment
         .batches
         .iter()
-        .map(|load| actix_web::rt::spawn(batch::run(gateways.clone(), load.clone(), wait)))
+        .map(|load| {
+            actix_web::rt::spawn(batch::run_batch_load(
+                gateways.clone(),
+                load.clone(),
+                batch_wait,
+            ))
+        })
         .collect();
     let services: Vec<_> = experiment
         .services
         .iter()
         .zip(experiment.seed + 100..)
         .map(|(load, seed)| {
-            let run = services::run(gateways.clone(), load.clone(), duration, seed);
+            let run = services::run_service_load(gateways.clone(), load.clone(), duration, seed);
             actix_web::rt::spawn(run)
         })
         .collect();
     tokio::time::sleep(duration).await;
-    let (mut online_tallies, mut batch_tallies, mut service_tallies) = (vec![], vec![], vec![]);
+    let (mut online_stats, mut batch_stats, mut service_stats) = (vec![], vec![], vec![]);
     for task in online {
-        online_tallies.extend(task.await.ok());
+        online_stats.extend(task.await.ok());
     }
     for task in batches {
-        batch_tallies.extend(task.await.ok());
+        batch_stats.extend(task.await.ok());
     }
     for task in services {
-        service_tallies.extend(task.await.ok());
+        service_stats.extend(task.await.ok());
     }
-    report::build(
-        online_tallies,
-        batch_tallies,
-        service_tallies,
+    report::build_result(
+        online_stats,
+        batch_stats,
+        service_stats,
         &experiment.objective,
     )
 }
 
-/// Each online load has a thread of its own, so that reading many streams delays no
-/// arrival of another.
-fn online_thread(
+/// Runs an online load in its own thread, so that reading its streams does not delay the arrivals
+/// of another load. Returns the receiver of its statistics.
+fn spawn_online_load(
     gateways: Vec<String>,
     load: OnlineLoad,
     duration: Duration,
     seed: u64,
-) -> tokio::sync::oneshot::Receiver<OnlineTally> {
-    let (done, tally) = tokio::sync::oneshot::channel();
+) -> tokio::sync::oneshot::Receiver<OnlineStats> {
+    let (stats_sender, stats_receiver) = tokio::sync::oneshot::channel();
     std::thread::spawn(move || {
         let system = actix_web::rt::System::new();
-        let _ = done.send(system.block_on(online::run(gateways, load, duration, seed)));
+        let _ = stats_sender
+            .send(system.block_on(online::run_online_load(gateways, load, duration, seed)));
     });
-    tally
+    stats_receiver
 }
--- a/crates/foxwheel-load/src/services.rs
+++ b/crates/foxwheel-load/src/services.rs
@@ -1,5 +1,5 @@
-//! Non-idempotent service calls, some resent with the same `Idempotency-Key`, and the
-//! count of executions read back from the stand-ins afterwards.
+//! Service load: sends non-idempotent calls, some of them twice with the same `Idempotency-Key`,
+//! and then reads from the service emulators how often each call was executed.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,27 +13,27 @@
 
 use crate::experiment::ServiceLoad;
 
-/// What one service path's calls came to.
+/// The statistics of the calls to one service path.
 #[derive(Debug, Clone, Default)]
-pub struct ServiceTally {
-    /// `service path`.
+pub struct ServiceStats {
+    /// The service and the path, separated by a space.
     pub name: String,
-    /// Distinct keys sent.
+    /// The number of distinct idempotency keys sent.
     pub keys: u64,
-    /// Sends in all, resends included.
+    /// The number of requests sent, including those sent again.
     pub sends: u64,
-    /// Sends answered 2xx (first answers and replays).
+    /// The number of requests with a 2xx response, whether first or replayed.
     pub answered: u64,
-    /// Sends refused (any non-2xx).
+    /// The number of requests with any other response or none.
     pub refused: u64,
-    /// Executions the stand-ins recorded for these keys.
+    /// The number of executions that the service emulators recorded for these keys.
     pub executions: u64,
-    /// Keys executed more than once: must be zero.
+    /// The number of keys that were executed more than once; must be zero.
     pub executed_twice: u64,
 }
 
-/// Largest list of executions read, in bytes.
-const MAX_LIST_BYTES: usize = 64 * 1024 * 1024;
+/// The largest list of executions that is read from an emulator, in bytes.
+const MAX_EXECUTIONS_BYTES: usize = 64 * 1024 * 1024;
 
 #[derive(Debug, Deserialize)]
 struct Execution {
@@ -42,7 +42,8 @@
     count: u64,
 }
 
-async fn send(client: &awc::Client, url: &str, key: &str, body: &serde_json::Value) -> bool {
+/// Sends one call. Returns whether the response has a 2xx status.
+async fn send_call(client: &awc::Client, url: &str, key: &str, body: &serde_json::Value) -> bool {
     match client
         .post(url)
         .insert_header((IDEMPOTENCY_KEY_HEADER, key))
@@ -54,77 +55,78 @@
     }
 }
 
-/// Sends `load` for `duration`, then counts executions per key.
-pub async fn run(
+/// Sends `load` for `duration`, then counts the executions of each key.
+pub async fn run_service_load(
     gateways: Vec<String>,
     load: ServiceLoad,
     duration: Duration,
     seed: u64,
-) -> ServiceTally {
+) -> ServiceStats {
     let client = awc::Client::builder()
         .timeout(Duration::from_secs(30))
         .finish();
-    let tally = send_all(&client, &gateways, &load, duration, seed).await;
+    let stats = send_calls(&client, &gateways, &load, duration, seed).await;
     let counts = count_executions(&client, &load).await;
-    ServiceTally {
+    ServiceStats {
         executions: counts.values().sum(),
-        executed_twice: counts.values().filter(|c| **c > 1).count() as u64,
-        ..tally
+        executed_twice: counts.values().filter(|count| **count > 1).count() as u64,
+        ..stats
     }
 }
 
-/// Sends calls at the load's rate; a share of them twice with the same key, the second time
+/// Sends calls at the rate of the load, a share of them twice with the same key, the second time
 /// through another gateway.
-async fn send_all(
+async fn send_calls(
     client: &awc::Client,
     gateways: &[String],
     load: &ServiceLoad,
     duration: Duration,
     seed: u64,
-) -> ServiceTally {
-    let tally = Rc::new(RefCell::new(ServiceTally {
+) -> ServiceStats {
+    let stats = Rc::new(RefCell::new(ServiceStats {
         name: format!("{} {}", load.service, load.path),
-        ..ServiceTally::default()
+        ..ServiceStats::default()
     }));
     let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
-    let started = Instant::now();
+    let started_at = Instant::now();
     let mut tasks = Vec::new();
-    for n in 0.. {
-        if started.elapsed() >= duration {
+    for call_number in 0.. {
+        if started_at.elapsed() >= duration {
             break;
         }
-        let key = format!("{}-{seed}-{n}", load.service);
+        let key = format!("{}-{seed}-{call_number}", load.service);
         let body = load.bodies[rng.random_range(0..load.bodies.len())].clone();
-        let sends = if rng.random::<f64>() < load.resend_share {
+        let send_count = if rng.random::<f64>() < load.resend_share {
             2
         } else {
             1
         };
-        let urls: Vec<String> = (n..n + sends)
-            .map(|at| &gateways[at % gateways.len()])
+        let urls: Vec<String> = (call_number..call_number + send_count)
+            .map(|index| &gateways[index % gateways.len()])
             .map(|gateway| format!("{gateway}/services/{}{}", load.service, load.path))
             .collect();
-        let (client, tally) = (client.clone(), tally.clone());
+        let (client, stats) = (client.clone(), stats.clone());
         tasks.push(actix_web::rt::spawn(async move {
-            tally.borrow_mut().keys += 1;
+            stats.borrow_mut().keys += 1;
             for url in urls {
-                let answered = send(&client, &url, &key, &body).await;
-                let mut tally = tally.borrow_mut();
-                tally.sends += 1;
-                tally.answered += u64::from(answered);
-                tally.refused += u64::from(!answered);
+                let answered = send_call(&client, &url, &key, &body).await;
+                let mut stats = stats.borrow_mut();
+                stats.sends += 1;
+                stats.answered += u64::from(answered);
+                stats.refused += u64::from(!answered);
             }
         }));
-        let u: f64 = rng.random::<f64>().max(f64::MIN_POSITIVE);
-        tokio::time::sleep(Duration::from_secs_f64(-u.ln() / load.rate_per_s)).await;
+        let uniform: f64 = rng.random::<f64>().max(f64::MIN_POSITIVE);
+        tokio::time::sleep(Duration::from_secs_f64(-uniform.ln() / load.rate_per_s)).await;
     }
     for task in tasks {
         let _ = task.await;
     }
-    tally.take()
+    stats.take()
 }
 
-/// Executions of the load's path by key, over all the stand-ins that answer.
+/// Returns the number of executions of the load's path by key, summed over all service emulators
+/// that respond.
 async fn count_executions(client: &awc::Client, load: &ServiceLoad) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
     for emulator in &load.emulator_urls {
@@ -132,10 +134,12 @@
         let Ok(mut response) = client.get(url).send().await else {
             continue;
         };
-        let listed = response.json::<Vec<Execution>>().limit(MAX_LIST_BYTES);
+        let listed = response
+            .json::<Vec<Execution>>()
+            .limit(MAX_EXECUTIONS_BYTES);
         for execution in listed.await.unwrap_or_default() {
-            let is_ours = execution.idempotency_key.starts_with(&load.service);
-            if execution.path == load.path && is_ours {
+            let has_key_of_load = execution.idempotency_key.starts_with(&load.service);
+            if execution.path == load.path && has_key_of_load {
                 *counts.entry(execution.idempotency_key).or_default() += execution.count;
             }
         }
--- a/crates/foxwheel-load/src/sweep.rs
+++ b/crates/foxwheel-load/src/sweep.rs
@@ -1,5 +1,5 @@
-//! Running one experiment at many points: each point changes some values of the
-//! experiment, and gives one row of figures.
+//! Runs one experiment at many points. Each point changes some values of the experiment and
+//! gives one row of results.
 
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -12,23 +12,23 @@
 use crate::report::ExperimentResult;
 use crate::run;
 
-/// A sweep file.
+/// The content of a sweep file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sweep {
-    /// The experiment file; relative to this one.
+    /// The path of the experiment file, relative to the sweep file.
     pub experiment: PathBuf,
-    /// The points, run in order.
-    pub points: Vec<Point>,
+    /// The points, which are run in order.
+    pub points: Vec<SweepPoint>,
 }
 
-/// One point.
+/// One point of a sweep.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Point {
-    /// Its name in the rows.
+pub struct SweepPoint {
+    /// The name of the point: the first column of its row, and the folder of its logs.
     pub label: String,
-    /// Values to change, by JSON pointer, e.g. `/online/0/rate_per_s`.
+    /// The values to change in the experiment file, by JSON pointer, e.g. `/online/0/rate_per_s`.
     #[serde(default)]
     pub set: serde_json::Map<String, serde_json::Value>,
 }
@@ -41,31 +41,31 @@
     }
 }
 
-/// Why a sweep stopped.
+/// The errors that end a sweep.
 #[derive(Debug, thiserror::Error)]
 pub enum SweepError {
-    /// The experiment at a point is refused.
+    /// The experiment of a point is invalid.
     #[error("point `{label}`: {problem}")]
     Point {
-        /// The point.
+        /// The name of the point.
         label: String,
-        /// What is wrong.
+        /// The reason.
         problem: String,
     },
     /// A file could not be read or written.
     #[error("{path}: {source}")]
     Io {
-        /// The file.
+        /// The path of the file.
         path: String,
         /// The underlying error.
         source: std::io::Error,
     },
-    /// A fleet did not start.
+    /// The fleet of a point did not start.
     #[error(transparent)]
     Fleet(#[from] FleetError),
 }
 
-/// The columns of a row, in order; `fit` takes them by name.
+/// The columns of a row, in order. The command `fit` selects them by name.
 pub const COLUMNS: &[&str] = &[
     "label",
     "gateways",
@@ -92,18 +92,20 @@
     "failed_checks",
 ];
 
-/// Runs every point of the sweep at `path`; writes `rows.tsv` under `out` after each point.
-pub async fn run(path: &Path, sweep: &Sweep, out: &Path) -> Result<(), SweepError> {
+/// Runs every point of the sweep file at `path` and writes `rows.tsv` under `out` after each
+/// point. Returns an error at the first point that is invalid or whose fleet does not start, and
+/// if a file cannot be read or written.
+pub async fn run_sweep(path: &Path, sweep: &Sweep, out: &Path) -> Result<(), SweepError> {
     let base = path.parent().unwrap_or(Path::new("."));
     let experiment_path = base.join(&sweep.experiment);
     let experiment = read_json(&experiment_path)?;
     let experiment_base = experiment_path.parent().unwrap_or(base);
     let mut rows = format!("{}\n", COLUMNS.join("\t"));
     for point in &sweep.points {
-        let experiment = patched(&experiment, point)?;
+        let experiment = apply_point(&experiment, point)?;
         let folder = out.join(&point.label);
-        let result = run::run(experiment, experiment_base, &folder).await?;
-        let row = row(&point.label, &result);
+        let result = run::run_experiment(experiment, experiment_base, &folder).await?;
+        let row = format_row(&point.label, &result);
         print!("{row}");
         rows.push_str(&row);
         let rows_path = out.join("rows.tsv");
@@ -124,40 +126,56 @@
     serde_json::from_str(&text).map_err(|e| io_error(path, e.into()))
 }
 
-/// The experiment with the point's values set; every pointer must name something there is.
-fn patched(experiment: &serde_json::Value, point: &Point) -> Result<Experiment, SweepError> {
-    let refuse = |problem: String| SweepError::Point {
+/// Returns the experiment with the values of the point. Every pointer must name a value that the
+/// experiment file contains.
+fn apply_point(
+    experiment: &serde_json::Value,
+    point: &SweepPoint,
+) -> Result<Experiment, SweepError> {
+    let point_error = |problem: String| SweepError::Point {
         label: point.label.clone(),
         problem,
     };
     let mut experiment = experiment.clone();
     for (pointer, value) in &point.set {
-        let target = experiment.pointer_mut(pointer);
-        *target.ok_or_else(|| refuse(format!("`{pointer}` names nothing")))? = value.clone();
+        let old_value = experiment.pointer_mut(pointer);
+        *old_value.ok_or_else(|| {
+            point_error(format!("`{pointer}` names no value of the experiment"))
+        })? = value.clone();
     }
-    settings::parse(&point.label, &experiment.to_string()).map_err(|e| refuse(e.to_string()))
+    settings::parse(&point.label, &experiment.to_string()).map_err(|e| point_error(e.to_string()))
 }
 
-/// The result's figures as one line of tab-separated values, in the order of [`COLUMNS`].
-pub fn row(label: &str, result: &ExperimentResult) -> String {
+/// Formats a result as one line of tab-separated values, in the order of [`COLUMNS`].
+///
+/// Latencies are the highest among the models, as all models share a row.
+pub fn format_row(label: &str, result: &ExperimentResult) -> String {
     let usage = result.usage.clone().unwrap_or_default();
-    let worst = |figure: fn(&crate::report::OnlineResult) -> f64| {
+    let highest = |figure: fn(&crate::report::OnlineResult) -> f64| {
         result.online.iter().map(figure).fold(0.0, f64::max)
     };
-    let items: u64 = result.batches.iter().map(|b| b.done + b.failed).sum();
-    let items_per_s: f64 = result.batches.iter().filter_map(|b| b.items_per_s).sum();
+    let items: u64 = result.batches.iter().map(|job| job.done + job.failed).sum();
+    let items_per_s: f64 = result
+        .batches
+        .iter()
+        .filter_map(|job| job.items_per_s)
+        .sum();
     let mut row = String::from(label);
     let numbers = [
         usage.gateway.processes as f64,
         usage.agent.processes as f64,
         usage.window_s,
-        result.online.iter().map(|o| o.sent as f64).sum(),
-        result.online.iter().map(|o| o.tokens as f64).sum(),
+        result.online.iter().map(|online| online.sent as f64).sum(),
+        result
+            .online
+            .iter()
+            .map(|online| online.tokens as f64)
+            .sum(),
         items as f64,
-        worst(|o| o.ttft.p50_ms),
-        worst(|o| o.ttft.p95_ms),
-        worst(|o| o.tbt.p95_ms),
-        result.burn.iter().map(|b| b.whole.bad as f64).sum(),
+        highest(|online| online.ttft.p50_ms),
+        highest(|online| online.ttft.p95_ms),
+        highest(|online| online.tbt.p95_ms),
+        result.burn.iter().map(|burn| burn.whole.bad as f64).sum(),
         items_per_s,
         usage.gateway.cpu_s,
         usage.gateway.max_rss_kib as f64,
@@ -173,7 +191,7 @@
     ];
     debug_assert_eq!(numbers.len() + 1, COLUMNS.len());
     for number in numbers {
-        // Adding zero turns the minus zero of an empty sum into zero.
+        // Adding zero turns the negative zero of an empty sum into zero.
         write!(row, "\t{}", (number * 1000.0).round() / 1000.0 + 0.0).expect("writing to a string");
     }
     row.push('\n');
--- a/crates/foxwheel-load/src/timeline.rs
+++ b/crates/foxwheel-load/src/timeline.rs
@@ -1,69 +1,73 @@
-//! Figures over time: p95 time to first token per second and batch items finished.
+//! Results over time: the p95 time to first token in each second, and finished batch items.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-use crate::burn::Outcome;
+use crate::burn::RequestOutcome;
 
-/// One second of one model's online load.
+/// The results of one model's online load in one second.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct OnlineSecond {
-    /// Seconds from the start of the load.
+    /// Time from the start of the load, in seconds.
     pub second: u64,
-    /// Requests sent in it.
+    /// The number of requests sent in this second that got a complete response.
     pub requests: u64,
-    /// The 95th percentile of their time to first token, in milliseconds.
+    /// The 95th percentile of their time to first token, in milliseconds; 0 if there are none.
     pub ttft_p95_ms: f64,
 }
 
-/// Items finished by some time, over all jobs.
+/// The number of batch items finished by a point in time.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct BatchPoint {
-    /// Seconds from the start of the load.
+    /// Time from the start of the load, in seconds.
     pub at_s: f64,
-    /// Items finished by then.
+    /// The number of items finished by this time.
     pub finished: u64,
 }
 
-/// Per-second figures of one model's outcomes.
-pub fn online(outcomes: &[Outcome]) -> Vec<OnlineSecond> {
+/// Computes the results of each second from the outcomes of one model's requests.
+pub fn online_seconds(outcomes: &[RequestOutcome]) -> Vec<OnlineSecond> {
     let mut seconds: Vec<(u64, Vec<Duration>)> = Vec::new();
     for outcome in outcomes {
         let second = outcome.sent_at.as_secs();
-        let at = match seconds.binary_search_by_key(&second, |(s, _)| *s) {
-            Ok(at) => at,
-            Err(at) => {
-                seconds.insert(at, (second, Vec::new()));
-                at
+        let index = match seconds.binary_search_by_key(&second, |(known, _)| *known) {
+            Ok(index) => index,
+            Err(index) => {
+                seconds.insert(index, (second, Vec::new()));
+                index
             }
         };
-        seconds[at].1.extend(outcome.ttft);
+        seconds[index].1.extend(outcome.ttft);
     }
     seconds
         .into_iter()
         .map(|(second, mut ttfts)| {
             ttfts.sort_unstable();
-            let p95 = (ttfts.len() * 95).div_ceil(100).max(1) - 1;
+            let p95_index = (ttfts.len() * 95).div_ceil(100).max(1) - 1;
             OnlineSecond {
                 second,
                 requests: ttfts.len() as u64,
-                ttft_p95_ms: ttfts.get(p95).map_or(0.0, |t| t.as_secs_f64() * 1e3),
+                ttft_p95_ms: ttfts
+                    .get(p95_index)
+                    .map_or(0.0, |ttft| ttft.as_secs_f64() * 1e3),
             }
         })
         .collect()
 }
 
-/// Adds up the jobs' own curves of finished items into one.
-pub fn batch(jobs: &[Vec<BatchPoint>]) -> Vec<BatchPoint> {
-    let mut times: Vec<f64> = jobs.iter().flatten().map(|p| p.at_s).collect();
+/// Adds the finished items of all jobs over time. The result has a point for each point of a job.
+pub fn sum_finished_items(jobs: &[Vec<BatchPoint>]) -> Vec<BatchPoint> {
+    let mut times: Vec<f64> = jobs.iter().flatten().map(|point| point.at_s).collect();
     times.sort_by(f64::total_cmp);
     times
         .into_iter()
         .map(|at_s| {
             let finished_by = |job: &Vec<BatchPoint>| {
-                let after = job.partition_point(|p| p.at_s <= at_s);
-                after.checked_sub(1).map_or(0, |last| job[last].finished)
+                let point_count = job.partition_point(|point| point.at_s <= at_s);
+                point_count
+                    .checked_sub(1)
+                    .map_or(0, |last| job[last].finished)
             };
             BatchPoint {
                 at_s,
--- a/crates/foxwheel-load/src/usage.rs
+++ b/crates/foxwheel-load/src/usage.rs
@@ -1,5 +1,5 @@
-//! What a fleet uses: processor time, memory, loopback traffic and store calls, per role,
-//! between two samples.
+//! Measures the resource usage of a fleet between two samples: processor time and memory by role,
+//! loopback traffic and store calls.
 
 use std::time::Instant;
 
@@ -15,58 +15,60 @@
 /// Processor time and memory of the processes of one role.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct RoleUsage {
-    /// Processes.
+    /// The number of processes.
     pub processes: u64,
-    /// Processor seconds, user and system, all together.
+    /// The sum of their user and system processor time, in seconds.
     pub cpu_s: f64,
-    /// The largest resident set at the end, in KiB.
+    /// The largest resident set size of a process at the later sample, in KiB.
     pub max_rss_kib: u64,
 }
 
-/// What the fleet used between two samples.
+/// The resource usage of a fleet between two samples.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Usage {
     /// The time between the samples, in seconds.
     pub window_s: f64,
-    /// The store stand-in.
+    /// Usage of the store emulator.
     pub store: RoleUsage,
-    /// The gateways.
+    /// Usage of the gateways.
     pub gateway: RoleUsage,
-    /// The agents.
+    /// Usage of the agents.
     pub agent: RoleUsage,
-    /// The back end stand-ins.
+    /// Usage of the backend emulators.
     pub backend: RoleUsage,
-    /// Bytes over the loopback interface, each counted once, headers included.
+    /// The number of bytes received on the loopback interface, including headers. Sent bytes are
+    /// left out, so that each byte is counted once.
     pub loopback_bytes: u64,
-    /// Gets and lists of the store.
+    /// The number of get and list calls to the store.
     pub store_reads: u64,
-    /// Puts and deletes.
+    /// The number of put and delete calls to the store.
     pub store_writes: u64,
-    /// Watch calls.
+    /// The number of watch calls to the store.
     pub store_watches: u64,
 }
 
-/// One reading of everything.
+/// The counters of a fleet at one point in time.
 #[derive(Debug)]
 pub struct Sample {
     at: Instant,
-    /// By process name: role, processor seconds, resident KiB.
+    /// The name, role, processor time in seconds and resident set size in KiB of each process.
     processes: Vec<(String, Role, f64, u64)>,
     loopback_bytes: u64,
     store: CallCounts,
 }
 
 impl Sample {
-    /// Reads the fleet's processes, the loopback counters and the store's call counts.
-    pub async fn take(fleet: &Fleet) -> Self {
-        let processes = fleet.processes.iter().map(|p| {
-            let (cpu_s, rss_kib) = process_usage(p.pid()).unwrap_or_default();
-            (p.name.clone(), p.role, cpu_s, rss_kib)
+    /// Reads the counters of the fleet's processes, of the loopback interface and of the store.
+    /// Counters that cannot be read are zero.
+    pub async fn read(fleet: &Fleet) -> Self {
+        let processes = fleet.processes.iter().map(|process| {
+            let (cpu_s, rss_kib) = read_process_usage(process.pid()).unwrap_or_default();
+            (process.name.clone(), process.role, cpu_s, rss_kib)
         });
         Self {
             at: Instant::now(),
             processes: processes.collect(),
-            loopback_bytes: loopback_bytes().unwrap_or_default(),
+            loopback_bytes: read_loopback_bytes().unwrap_or_default(),
             store: StoreClient::new(&fleet.store_url)
                 .stats()
                 .await
@@ -74,17 +76,19 @@
         }
     }
 
-    /// What was used from `self` to `later`. A process restarted in between counts from its
-    /// restart.
-    pub fn until(&self, later: &Self) -> Usage {
-        let role = |role: Role| {
+    /// Returns the usage between `self` and `later`. A process that was restarted in between is
+    /// counted from its restart.
+    pub fn usage_until(&self, later: &Self) -> Usage {
+        let usage_of_role = |role: Role| {
             let mut usage = RoleUsage::default();
-            for (name, _, cpu_s, rss_kib) in later.processes.iter().filter(|p| p.1 == role) {
-                let before = self.processes.iter().find(|p| p.0 == *name);
-                let before_s = before.map_or(0.0, |p| p.2);
+            for (name, _, cpu_s, rss_kib) in
+                later.processes.iter().filter(|process| process.1 == role)
+            {
+                let before = self.processes.iter().find(|process| process.0 == *name);
+                let cpu_before_s = before.map_or(0.0, |process| process.2);
                 usage.processes += 1;
-                usage.cpu_s += if *cpu_s >= before_s {
-                    cpu_s - before_s
+                usage.cpu_s += if *cpu_s >= cpu_before_s {
+                    cpu_s - cpu_before_s
                 } else {
                     *cpu_s
                 };
@@ -94,10 +98,10 @@
         };
         Usage {
             window_s: (later.at - self.at).as_secs_f64(),
-            store: role(Role::Store),
-            gateway: role(Role::Gateway),
-            agent: role(Role::Agent),
-            backend: role(Role::Backend),
+            store: usage_of_role(Role::Store),
+            gateway: usage_of_role(Role::Gateway),
+            agent: usage_of_role(Role::Agent),
+            backend: usage_of_role(Role::Backend),
             loopback_bytes: later.loopback_bytes.saturating_sub(self.loopback_bytes),
             store_reads: later.store.reads.saturating_sub(self.store.reads),
             store_writes: later.store.writes.saturating_sub(self.store.writes),
@@ -106,21 +110,25 @@
     }
 }
 
-/// Processor seconds and resident KiB of a process, from the kernel.
-fn process_usage(pid: u32) -> Option<(f64, u64)> {
+/// Reads the processor time in seconds and the resident set size in KiB of a process from `/proc`.
+fn read_process_usage(pid: u32) -> Option<(f64, u64)> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The fields after the parenthesised program name; utime and stime are the 14th and
-    // 15th of the line.
+    // These are the fields after the parenthesised program name. The user and system time are
+    // the 14th and 15th field of the line.
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
-    let rss = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
+    let rss = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))?;
     let rss_kib = rss.split_whitespace().next()?.parse().ok()?;
     Some((ticks / TICKS_PER_S, rss_kib))
 }
 
-fn loopback_bytes() -> Option<u64> {
+fn read_loopback_bytes() -> Option<u64> {
     let dev = std::fs::read_to_string("/proc/net/dev").ok()?;
-    let line = dev.lines().find_map(|l| l.trim().strip_prefix("lo:"))?;
+    let line = dev
+        .lines()
+        .find_map(|line| line.trim().strip_prefix("lo:"))?;
     line.split_whitespace().next()?.parse().ok()
 }
