--- a/crates/foxwheel-gateway/src/batch.rs
+++ b/crates/foxwheel-gateway/src/batch.rs
@@ -1,6 +1,6 @@
-//! Batch jobs: the caller API ([`api`]), taking jobs in ([`intake`]), the records in the
-//! store ([`jobs`], [`progress`]), the controller that shares the work out among gateways
-//! ([`dispatch`]), and the work on one chunk ([`chunk_work`]) and one item ([`items`]).
+//! Batch jobs: the caller API ([`api`]), the acceptance of jobs ([`intake`]), the records in the
+//! store ([`jobs`], [`progress`]), the controller that distributes the work among gateways
+//! ([`dispatch`]), and the processing of one chunk ([`chunk_work`]) and of one item ([`items`]).
 
 pub mod api;
 pub mod chunk_work;
--- a/crates/foxwheel-gateway/src/batch/api.rs
+++ b/crates/foxwheel-gateway/src/batch/api.rs
@@ -1,11 +1,11 @@
 //! The batch caller API.
 //!
-//! - `POST /v1/batches` takes a [`CreateJob`]; answers the [`JobStatus`]. A resend with the
-//!   same `client_key` answers the job made the first time.
-//! - `GET /v1/batches/{id}` answers the [`JobStatus`].
-//! - `POST /v1/batches/{id}/cancel` cancels it; no chunk is begun afterwards, and one
-//!   that a gateway holds stops as soon as that gateway hears of it.
-//! - `GET /v1/batches/{id}/results` answers one [`ItemResult`] per line (JSON lines).
+//! - `POST /v1/batches` creates a job from a [`CreateJob`] and returns its [`JobStatus`]. A resend
+//!   with the same `client_key` returns the job that was created the first time.
+//! - `GET /v1/batches/{id}` returns the [`JobStatus`].
+//! - `POST /v1/batches/{id}/cancel` cancels the job. No chunk is started afterwards, and a chunk
+//!   that a gateway works on is stopped as soon as that gateway receives the change.
+//! - `GET /v1/batches/{id}/results` returns one [`ItemResult`] per line (JSON lines).
 
 use actix_web::http::StatusCode;
 use actix_web::{web, HttpRequest, HttpResponse};
@@ -23,31 +23,33 @@
     JobStatus,
 };
 use crate::batch::{intake, progress};
-use crate::filters::{self, Exchange};
+use crate::filters::{self, RequestContext};
 use crate::state::{GatewayState, WorkerState};
 
-/// Tries of a cancel that met another write or a lost reply.
-const CANCEL_TRIES: u32 = 8;
+/// Maximum number of attempts to record a cancellation, after conflicts with other writes and lost
+/// responses.
+const MAX_CANCEL_TRIES: u32 = 8;
 
 fn bad_request(message: impl Into<String>) -> HttpResponse {
     http::not_run_response(StatusCode::BAD_REQUEST, "bad_request", message, None)
 }
 
-fn store_down(e: &StoreError, retry_after_s: u64) -> HttpResponse {
+fn store_unavailable_response(e: &StoreError, retry_after_s: u64) -> HttpResponse {
     http::not_run_response(
         StatusCode::SERVICE_UNAVAILABLE,
         "store_unavailable",
-        format!("the job store cannot be reached: {e}"),
+        format!("the store of the batch jobs is unavailable: {e}"),
         Some(retry_after_s),
     )
 }
 
-fn no_job(id: &str) -> HttpResponse {
+fn no_job_response(id: &str) -> HttpResponse {
     let message = format!("no batch job `{id}`");
     http::not_run_response(StatusCode::NOT_FOUND, "no_job", message, None)
 }
 
-/// A job's record with its version, whether it goes on (`jobs/`) or ended (`archive/`).
+/// Returns the record of a job and its version, from `jobs/` or, if the job has ended, from
+/// `archive/`. Returns `None` if there is no such job.
 async fn find_job(
     store: &StoreClient,
     id: &str,
@@ -58,22 +60,22 @@
     store.get_value(&keys::archived_job(id)).await
 }
 
-/// A job's status from its record and, while it goes on, its progress.
-async fn status_of(store: &StoreClient, job: JobRecord) -> Result<JobStatus, StoreError> {
+/// Returns a job's status from its record and, unless the job has ended, from its progress.
+async fn build_status(store: &StoreClient, job: JobRecord) -> Result<JobStatus, StoreError> {
     let counts = match job.final_counts {
         Some(counts) => counts,
         None => {
             let mut counts = progress::read(store, &job.id).await?.counts;
-            let unfinished = job.item_count - counts.total;
+            let unfinished_items = job.item_count - counts.total;
             counts += match job.state {
                 JobState::Cancelled => ItemCounts {
-                    total: unfinished,
-                    cancelled: unfinished,
+                    total: unfinished_items,
+                    cancelled: unfinished_items,
                     ..ItemCounts::default()
                 },
                 JobState::Running | JobState::Completed => ItemCounts {
-                    total: unfinished,
-                    pending: unfinished,
+                    total: unfinished_items,
+                    pending: unfinished_items,
                     ..ItemCounts::default()
                 },
             };
@@ -84,42 +86,42 @@
     Ok(JobStatus { job, counts })
 }
 
-async fn answer_status(store: &StoreClient, job: JobRecord, retry_after_s: u64) -> HttpResponse {
-    match status_of(store, job).await {
+async fn status_response(store: &StoreClient, job: JobRecord, retry_after_s: u64) -> HttpResponse {
+    match build_status(store, job).await {
         Ok(status) => HttpResponse::Ok().json(status),
-        Err(e) => store_down(&e, retry_after_s),
+        Err(e) => store_unavailable_response(&e, retry_after_s),
     }
 }
 
-/// `POST /v1/batches`.
-pub async fn create(
+/// Handles `POST /v1/batches`.
+pub async fn create_job(
     state: web::Data<GatewayState>,
     worker: web::Data<WorkerState>,
     req: HttpRequest,
     body: Bytes,
 ) -> HttpResponse {
-    let create: CreateJob = match serde_json::from_slice(&body) {
-        Ok(c) => c,
+    let request: CreateJob = match serde_json::from_slice(&body) {
+        Ok(request) => request,
         Err(e) => return bad_request(format!("body is not a valid batch request: {e}")),
     };
-    let items = match intake::check_items(create.items, create.input_jsonl.as_deref()) {
+    let items = match intake::collect_items(request.items, request.input_jsonl.as_deref()) {
         Ok(items) => items,
         Err(message) => return bad_request(message),
     };
     let workspace = http::header_string(&req, WORKSPACE_HEADER).unwrap_or_default();
-    let mut exchange = Exchange::new(
+    let mut context = RequestContext::new(
         Workload::Batch,
         "/v1/batches".to_owned(),
         state.config.current(),
     );
-    exchange.model = Some(create.model.clone());
-    exchange.workspace = (!workspace.is_empty()).then(|| workspace.clone());
-    if let Err(refused) = filters::run(&state.chain, &mut exchange, &state.counters) {
+    context.model = Some(request.model.clone());
+    context.workspace = (!workspace.is_empty()).then(|| workspace.clone());
+    if let Err(refused) = filters::apply_chain(&state.filter_chain, &mut context, &state.counters) {
         return refused.into_response();
     }
-    let deployment = exchange.deployment.expect("routed by MatchRules").name;
-    let id = intake::job_id(&workspace, create.client_key.as_deref());
-    let fingerprint = intake::job_fingerprint(&create.model, &items);
+    let deployment = context.deployment.expect("routed by MatchRules").name;
+    let id = intake::job_id(&workspace, request.client_key.as_deref());
+    let fingerprint = intake::job_fingerprint(&request.model, &items);
     let (store, retry_after_s) = (&worker.store, state.settings.retry_after_s);
     match find_job(store, &id).await {
         Ok(Some((job, _))) if job.fingerprint != fingerprint => {
@@ -130,49 +132,50 @@
                 None,
             )
         }
-        Ok(Some((job, _))) => return answer_status(store, job, retry_after_s).await,
+        Ok(Some((job, _))) => return status_response(store, job, retry_after_s).await,
         Ok(None) => {}
-        Err(e) => return store_down(&e, retry_after_s),
+        Err(e) => return store_unavailable_response(&e, retry_after_s),
     }
     let item_count = items.len() as u32;
-    let chunks = intake::split(&id, items);
-    let now = time::unix_ms();
+    let chunks = intake::split_into_chunks(&id, items);
+    let now_ms = time::unix_ms();
     let job = JobRecord {
         id,
-        model: create.model,
+        model: request.model,
         workspace,
         deployment,
         fingerprint,
         state: JobState::Running,
         final_counts: None,
-        created_ms: now,
-        deadline_ms: now + create.completion_window_s.saturating_mul(1000),
+        created_ms: now_ms,
+        deadline_ms: now_ms + request.completion_window_s.saturating_mul(1000),
         item_count,
         chunk_count: chunks.len() as u32,
     };
     match intake::write_job(store, &job, &chunks).await {
-        Ok(()) => answer_status(store, job, retry_after_s).await,
-        Err(e) => store_down(&e, retry_after_s),
+        Ok(()) => status_response(store, job, retry_after_s).await,
+        Err(e) => store_unavailable_response(&e, retry_after_s),
     }
 }
 
-/// `GET /v1/batches/{id}`.
-pub async fn status(
+/// Handles `GET /v1/batches/{id}`.
+pub async fn job_status(
     state: web::Data<GatewayState>,
     worker: web::Data<WorkerState>,
     id: web::Path<String>,
 ) -> HttpResponse {
     let retry_after_s = state.settings.retry_after_s;
     match find_job(&worker.store, &id).await {
-        Ok(Some((job, _))) => answer_status(&worker.store, job, retry_after_s).await,
-        Ok(None) => no_job(&id),
-        Err(e) => store_down(&e, retry_after_s),
+        Ok(Some((job, _))) => status_response(&worker.store, job, retry_after_s).await,
+        Ok(None) => no_job_response(&id),
+        Err(e) => store_unavailable_response(&e, retry_after_s),
     }
 }
 
-/// `GET /v1/batches/{id}/results`: streamed chunk by chunk, so the answer's length is no
-/// matter. An error on the way cuts the answer short rather than passing for its end.
-pub async fn results(
+/// Handles `GET /v1/batches/{id}/results`. The response is streamed chunk by chunk, so that its
+/// length does not matter for memory. An error aborts the response, so that it is not mistaken for
+/// the end of the results.
+pub async fn stream_results(
     state: web::Data<GatewayState>,
     worker: web::Data<WorkerState>,
     id: web::Path<String>,
@@ -181,8 +184,8 @@
         Ok(Some((job, _))) => HttpResponse::Ok()
             .content_type("application/jsonl")
             .streaming(result_lines(worker.store.clone(), job)),
-        Ok(None) => no_job(&id),
-        Err(e) => store_down(&e, state.settings.retry_after_s),
+        Ok(None) => no_job_response(&id),
+        Err(e) => store_unavailable_response(&e, state.settings.retry_after_s),
     }
 }
 
@@ -228,37 +231,41 @@
     })
 }
 
-/// `POST /v1/batches/{id}/cancel`.
-pub async fn cancel(
+/// Handles `POST /v1/batches/{id}/cancel`.
+pub async fn cancel_job(
     state: web::Data<GatewayState>,
     worker: web::Data<WorkerState>,
     id: web::Path<String>,
 ) -> HttpResponse {
     let retry_after_s = state.settings.retry_after_s;
-    match cancel_job(&worker.store, &id, retry_after_s).await {
-        Ok(job) => answer_status(&worker.store, job, retry_after_s).await,
+    match record_cancel(&worker.store, &id, retry_after_s).await {
+        Ok(job) => status_response(&worker.store, job, retry_after_s).await,
         Err(refused) => refused.into_response(),
     }
 }
 
-/// A conditional update, tried again when another write came between the read and the
-/// write. A reply lost after the write took effect shows as a cancelled job on the next try.
-async fn cancel_job(
+/// Records the cancellation by a conditional update, which is retried if another write came between
+/// the read and the write. If a response was lost after the write took effect, the next attempt reads
+/// a cancelled job. Returns the refusal for the caller if the job does not exist, has completed or
+/// cannot be updated.
+async fn record_cancel(
     store: &StoreClient,
     id: &str,
     retry_after_s: u64,
 ) -> Result<JobRecord, Refused> {
-    let store_down = |e: &StoreError| {
+    let store_unavailable_response = |e: &StoreError| {
         Refused::not_run(
             StatusCode::SERVICE_UNAVAILABLE,
             "store_unavailable",
-            format!("the cancel cannot be recorded: {e}"),
+            format!("the cancellation cannot be recorded: {e}"),
             Some(retry_after_s),
         )
     };
-    let mut last = StoreError::NotFound;
-    for _ in 0..CANCEL_TRIES {
-        let found = find_job(store, id).await.map_err(|e| store_down(&e))?;
+    let mut last_error = StoreError::NotFound;
+    for _ in 0..MAX_CANCEL_TRIES {
+        let found = find_job(store, id)
+            .await
+            .map_err(|e| store_unavailable_response(&e))?;
         let Some((mut job, version)) = found else {
             let message = format!("no batch job `{id}`");
             return Err(Refused::not_run(
@@ -274,7 +281,7 @@
                 return Err(Refused::not_run(
                     StatusCode::CONFLICT,
                     "job_completed",
-                    "the job completed before the cancel",
+                    "the job completed before the cancellation",
                     None,
                 ))
             }
@@ -285,14 +292,16 @@
                 log::info!("batch job {id} cancelled");
                 return Ok(job);
             }
-            Err(e) if e.is_transient() || matches!(e, StoreError::Conflict { .. }) => last = e,
-            Err(e) => return Err(store_down(&e)),
+            Err(e) if e.is_transient() || matches!(e, StoreError::Conflict { .. }) => {
+                last_error = e
+            }
+            Err(e) => return Err(store_unavailable_response(&e)),
         }
     }
-    // A write whose reply was lost may yet have taken effect.
+    // A write whose response was lost may have taken effect.
     Err(Refused::unknown(
         StatusCode::SERVICE_UNAVAILABLE,
         "store_unavailable",
-        format!("the cancel may not be recorded, send it again: {last}"),
+        format!("the cancellation may not be recorded; send it again: {last_error}"),
     ))
 }
--- a/crates/foxwheel-gateway/src/batch/chunk_work.rs
+++ b/crates/foxwheel-gateway/src/batch/chunk_work.rs
@@ -1,9 +1,9 @@
-//! The work on one chunk: take its lease, run its items, commit their results.
+//! Processing of one chunk: takes its lease, runs its items and commits their results.
 //!
-//! Every write of a chunk is conditional on the version its holder last saw, so of two
-//! gateways that both believe to hold it only one can write, and each item's result is
-//! recorded once. A write whose reply was lost, or that meets another version, is resolved
-//! by reading the chunk back: while it bears this holding's nonce nobody else has written.
+//! Every write of a chunk is conditional on the version that its holder last saw. If two gateways
+//! both assume that they hold the lease, only one of them can write, and each item's result is
+//! recorded once. After a version conflict or a lost response of the store, the chunk is read back:
+//! as long as it contains the nonce of this lease, no other gateway has written it.
 
 use std::time::{Duration, Instant};
 
@@ -17,75 +17,83 @@
 use crate::batch::jobs::{ChunkLease, ChunkRecord, ItemRecord, ItemState};
 use crate::batch::progress::FinishedChunk;
 
-/// Tries of one item that a backend received, before it is failed for good.
+/// Maximum number of attempts of one item that a backend received, after which the item fails.
 pub const MAX_ITEM_ATTEMPTS: u32 = 5;
-/// Larger answers are kept in an object of their own, in bytes of JSON.
-pub const MAX_INLINE_ANSWER_BYTES: usize = 16 * 1024;
-/// Tries of one write within one commit.
-const WRITE_TRIES: u32 = 4;
+/// Maximum size of a response that is stored in the chunk record, in bytes of JSON. Larger ones are
+/// stored in an object of their own.
+pub const MAX_INLINE_RESPONSE_BYTES: usize = 16 * 1024;
+/// Maximum number of attempts of one write. It also limits the attempts to release a chunk after the
+/// dispatcher was stopped.
+const MAX_WRITE_TRIES: u32 = 4;
 
-/// How chunks are worked on.
+/// Options of the work on chunks.
 #[derive(Debug, Clone)]
-pub struct WorkShape {
-    /// This gateway's name, written into leases.
+pub struct ChunkWorkOptions {
+    /// Name of this gateway, which is written into leases.
     pub holder: String,
-    /// How long a lease lasts unless renewed.
+    /// Time until a lease expires unless it is renewed.
     pub lease: Duration,
-    /// Results are committed at least this often.
+    /// Maximum time between two commits of new results.
     pub commit_interval: Duration,
-    /// Items of one chunk sent at once.
+    /// Maximum number of items of one chunk in flight at once.
     pub items_in_flight: usize,
 }
 
-/// A chunk as read from the store, not held by anyone.
+/// A chunk with pending items that no gateway held a valid lease on when it was read.
 pub struct FreeChunk {
     chunk: ChunkRecord,
     version: Version,
 }
 
-/// A chunk whose lease this gateway holds, or held until a write says otherwise.
-pub struct HeldChunk {
+/// A chunk whose lease this gateway has taken. A write shows if another gateway has taken it over
+/// since.
+pub struct LeasedChunk {
     store: StoreClient,
     key: String,
     chunk: ChunkRecord,
-    /// The chunk as the store last took it; its final items never change again.
+    /// The chunk as last committed to the store. Its final items never change again.
     committed: ChunkRecord,
-    /// The version of `committed`.
+    /// Version of `committed` in the store.
     version: Version,
     committed_at: Instant,
 }
 
-/// How the work on a chunk ended.
+/// Result of the work on a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ChunkEnd {
-    /// Every item is final and the store has it.
+pub enum ChunkOutcome {
+    /// Every item is final and committed to the store.
     Finished(FinishedChunk),
-    /// Given back with items still pending.
+    /// The chunk was released with items still pending.
     Unfinished,
-    /// The lease was taken over, or its release could not be written.
-    Lost,
+    /// Another gateway took the lease over, or the release could not be written.
+    LeaseLost,
 }
 
-/// Why a commit failed.
+/// Error of a commit.
 #[derive(Debug, thiserror::Error)]
 enum CommitError {
-    /// Another holder has written the chunk.
-    #[error("the lease was lost")]
+    /// Another gateway has written the chunk.
+    #[error("another gateway took the lease over")]
     LeaseLost,
-    /// The store gave no answer; the results are still here.
+    /// The write failed. The results are kept in memory.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
 
 impl FreeChunk {
-    /// The chunk, if its lease is free at `now_ms` and an item is pending.
+    /// Returns the chunk if an item is pending and no lease is valid at `now_ms`.
     pub fn new(chunk: ChunkRecord, version: Version, now_ms: u64) -> Option<Self> {
-        (chunk.has_pending() && chunk.is_free(now_ms)).then_some(Self { chunk, version })
+        (chunk.has_pending_items() && chunk.is_lease_free(now_ms))
+            .then_some(Self { chunk, version })
     }
 
-    /// Takes the lease; `None` when another gateway was faster or the store is down.
-    pub async fn lease(self, store: &StoreClient, shape: &WorkShape) -> Option<HeldChunk> {
-        let mut held = HeldChunk {
+    /// Takes the lease. Returns `None` if another gateway was faster or the store is unavailable.
+    pub async fn take_lease(
+        self,
+        store: &StoreClient,
+        options: &ChunkWorkOptions,
+    ) -> Option<LeasedChunk> {
+        let mut leased = LeasedChunk {
             store: store.clone(),
             key: keys::chunk(&self.chunk.job_id, self.chunk.index),
             committed: self.chunk.clone(),
@@ -93,20 +101,20 @@
             version: self.version,
             committed_at: Instant::now(),
         };
-        held.chunk.lease = Some(ChunkLease {
-            holder: shape.holder.clone(),
+        leased.chunk.lease = Some(ChunkLease {
+            holder: options.holder.clone(),
             nonce: rand::random(),
             commit_seq: 0,
-            expires_ms: expiry(shape.lease),
+            expires_ms: lease_expiry_ms(options.lease),
         });
-        held.write().await.ok()?;
-        Some(held)
+        leased.write_current().await.ok()?;
+        Some(leased)
     }
 
-    /// Marks every pending item of a cancelled job as cancelled; answers the finished chunk
-    /// once the store has it.
-    pub async fn cancel(mut self, store: &StoreClient) -> Option<FinishedChunk> {
-        self.chunk.cancel_pending();
+    /// Marks every pending item of a cancelled job as cancelled and writes the chunk. Returns the
+    /// finished chunk, or `None` if the write failed.
+    pub async fn cancel_items(mut self, store: &StoreClient) -> Option<FinishedChunk> {
+        self.chunk.cancel_pending_items();
         self.chunk.lease = None;
         let key = keys::chunk(&self.chunk.job_id, self.chunk.index);
         store
@@ -120,65 +128,78 @@
     }
 }
 
-impl HeldChunk {
-    /// Runs the pending items and commits their results. Once `stop` fires no further item
-    /// starts; those running are finished and the rest is given back. While
-    /// `job_cancelled` says so, running items are dropped and the rest is cancelled.
-    pub async fn work(
+impl LeasedChunk {
+    /// Runs the pending items, commits their results and releases the chunk. Once `stop` is
+    /// cancelled, no further item starts: the running items are finished, and the chunk is released
+    /// with the others still pending. Once `is_job_cancelled` returns true, running items are dropped
+    /// and all pending items are marked as cancelled.
+    pub async fn run_items(
         mut self,
         runner: &ItemRunner,
-        shape: &WorkShape,
+        options: &ChunkWorkOptions,
         stop: &CancellationToken,
-        job_cancelled: impl Fn() -> bool,
-    ) -> ChunkEnd {
-        let pending = self.pending_bodies();
-        let (store, job_id, index) = (
+        is_job_cancelled: impl Fn() -> bool,
+    ) -> ChunkOutcome {
+        let pending_items = self.pending_request_bodies();
+        let (store, job_id, chunk_index) = (
             self.store.clone(),
             self.chunk.job_id.clone(),
             self.chunk.index,
         );
         let nonce = self.chunk.lease.as_ref().map_or(0, |lease| lease.nonce);
-        let mut outcomes = futures::stream::iter(pending)
+        let mut outcomes = futures::stream::iter(pending_items)
             .take_while(|_| std::future::ready(!stop.is_cancelled()))
-            .map(|(i, body)| {
-                let (store, answer_key) = (&store, keys::response(&job_id, index, i, nonce));
+            .map(|(item_index, body)| {
+                let (store, response_key) = (
+                    &store,
+                    keys::response(&job_id, chunk_index, item_index, nonce),
+                );
                 async move {
-                    let outcome = runner.run(body).await;
-                    (i, keep_answer(store, answer_key, outcome).await)
+                    let outcome = runner.run_item(body).await;
+                    (
+                        item_index,
+                        store_large_response(store, response_key, outcome).await,
+                    )
                 }
             })
-            .buffer_unordered(shape.items_in_flight);
-        let mut tick = tokio::time::interval(shape.commit_interval);
+            .buffer_unordered(options.items_in_flight);
+        let mut commit_timer = tokio::time::interval(options.commit_interval);
         loop {
             tokio::select! {
                 next = outcomes.next() => match next {
-                    Some((i, outcome)) => apply_outcome(&mut self.chunk.items[i], outcome),
+                    Some((item_index, outcome)) => {
+                        apply_outcome(&mut self.chunk.items[item_index], outcome)
+                    },
                     None => break,
                 },
-                _ = tick.tick() => {
-                    if job_cancelled() {
+                _ = commit_timer.tick() => {
+                    if is_job_cancelled() {
                         break;
                     }
-                    if let Err(CommitError::LeaseLost) = self.commit_if_due(shape).await {
-                        return ChunkEnd::Lost;
+                    if let Err(CommitError::LeaseLost) = self.commit_if_due(options).await {
+                        return ChunkOutcome::LeaseLost;
                     }
                 }
             }
         }
         drop(outcomes);
-        match job_cancelled() {
-            true => self.cancel(shape, stop).await,
-            false => self.release(shape, stop).await,
+        match is_job_cancelled() {
+            true => self.cancel_and_release(options, stop).await,
+            false => self.release(options, stop).await,
         }
     }
 
-    /// Gives the chunk of a cancelled job back, its pending items as cancelled.
-    pub async fn cancel(mut self, shape: &WorkShape, stop: &CancellationToken) -> ChunkEnd {
-        self.chunk.cancel_pending();
-        self.release(shape, stop).await
+    /// Marks the pending items of a cancelled job as cancelled and releases the chunk.
+    pub async fn cancel_and_release(
+        mut self,
+        options: &ChunkWorkOptions,
+        stop: &CancellationToken,
+    ) -> ChunkOutcome {
+        self.chunk.cancel_pending_items();
+        self.release(options, stop).await
     }
 
-    fn pending_bodies(&self) -> Vec<(usize, serde_json::Value)> {
+    fn pending_request_bodies(&self) -> Vec<(usize, serde_json::Value)> {
         let items = self.chunk.items.iter().enumerate();
         items
             .filter(|(_, item)| item.state == ItemState::Pending)
@@ -186,62 +207,75 @@
             .collect()
     }
 
-    /// Commits when results wait or a third of the lease is spent; each write renews it.
-    async fn commit_if_due(&mut self, shape: &WorkShape) -> Result<(), CommitError> {
-        let results_wait = self.chunk.items != self.committed.items;
-        if !results_wait && self.committed_at.elapsed() < shape.lease / 3 {
+    /// Commits if there are uncommitted results or a third of the lease has elapsed. Each commit
+    /// renews the lease.
+    async fn commit_if_due(&mut self, options: &ChunkWorkOptions) -> Result<(), CommitError> {
+        let has_uncommitted_results = self.chunk.items != self.committed.items;
+        if !has_uncommitted_results && self.committed_at.elapsed() < options.lease / 3 {
             return Ok(());
         }
-        let lease = self.chunk.lease.as_mut().expect("held chunks bear a lease");
+        let lease = self
+            .chunk
+            .lease
+            .as_mut()
+            .expect("a leased chunk has a lease");
         lease.commit_seq += 1;
-        lease.expires_ms = expiry(shape.lease);
-        self.write().await
+        lease.expires_ms = lease_expiry_ms(options.lease);
+        self.write_current().await
     }
 
-    /// Gives the lease back with the last results. While the store is down this waits for
-    /// it: the results exist nowhere else. After `stop` it tries [`WRITE_TRIES`] times.
-    pub async fn release(mut self, shape: &WorkShape, stop: &CancellationToken) -> ChunkEnd {
+    /// Commits the last results and releases the lease. While the store is down, this retries until
+    /// the store is available, because the results exist nowhere else. Once `stop` is cancelled, it
+    /// makes at most [`MAX_WRITE_TRIES`] more attempts.
+    pub async fn release(
+        mut self,
+        options: &ChunkWorkOptions,
+        stop: &CancellationToken,
+    ) -> ChunkOutcome {
         let mut tries_after_stop = 0;
-        while tries_after_stop < WRITE_TRIES {
+        while tries_after_stop < MAX_WRITE_TRIES {
             let mut released = self.chunk.clone();
             released.lease = None;
-            match self.write_as(&released).await {
-                Ok(()) if released.has_pending() => return ChunkEnd::Unfinished,
+            match self.write_record(&released).await {
+                Ok(()) if released.has_pending_items() => return ChunkOutcome::Unfinished,
                 Ok(()) => {
-                    return ChunkEnd::Finished(FinishedChunk {
+                    return ChunkOutcome::Finished(FinishedChunk {
                         index: released.index,
                         counts: released.counts(),
                     })
                 }
-                Err(CommitError::LeaseLost) => return ChunkEnd::Lost,
+                Err(CommitError::LeaseLost) => return ChunkOutcome::LeaseLost,
                 Err(CommitError::Store(e)) => {
                     log::debug!("{}: results not committed yet: {e}", self.key);
                     tries_after_stop += u32::from(stop.is_cancelled());
-                    tokio::time::sleep(shape.commit_interval).await;
+                    tokio::time::sleep(options.commit_interval).await;
                 }
             }
         }
-        ChunkEnd::Lost
+        ChunkOutcome::LeaseLost
     }
 
-    async fn write(&mut self) -> Result<(), CommitError> {
-        let next = self.chunk.clone();
-        self.write_as(&next).await
+    async fn write_current(&mut self) -> Result<(), CommitError> {
+        let current = self.chunk.clone();
+        self.write_record(&current).await
     }
 
-    /// Writes `next` conditionally. After a conflict or a lost reply, reads back what the
-    /// store has: `next` itself, an earlier write of this holding, or another's.
-    async fn write_as(&mut self, next: &ChunkRecord) -> Result<(), CommitError> {
-        check_transitions(&self.committed, next);
+    /// Writes `next` if the version in the store is the expected one. After a conflict or a lost
+    /// response, reads back what the store contains: `next` itself, an earlier write under this
+    /// lease, or the write of another gateway.
+    async fn write_record(&mut self, next: &ChunkRecord) -> Result<(), CommitError> {
+        assert_final_items_unchanged(&self.committed, next);
         let nonce = self.chunk.lease.as_ref().map(|lease| lease.nonce);
-        let mut last = StoreError::NotFound;
-        for _ in 0..WRITE_TRIES {
+        let mut last_error = StoreError::NotFound;
+        for _ in 0..MAX_WRITE_TRIES {
             match self.store.put(&self.key, next, Some(self.version)).await {
                 Ok(object) => {
-                    self.took_effect(next, object.version);
+                    self.record_committed(next, object.version);
                     return Ok(());
                 }
-                Err(e @ (StoreError::Conflict { .. } | StoreError::Unavailable { .. })) => last = e,
+                Err(e @ (StoreError::Conflict { .. } | StoreError::Unavailable { .. })) => {
+                    last_error = e
+                }
                 Err(e) => return Err(e.into()),
             }
             let found = self.store.get_value::<ChunkRecord>(&self.key).await?;
@@ -249,7 +283,7 @@
                 return Err(CommitError::LeaseLost);
             };
             if found == *next {
-                self.took_effect(next, version);
+                self.record_committed(next, version);
                 return Ok(());
             }
             let found_nonce = found.lease.as_ref().map(|lease| lease.nonce);
@@ -257,81 +291,87 @@
                 return Err(CommitError::LeaseLost);
             }
             if version != self.version {
-                self.took_effect(&found, version);
+                self.record_committed(&found, version);
             }
         }
-        Err(last.into())
+        Err(last_error.into())
     }
 
-    fn took_effect(&mut self, written: &ChunkRecord, version: Version) {
+    fn record_committed(&mut self, written: &ChunkRecord, version: Version) {
         self.committed = written.clone();
         self.version = version;
         self.committed_at = Instant::now();
     }
 }
 
-fn expiry(lease: Duration) -> u64 {
+fn lease_expiry_ms(lease: Duration) -> u64 {
     time::unix_ms() + lease.as_millis() as u64
 }
 
-/// What becomes of an item, with a large answer already in the store.
+/// Outcome of an item whose response, if it is large, has been stored in an object of its own.
 #[derive(Debug, Clone, PartialEq)]
-enum KeptOutcome {
+enum StoredOutcome {
+    /// The outcome itself, with a small response if the item is done.
     Inline(ItemOutcome),
-    DoneAt(String),
+    /// The item is done and its response is stored under this key.
+    StoredAt(String),
 }
 
-/// Puts a large answer under `key`, which no other holding writes. While the store is down
-/// this waits for it, for the answer exists nowhere else.
-async fn keep_answer(store: &StoreClient, key: String, outcome: ItemOutcome) -> KeptOutcome {
-    let ItemOutcome::Done(answer) = &outcome else {
-        return KeptOutcome::Inline(outcome);
+/// Stores a large response under `key`, which is not written under any other lease. While the store
+/// is down, this retries until it is available, because the response exists nowhere else.
+async fn store_large_response(
+    store: &StoreClient,
+    key: String,
+    outcome: ItemOutcome,
+) -> StoredOutcome {
+    let ItemOutcome::Done(response) = &outcome else {
+        return StoredOutcome::Inline(outcome);
     };
-    if json_len(answer) <= MAX_INLINE_ANSWER_BYTES {
-        return KeptOutcome::Inline(outcome);
+    if json_len(response) <= MAX_INLINE_RESPONSE_BYTES {
+        return StoredOutcome::Inline(outcome);
     }
     loop {
-        match store.put(&key, answer, None).await {
-            Ok(_) => return KeptOutcome::DoneAt(key),
+        match store.put(&key, response, None).await {
+            Ok(_) => return StoredOutcome::StoredAt(key),
             Err(e) if e.is_transient() => tokio::time::sleep(Duration::from_millis(500)).await,
-            Err(e) => return KeptOutcome::Inline(ItemOutcome::Failed(e.to_string())),
+            Err(e) => return StoredOutcome::Inline(ItemOutcome::Failed(e.to_string())),
         }
     }
 }
 
-/// The length of `value` as JSON, in bytes.
+/// Returns the length of `value` as JSON, in bytes.
 pub fn json_len(value: &serde_json::Value) -> usize {
     serde_json::to_vec(value).map_or(usize::MAX, |bytes| bytes.len())
 }
 
-fn apply_outcome(item: &mut ItemRecord, outcome: KeptOutcome) {
+fn apply_outcome(item: &mut ItemRecord, outcome: StoredOutcome) {
     match outcome {
-        KeptOutcome::DoneAt(key) => {
+        StoredOutcome::StoredAt(key) => {
             item.state = ItemState::Done;
             item.result_key = Some(key);
         }
-        KeptOutcome::Inline(ItemOutcome::Done(answer)) => {
+        StoredOutcome::Inline(ItemOutcome::Done(response)) => {
             item.state = ItemState::Done;
-            item.result = Some(answer);
+            item.result = Some(response);
         }
-        KeptOutcome::Inline(ItemOutcome::Failed(error)) => {
+        StoredOutcome::Inline(ItemOutcome::Failed(error)) => {
             item.state = ItemState::Failed;
             item.error = Some(error);
         }
-        KeptOutcome::Inline(ItemOutcome::BrokeOff(error)) => {
+        StoredOutcome::Inline(ItemOutcome::AttemptFailed(error)) => {
             item.attempts += 1;
             if item.attempts >= MAX_ITEM_ATTEMPTS {
                 item.state = ItemState::Failed;
-                item.error = Some(format!("gave up after {} attempts: {error}", item.attempts));
+                item.error = Some(format!("failed after {} attempts: {error}", item.attempts));
             }
         }
-        KeptOutcome::Inline(ItemOutcome::NotRun) => {}
+        StoredOutcome::Inline(ItemOutcome::NotRun) => {}
     }
 }
 
-/// The exactly-once invariant, asserted before every write: an item that the store has as
-/// final is written again only as it is.
-fn check_transitions(committed: &ChunkRecord, next: &ChunkRecord) {
+/// Asserts the exactly-once invariant before every write: an item that is final in the store is
+/// never written with a change.
+fn assert_final_items_unchanged(committed: &ChunkRecord, next: &ChunkRecord) {
     let ids = |chunk: &ChunkRecord| -> Vec<ItemId> {
         let items = chunk.items.iter();
         items.map(|item| item.custom_id.clone()).collect()
--- a/crates/foxwheel-gateway/src/batch/dispatch.rs
+++ b/crates/foxwheel-gateway/src/batch/dispatch.rs
@@ -1,10 +1,13 @@
-//! The batch dispatch controller: shares the chunks of running jobs out among gateways.
+//! The batch dispatch controller, which distributes the chunks of running jobs among gateways.
 //!
-//! Every gateway runs one. It goes through the jobs by deadline and, for each, through the
-//! chunks its progress record does not show as finished, starting at a place of its own so
-//! that gateways seldom meet. It reads one chunk at a time, takes its lease if it is free
-//! ([`chunk_work`]) and reports finished chunks to the progress record ([`progress`]). So
-//! the store's share grows with the chunks worked on, not with the size of the jobs.
+//! Every gateway runs one. It scans the jobs by deadline and, for each job, the chunks that the
+//! progress record does not show as finished. Each gateway starts at a different index, so that
+//! gateways seldom read the same chunk. The dispatcher reads one chunk at a time, takes its lease if
+//! that is free ([`chunk_work`]) and adds finished chunks to the progress record ([`progress`]). The
+//! load on the store therefore grows with the number of chunks worked on, not with the size of the
+//! jobs.
+//!
+//! [`chunk_work`]: crate::batch::chunk_work
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -19,67 +22,68 @@
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
 
-use crate::batch::chunk_work::{ChunkEnd, FreeChunk, HeldChunk, WorkShape};
+use crate::batch::chunk_work::{ChunkOutcome, ChunkWorkOptions, FreeChunk, LeasedChunk};
 use crate::batch::items::ItemRunner;
 use crate::batch::jobs::{ChunkRecord, JobRecord, JobState};
 use crate::batch::progress::{self, FinishedChunk, JobProgress};
 use crate::hosts::HostTable;
 use crate::settings::GatewaySettings;
 
-/// Chunks read in one scan, at most: bounds this gateway's reads of the store.
-const MAX_PROBES: usize = 64;
-/// How long a chunk that another gateway holds, or that was given back, is left alone.
-const REVISIT: Duration = Duration::from_secs(1);
-/// Finished chunks are reported at least this often.
+/// Maximum number of chunks read in one scan, which bounds this gateway's reads from the store.
+const MAX_CHUNK_READS_PER_SCAN: usize = 64;
+/// Delay before a chunk that another gateway holds, or that was released, is read again.
+const REVISIT_DELAY: Duration = Duration::from_secs(1);
+/// Maximum time until finished chunks are added to the progress record.
 const PUBLISH_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A chunk this gateway does not know to be finished, looked at again at `not_before`.
+/// A chunk that may have pending items. It is read at `not_before` at the earliest.
 #[derive(Debug, Clone, Copy)]
-struct Candidate {
+struct ChunkCandidate {
     index: u32,
     not_before: Instant,
 }
 
-/// What this gateway knows of one job's chunks.
-struct JobWork {
+/// State of the dispatch of one job at this gateway.
+struct JobDispatchState {
     job_id: JobId,
-    /// Neither finished nor worked on here.
-    candidates: VecDeque<Candidate>,
-    /// Worked on here now.
-    working: u32,
-    /// Finished, not yet in the progress record.
-    unpublished: Vec<FinishedChunk>,
+    /// Chunks that are not known to be finished and that this gateway does not work on.
+    candidates: VecDeque<ChunkCandidate>,
+    /// Number of chunks that this gateway works on now.
+    chunks_in_progress: u32,
+    /// Finished chunks that are not in the progress record yet.
+    unpublished_chunks: Vec<FinishedChunk>,
     published_at: Instant,
     /// The progress record as last read or written.
     progress: JobProgress,
 }
 
-impl JobWork {
-    /// The chunks of `job` that `progress` does not show as finished, from a place that
-    /// depends on the gateway.
+impl JobDispatchState {
+    /// Creates the state with the chunks of `job` that `progress` does not show as finished, starting
+    /// at an index that depends on the gateway.
     fn new(job: &JobRecord, progress: JobProgress, gateway: &str) -> Self {
         let now = Instant::now();
-        let mut work = Self {
+        let mut state = Self {
             job_id: job.id.clone(),
             candidates: VecDeque::new(),
-            working: 0,
-            unpublished: Vec::new(),
+            chunks_in_progress: 0,
+            unpublished_chunks: Vec::new(),
             published_at: now,
             progress,
         };
-        let start = starting_place(&job.id, gateway, job.chunk_count);
+        let start = start_index(&job.id, gateway, job.chunk_count);
         for index in (start..job.chunk_count).chain(0..start) {
-            if !work.progress.is_finished(index) {
-                work.candidates.push_back(Candidate {
+            if !state.progress.is_finished(index) {
+                state.candidates.push_back(ChunkCandidate {
                     index,
                     not_before: now,
                 });
             }
         }
-        work
+        state
     }
 
-    /// The next chunk to look at, unless the rest is to be left alone for now.
+    /// Removes and returns the index of the next chunk to read. Returns `None` if no chunk is left or
+    /// all others are still delayed.
     fn next_candidate(&mut self, now: Instant) -> Option<u32> {
         for _ in 0..self.candidates.len() {
             let candidate = self.candidates.pop_front()?;
@@ -94,45 +98,47 @@
         None
     }
 
-    fn revisit(&mut self, index: u32) {
-        self.candidates.push_back(Candidate {
+    fn schedule_revisit(&mut self, index: u32) {
+        self.candidates.push_back(ChunkCandidate {
             index,
-            not_before: Instant::now() + REVISIT,
+            not_before: Instant::now() + REVISIT_DELAY,
         });
     }
 
-    fn publish_is_due(&self) -> bool {
-        let idle = self.working == 0 && self.candidates.is_empty();
-        !self.unpublished.is_empty() && (idle || self.published_at.elapsed() >= PUBLISH_INTERVAL)
+    fn is_publish_due(&self) -> bool {
+        let is_idle = self.chunks_in_progress == 0 && self.candidates.is_empty();
+        !self.unpublished_chunks.is_empty()
+            && (is_idle || self.published_at.elapsed() >= PUBLISH_INTERVAL)
     }
 }
 
-fn starting_place(job: &str, gateway: &str, chunk_count: u32) -> u32 {
-    let print = fingerprint::hash_parts(&[job.as_bytes(), gateway.as_bytes()]);
-    let place = u32::from_str_radix(&print[..8], 16).unwrap_or(0);
-    place.checked_rem(chunk_count).unwrap_or(0)
+fn start_index(job: &str, gateway: &str, chunk_count: u32) -> u32 {
+    let hash = fingerprint::hash_parts(&[job.as_bytes(), gateway.as_bytes()]);
+    let number = u32::from_str_radix(&hash[..8], 16).unwrap_or(0);
+    number.checked_rem(chunk_count).unwrap_or(0)
 }
 
-/// The controller.
+/// The batch dispatch controller of one gateway.
 #[derive(Clone)]
 pub struct Dispatcher {
     settings: GatewaySettings,
-    shape: WorkShape,
+    options: ChunkWorkOptions,
     store: StoreClient,
     http: awc::Client,
     hosts: HostTable,
     counters: Counters,
     jobs: Reflector,
-    /// Sorted by job id.
-    works: Rc<RefCell<Vec<JobWork>>>,
-    /// Wakes the scan when a chunk ended, so that its slot is not idle until the next poll.
+    /// State of each listed job, sorted by job id.
+    dispatch_states: Rc<RefCell<Vec<JobDispatchState>>>,
+    /// Starts the next scan when the work on a chunk ends, so that its slot is not idle until the next
+    /// poll.
     chunk_ended: Rc<Notify>,
 }
 
 impl Dispatcher {
-    /// A dispatcher for the gateway with `settings`.
+    /// Creates the dispatcher of the gateway with these settings.
     pub fn new(settings: GatewaySettings, hosts: HostTable, counters: Counters) -> Self {
-        let shape = WorkShape {
+        let options = ChunkWorkOptions {
             holder: settings.name.clone(),
             lease: Duration::from_millis(settings.chunk_lease_ms),
             commit_interval: Duration::from_millis(settings.commit_interval_ms),
@@ -142,16 +148,17 @@
             store: StoreClient::new(&settings.store_url),
             http: awc::Client::builder().disable_timeout().finish(),
             settings,
-            shape,
+            options,
             hosts,
             counters,
             jobs: Reflector::new(keys::JOBS_PREFIX),
-            works: Rc::default(),
+            dispatch_states: Rc::default(),
             chunk_ended: Rc::default(),
         }
     }
 
-    /// Runs until `cancel` fires; chunks in progress are committed and released first.
+    /// Runs until `cancel` is cancelled. Returns after the chunks in progress have been committed and
+    /// released, as far as the store is available.
     pub async fn run(self, cancel: CancellationToken) {
         let jobs_cancel = CancellationToken::new();
         actix_web::rt::spawn(
@@ -161,29 +168,29 @@
         );
         let poll = Duration::from_millis(self.settings.dispatch_poll_ms);
         while !cancel.is_cancelled() {
-            self.scan(&cancel).await;
+            self.scan_jobs(&cancel).await;
             tokio::select! {
                 () = cancel.cancelled() => {}
                 () = self.chunk_ended.notified() => {}
                 () = tokio::time::sleep(poll) => {}
             }
         }
-        while self.working() > 0 {
+        while self.chunks_in_progress() > 0 {
             self.chunk_ended.notified().await;
         }
-        self.publish_all().await;
+        self.publish_all_progress().await;
         jobs_cancel.cancel();
     }
 
-    /// Looks through all jobs once, by deadline.
-    async fn scan(&self, cancel: &CancellationToken) {
+    /// Scans all jobs once, in the order of their deadlines.
+    async fn scan_jobs(&self, cancel: &CancellationToken) {
         let jobs = self.listed_jobs();
-        self.forget_ended(&jobs);
-        let mut probes = MAX_PROBES;
+        self.drop_unlisted_jobs(&jobs);
+        let mut chunk_reads_left = MAX_CHUNK_READS_PER_SCAN;
         for job in jobs {
-            let scanned = self.scan_job(&job, &mut probes, cancel).await;
-            if let Err(e) = scanned {
-                log::debug!("dispatch of {}: {e}", job.id);
+            let result = self.scan_job(&job, &mut chunk_reads_left, cancel).await;
+            if let Err(e) = result {
+                log::debug!("scan of batch job {} failed: {e}", job.id);
                 return;
             }
         }
@@ -192,32 +199,37 @@
     async fn scan_job(
         &self,
         job: &JobRecord,
-        probes: &mut usize,
+        chunk_reads_left: &mut usize,
         cancel: &CancellationToken,
     ) -> Result<(), StoreError> {
-        self.ensure_work(job).await?;
+        self.ensure_job_state(job).await?;
         let hosts_are_live = self.hosts.live_count(&job.deployment) > 0;
-        let may_work = || match job.state {
+        let may_continue = || match job.state {
             JobState::Running => hosts_are_live && self.free_slots() > 0 && !cancel.is_cancelled(),
             JobState::Cancelled => true,
             JobState::Completed => false,
         };
-        while *probes > 0 && may_work() {
+        while *chunk_reads_left > 0 && may_continue() {
             let now = Instant::now();
-            let Some(index) = self.with_work(&job.id, |w| w.next_candidate(now)).flatten() else {
+            let Some(index) = self
+                .with_job(&job.id, |state| state.next_candidate(now))
+                .flatten()
+            else {
                 break;
             };
-            *probes -= 1;
-            if let Err(e) = self.probe(job, index, cancel).await {
-                self.with_work(&job.id, |w| w.revisit(index));
+            *chunk_reads_left -= 1;
+            if let Err(e) = self.dispatch_chunk(job, index, cancel).await {
+                self.with_job(&job.id, |state| state.schedule_revisit(index));
                 return Err(e);
             }
         }
         self.publish_if_due(job).await
     }
 
-    /// Reads one chunk and does what it needs.
-    async fn probe(
+    /// Reads one chunk. Records it if it is finished, cancels its items if the job is cancelled, and
+    /// otherwise takes its lease and starts to work on it. A chunk that another gateway holds is read
+    /// again later.
+    async fn dispatch_chunk(
         &self,
         job: &JobRecord,
         index: u32,
@@ -225,60 +237,70 @@
     ) -> Result<(), StoreError> {
         let key = keys::chunk(&job.id, index);
         let Some((chunk, version)) = self.store.get_value::<ChunkRecord>(&key).await? else {
-            self.with_work(&job.id, |w| w.revisit(index));
+            self.with_job(&job.id, |state| state.schedule_revisit(index));
             return Ok(());
         };
-        if !chunk.has_pending() {
+        if !chunk.has_pending_items() {
             let counts = chunk.counts();
-            self.finished(&job.id, FinishedChunk { index, counts });
+            self.record_finished_chunk(&job.id, FinishedChunk { index, counts });
             return Ok(());
         }
-        let Some(free) = FreeChunk::new(chunk, version, time::unix_ms()) else {
-            self.with_work(&job.id, |w| w.revisit(index));
+        let Some(free_chunk) = FreeChunk::new(chunk, version, time::unix_ms()) else {
+            self.with_job(&job.id, |state| state.schedule_revisit(index));
             return Ok(());
         };
         if job.state == JobState::Cancelled {
-            match free.cancel(&self.store).await {
-                Some(chunk) => self.finished(&job.id, chunk),
-                None => self.revisit(&job.id, index),
+            match free_chunk.cancel_items(&self.store).await {
+                Some(chunk) => self.record_finished_chunk(&job.id, chunk),
+                None => self.schedule_revisit(&job.id, index),
             }
             return Ok(());
         }
-        match free.lease(&self.store, &self.shape).await {
-            Some(held) => {
+        match free_chunk.take_lease(&self.store, &self.options).await {
+            Some(leased) => {
                 self.counters.incr("batch.chunks_leased");
-                self.with_work(&job.id, |w| w.working += 1);
+                self.with_job(&job.id, |state| state.chunks_in_progress += 1);
                 let (this, job, cancel) = (self.clone(), job.clone(), cancel.clone());
                 actix_web::rt::spawn(async move {
-                    let end = this.work(&job, held, &cancel).await;
-                    this.chunk_done(&job.id, index, end);
+                    let outcome = this.run_chunk(&job, leased, &cancel).await;
+                    this.record_chunk_outcome(&job.id, index, outcome);
                 });
             }
-            None => self.revisit(&job.id, index),
+            None => self.schedule_revisit(&job.id, index),
         }
         Ok(())
     }
 
-    /// Works on a chunk whose lease was just taken, if its job still runs.
-    async fn work(&self, job: &JobRecord, held: HeldChunk, cancel: &CancellationToken) -> ChunkEnd {
-        // The watched copy may miss a cancel that its caller has had confirmed.
+    /// Works on a chunk whose lease was just taken, if the job is still running. Otherwise releases
+    /// the chunk.
+    async fn run_chunk(
+        &self,
+        job: &JobRecord,
+        leased: LeasedChunk,
+        cancel: &CancellationToken,
+    ) -> ChunkOutcome {
+        // The job is read from the store, because the watched copy may not yet contain a cancellation
+        // that has already been confirmed to its caller.
         let read = self.store.get_value::<JobRecord>(&keys::job(&job.id)).await;
         match read.map(|found| found.map(|(record, _)| record.state)) {
             Ok(Some(JobState::Running)) => {
-                let runner = self.runner(job);
-                let job_cancelled = || self.job_state(&job.id) == Some(JobState::Cancelled);
-                held.work(&runner, &self.shape, cancel, job_cancelled).await
+                let runner = self.item_runner(job);
+                let is_job_cancelled =
+                    || self.watched_job_state(&job.id) == Some(JobState::Cancelled);
+                leased
+                    .run_items(&runner, &self.options, cancel, is_job_cancelled)
+                    .await
             }
-            Ok(Some(JobState::Cancelled)) => held.cancel(&self.shape, cancel).await,
-            Ok(Some(JobState::Completed) | None) => held.release(&self.shape, cancel).await,
+            Ok(Some(JobState::Cancelled)) => leased.cancel_and_release(&self.options, cancel).await,
+            Ok(Some(JobState::Completed) | None) => leased.release(&self.options, cancel).await,
             Err(e) => {
-                log::info!("batch job {}: a chunk given back unrun: {e}", job.id);
-                held.release(&self.shape, cancel).await
+                log::info!("batch job {}: chunk released without running its items, the job cannot be read: {e}", job.id);
+                leased.release(&self.options, cancel).await
             }
         }
     }
 
-    fn runner(&self, job: &JobRecord) -> ItemRunner {
+    fn item_runner(&self, job: &JobRecord) -> ItemRunner {
         ItemRunner {
             http: self.http.clone(),
             hosts: self.hosts.clone(),
@@ -288,72 +310,75 @@
         }
     }
 
-    fn chunk_done(&self, job: &JobId, index: u32, end: ChunkEnd) {
-        self.with_work(job, |w| w.working -= 1);
-        match end {
-            ChunkEnd::Finished(chunk) => {
+    fn record_chunk_outcome(&self, job: &JobId, index: u32, outcome: ChunkOutcome) {
+        self.with_job(job, |state| state.chunks_in_progress -= 1);
+        match outcome {
+            ChunkOutcome::Finished(chunk) => {
                 self.counters.incr("batch.chunks_finished");
-                self.finished(job, chunk);
+                self.record_finished_chunk(job, chunk);
             }
-            ChunkEnd::Unfinished => {
+            ChunkOutcome::Unfinished => {
                 self.counters.incr("batch.chunks_given_back");
-                self.revisit(job, index);
+                self.schedule_revisit(job, index);
             }
-            ChunkEnd::Lost => {
+            ChunkOutcome::LeaseLost => {
                 self.counters.incr("batch.leases_lost");
-                self.revisit(job, index);
+                self.schedule_revisit(job, index);
             }
         }
         self.chunk_ended.notify_one();
     }
 
-    fn finished(&self, job: &JobId, chunk: FinishedChunk) {
-        self.with_work(job, |w| w.unpublished.push(chunk));
+    fn record_finished_chunk(&self, job: &JobId, chunk: FinishedChunk) {
+        self.with_job(job, |state| state.unpublished_chunks.push(chunk));
     }
 
-    fn revisit(&self, job: &JobId, index: u32) {
-        self.with_work(job, |w| w.revisit(index));
+    fn schedule_revisit(&self, job: &JobId, index: u32) {
+        self.with_job(job, |state| state.schedule_revisit(index));
     }
 
-    /// Reports finished chunks when due; ends the job when all its chunks are finished.
+    /// Adds finished chunks to the progress record if that is due. Ends the job if all its chunks are
+    /// finished.
     async fn publish_if_due(&self, job: &JobRecord) -> Result<(), StoreError> {
-        if self.with_work(&job.id, |w| w.publish_is_due()) == Some(true) {
-            self.publish(&job.id).await?;
+        if self.with_job(&job.id, |state| state.is_publish_due()) == Some(true) {
+            self.publish_progress(&job.id).await?;
         }
-        let progress = self.with_work(&job.id, |w| w.progress.clone());
+        let progress = self.with_job(&job.id, |state| state.progress.clone());
         match progress {
-            Some(p) if p.finished_count() == job.chunk_count => self.end_job(job, &p).await,
+            Some(progress) if progress.finished_count() == job.chunk_count => {
+                self.end_job(job, &progress).await
+            }
             _ => Ok(()),
         }
     }
 
-    async fn publish(&self, job: &JobId) -> Result<(), StoreError> {
-        let chunks = self.with_work(job, |w| w.unpublished.clone());
+    async fn publish_progress(&self, job: &JobId) -> Result<(), StoreError> {
+        let chunks = self.with_job(job, |state| state.unpublished_chunks.clone());
         let chunks = chunks.unwrap_or_default();
         let progress = progress::publish(&self.store, job, &chunks).await?;
-        self.with_work(job, |w| {
-            w.unpublished.drain(..chunks.len());
-            w.published_at = Instant::now();
-            w.progress = progress;
+        self.with_job(job, |state| {
+            state.unpublished_chunks.drain(..chunks.len());
+            state.published_at = Instant::now();
+            state.progress = progress;
         });
         Ok(())
     }
 
-    async fn publish_all(&self) {
+    async fn publish_all_progress(&self) {
         let jobs: Vec<JobId> = self
-            .works
+            .dispatch_states
             .borrow()
             .iter()
-            .map(|w| w.job_id.clone())
+            .map(|state| state.job_id.clone())
             .collect();
         for job in jobs {
-            if let Err(e) = self.publish(&job).await {
-                log::debug!("progress of {job} not reported: {e}");
+            if let Err(e) = self.publish_progress(&job).await {
+                log::debug!("progress of batch job {job} not recorded: {e}");
             }
         }
     }
 
-    /// Writes the final counts, then moves the record out of the watched prefix.
+    /// Writes the final counts to the job record, then moves it out of the watched prefix.
     async fn end_job(&self, job: &JobRecord, progress: &JobProgress) -> Result<(), StoreError> {
         debug_assert_eq!(progress.counts.total, job.item_count, "{}", job.id);
         let key = keys::job(&job.id);
@@ -368,12 +393,12 @@
             version = self.store.put(&key, &record, Some(version)).await?.version;
             log::info!("batch job {} ended: {:?}", job.id, record.state);
         }
-        self.archive(&record, version).await
+        self.archive_job(&record, version).await
     }
 
-    /// The archived copy is written before the record is deleted, so a reader that looks
-    /// at both in that order always finds one.
-    async fn archive(&self, record: &JobRecord, version: Version) -> Result<(), StoreError> {
+    /// Moves a job record to the archive. The archived copy is written before the record is deleted,
+    /// so that a reader that tries the record first and then the copy always finds one of them.
+    async fn archive_job(&self, record: &JobRecord, version: Version) -> Result<(), StoreError> {
         let archived = keys::archived_job(&record.id);
         self.store.put(&archived, record, None).await?;
         self.store
@@ -381,43 +406,51 @@
             .await
     }
 
-    async fn ensure_work(&self, job: &JobRecord) -> Result<(), StoreError> {
-        if self.with_work(&job.id, |_| ()).is_some() {
+    async fn ensure_job_state(&self, job: &JobRecord) -> Result<(), StoreError> {
+        if self.with_job(&job.id, |_| ()).is_some() {
             return Ok(());
         }
         let progress = progress::read(&self.store, &job.id).await?;
-        let work = JobWork::new(job, progress, &self.settings.name);
-        let mut works = self.works.borrow_mut();
-        if let Err(at) = works.binary_search_by(|w| w.job_id.cmp(&job.id)) {
-            works.insert(at, work);
+        let state = JobDispatchState::new(job, progress, &self.settings.name);
+        let mut dispatch_states = self.dispatch_states.borrow_mut();
+        if let Err(at) = dispatch_states.binary_search_by(|state| state.job_id.cmp(&job.id)) {
+            dispatch_states.insert(at, state);
         }
         Ok(())
     }
 
-    /// Drops what is known of jobs no longer listed, unless chunks of theirs are worked on.
-    fn forget_ended(&self, jobs: &[JobRecord]) {
-        let mut listed: Vec<&JobId> = jobs.iter().map(|job| &job.id).collect();
-        listed.sort();
-        let mut works = self.works.borrow_mut();
-        works.retain(|w| w.working > 0 || listed.binary_search(&&w.job_id).is_ok());
+    /// Drops the state of jobs that are no longer listed, unless this gateway works on chunks of them.
+    fn drop_unlisted_jobs(&self, jobs: &[JobRecord]) {
+        let mut listed_ids: Vec<&JobId> = jobs.iter().map(|job| &job.id).collect();
+        listed_ids.sort();
+        let mut dispatch_states = self.dispatch_states.borrow_mut();
+        dispatch_states.retain(|state| {
+            state.chunks_in_progress > 0 || listed_ids.binary_search(&&state.job_id).is_ok()
+        });
     }
 
-    fn with_work<R>(&self, job: &JobId, f: impl FnOnce(&mut JobWork) -> R) -> Option<R> {
-        let mut works = self.works.borrow_mut();
-        let at = works.binary_search_by(|w| w.job_id.cmp(job)).ok()?;
-        Some(f(&mut works[at]))
+    fn with_job<R>(&self, job: &JobId, f: impl FnOnce(&mut JobDispatchState) -> R) -> Option<R> {
+        let mut dispatch_states = self.dispatch_states.borrow_mut();
+        let at = dispatch_states
+            .binary_search_by(|state| state.job_id.cmp(job))
+            .ok()?;
+        Some(f(&mut dispatch_states[at]))
     }
 
-    fn working(&self) -> usize {
-        self.works.borrow().iter().map(|w| w.working as usize).sum()
+    fn chunks_in_progress(&self) -> usize {
+        self.dispatch_states
+            .borrow()
+            .iter()
+            .map(|state| state.chunks_in_progress as usize)
+            .sum()
     }
 
     fn free_slots(&self) -> usize {
         let slots = self.settings.batch_chunks_in_flight;
-        slots.saturating_sub(self.working())
+        slots.saturating_sub(self.chunks_in_progress())
     }
 
-    /// Jobs in the store that have not been archived, by deadline.
+    /// Returns the jobs in the store that have not been archived, sorted by deadline.
     fn listed_jobs(&self) -> Vec<JobRecord> {
         let mut jobs: Vec<JobRecord> = self
             .jobs
@@ -429,7 +462,7 @@
         jobs
     }
 
-    fn job_state(&self, id: &str) -> Option<JobState> {
+    fn watched_job_state(&self, id: &str) -> Option<JobState> {
         let key = keys::job(id);
         self.jobs.read(|snapshot| {
             let (value, _) = snapshot.objects.get(&key)?;
--- a/crates/foxwheel-gateway/src/batch/items.rs
+++ b/crates/foxwheel-gateway/src/batch/items.rs
@@ -1,4 +1,4 @@
-//! Running one batch item on a backend host.
+//! Runs one batch item on a backend host.
 
 use std::time::Duration;
 
@@ -10,81 +10,96 @@
 use foxwheel_core::ids::DeploymentName;
 use foxwheel_core::protocol::{self, RunState, WORKSPACE_HEADER};
 
-use crate::hosts::{HostTable, InFlight};
+use crate::hosts::{HostTable, InFlightGuard};
 
-/// Largest answer read for one item, in bytes: what one store object holds, less its frame.
-const MAX_ANSWER_BYTES: usize = 1_000_000;
-/// How long one try may take.
-const ITEM_TIMEOUT: Duration = Duration::from_secs(120);
-/// Tries of an item that no host takes, before its chunk is given back.
-const NOT_TAKEN_TRIES: u32 = 8;
-/// The pause after the first try that no host took; it doubles up to [`MAX_PAUSE`].
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause between two tries.
-const MAX_PAUSE: Duration = Duration::from_secs(2);
+/// Maximum size of an item's response, in bytes: what one object of the store can hold besides its
+/// metadata.
+const MAX_RESPONSE_BYTES: usize = 1_000_000;
+/// Timeout of one attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(120);
+/// Maximum number of attempts that did not run the item, after which the item stays pending until
+/// its chunk is taken again.
+const MAX_NOT_RUN_TRIES: u32 = 8;
+/// Delay after the first attempt that did not run the item. It doubles up to [`MAX_RETRY_DELAY`].
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Maximum delay between two attempts.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// How running an item ended.
+/// Outcome of running an item.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ItemOutcome {
-    /// The backend answered.
+    /// The backend gave this response.
     Done(serde_json::Value),
-    /// It can never be done: the backend refused the item itself.
+    /// The item can never be done, because of its own content: the backend rejected it, or its
+    /// response is too large.
     Failed(String),
-    /// A backend received it and broke off or failed. This may be the item's own doing, so
-    /// it counts as an attempt.
-    BrokeOff(String),
-    /// No backend received it; it does not count as an attempt.
+    /// A backend received the item and failed or did not complete its response. The item itself may
+    /// be the cause, so this counts as an attempt.
+    AttemptFailed(String),
+    /// No backend ran the item. This does not count as an attempt.
     NotRun,
 }
 
-/// Sends items to the hosts of one deployment, as batch work.
+/// Sends items to the hosts of one deployment in the batch class.
 #[derive(Clone)]
 pub struct ItemRunner {
-    /// The client requests go out on.
+    /// Client that sends the requests.
     pub http: awc::Client,
-    /// The routing table.
+    /// Routing table of the backend hosts.
     pub hosts: HostTable,
-    /// The gateway's zone, preferred.
+    /// Zone of the gateway, whose hosts are preferred.
     pub zone: String,
-    /// The deployment.
+    /// Deployment that the items are sent to.
     pub deployment: DeploymentName,
-    /// Whose work it is; empty when the caller named no workspace.
+    /// Workspace of the job; empty if the caller named none.
     pub workspace: String,
 }
 
 impl ItemRunner {
-    /// Runs an item with this request `body`, waiting with growing pauses while no host
-    /// takes it.
-    pub async fn run(&self, body: serde_json::Value) -> ItemOutcome {
+    /// Runs an item with this request body. Retries with increasing delays while no host runs it, and
+    /// returns [`ItemOutcome::NotRun`] if none did.
+    pub async fn run_item(&self, body: serde_json::Value) -> ItemOutcome {
         let path = match body.get("messages") {
             Some(_) => "/v1/chat/completions",
             None => "/v1/completions",
         };
-        let body = Bytes::from(whole_answer_request(body).to_string());
-        let mut pause = FIRST_PAUSE;
-        for _ in 0..NOT_TAKEN_TRIES {
-            match self.try_once(path, body.clone()).await {
+        let body = Bytes::from(request_without_streaming(body).to_string());
+        let mut delay = MIN_RETRY_DELAY;
+        for _ in 0..MAX_NOT_RUN_TRIES {
+            match self.attempt_item(path, body.clone()).await {
                 ItemOutcome::NotRun => {}
                 outcome => return outcome,
             }
-            tokio::time::sleep(pause.mul_f64(0.5 + rand::random::<f64>() / 2.0)).await;
-            pause = (pause * 2).min(MAX_PAUSE);
+            tokio::time::sleep(delay.mul_f64(0.5 + rand::random::<f64>() / 2.0)).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
         ItemOutcome::NotRun
     }
 
-    async fn try_once(&self, path: &str, body: Bytes) -> ItemOutcome {
+    async fn attempt_item(&self, path: &str, body: Bytes) -> ItemOutcome {
         let class = PriorityClass::Batch;
-        let Some(target) = self.hosts.pick(&self.deployment, class, &self.zone, &[]) else {
+        let Some(host) = self
+            .hosts
+            .pick_host(&self.deployment, class, &self.zone, &[])
+        else {
             return ItemOutcome::NotRun;
         };
-        let _in_flight = InFlight::start(&target);
-        let url = format!("http://{}{path}", target.member.agent_addr);
-        let headers = batch_headers(&self.workspace);
-        let sent =
-            http::forward_request(&self.http, Method::POST, &url, &headers, body, ITEM_TIMEOUT);
-        let broke_off = |e: &dyn std::fmt::Display| {
-            ItemOutcome::BrokeOff(format!("{} broke off: {e}", target.member.host))
+        let _in_flight = InFlightGuard::start(&host);
+        let url = format!("http://{}{path}", host.member.agent_addr);
+        let headers = batch_request_headers(&self.workspace);
+        let sent = http::forward_request(
+            &self.http,
+            Method::POST,
+            &url,
+            &headers,
+            body,
+            ATTEMPT_TIMEOUT,
+        );
+        let attempt_failed = |e: &dyn std::fmt::Display| {
+            ItemOutcome::AttemptFailed(format!(
+                "{} did not complete its response: {e}",
+                host.member.host
+            ))
         };
         let mut response = match sent.await {
             Ok(response) if http::read_run_state(&response) == Some(RunState::NotRun) => {
@@ -92,28 +107,28 @@
             }
             Ok(response) => response,
             Err(e) if http::is_connect_failure(&e) => return ItemOutcome::NotRun,
-            Err(e) => return broke_off(&e),
+            Err(e) => return attempt_failed(&e),
         };
         let status = response.status();
-        match response.body().limit(MAX_ANSWER_BYTES).await {
-            Ok(answer) => outcome_of(status, &answer),
+        match response.body().limit(MAX_RESPONSE_BYTES).await {
+            Ok(body) => outcome_from_response(status, &body),
             Err(awc::error::PayloadError::Overflow) => ItemOutcome::Failed(format!(
-                "the answer is larger than {MAX_ANSWER_BYTES} bytes"
+                "the response is larger than {MAX_RESPONSE_BYTES} bytes"
             )),
-            Err(e) => broke_off(&e),
+            Err(e) => attempt_failed(&e),
         }
     }
 }
 
-/// The item's request, asking for a whole answer rather than a stream.
-fn whole_answer_request(mut body: serde_json::Value) -> serde_json::Value {
+/// Returns the item's request, changed to request a response that is not streamed.
+fn request_without_streaming(mut body: serde_json::Value) -> serde_json::Value {
     if let Some(object) = body.as_object_mut() {
         object.insert("stream".to_owned(), serde_json::Value::Bool(false));
     }
     body
 }
 
-fn batch_headers(workspace: &str) -> HeaderMap {
+fn batch_request_headers(workspace: &str) -> HeaderMap {
     let (name, value) = protocol::class_header(PriorityClass::Batch);
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -127,12 +142,12 @@
     headers
 }
 
-fn outcome_of(status: StatusCode, answer: &[u8]) -> ItemOutcome {
-    let text = || String::from_utf8_lossy(answer).into_owned();
+fn outcome_from_response(status: StatusCode, body: &[u8]) -> ItemOutcome {
+    let text = || String::from_utf8_lossy(body).into_owned();
     if status.is_success() {
-        return match serde_json::from_slice(answer) {
+        return match serde_json::from_slice(body) {
             Ok(value) => ItemOutcome::Done(value),
-            Err(e) => ItemOutcome::BrokeOff(format!("the answer is not JSON: {e}")),
+            Err(e) => ItemOutcome::AttemptFailed(format!("the response is not JSON: {e}")),
         };
     }
     if status == StatusCode::TOO_MANY_REQUESTS || status == StatusCode::REQUEST_TIMEOUT {
@@ -141,5 +156,5 @@
     if status.is_client_error() {
         return ItemOutcome::Failed(format!("status {status}: {}", text()));
     }
-    ItemOutcome::BrokeOff(format!("status {status}: {}", text()))
+    ItemOutcome::AttemptFailed(format!("status {status}: {}", text()))
 }
--- a/crates/foxwheel-gateway/src/batch/jobs.rs
+++ b/crates/foxwheel-gateway/src/batch/jobs.rs
@@ -1,132 +1,134 @@
 //! Batch job and chunk records as kept in the store.
 //!
-//! A job's items are split into chunks of at most [`CHUNK_ITEMS`], each one object, so
-//! that one conditional write commits several results and the store's write budget is
-//! divided by the chunk size. A chunk is worked on by one gateway at a time, under a lease
-//! held in the chunk record itself: every write is conditional on the version the holder
-//! last wrote, so a holder whose lease was taken over cannot write again.
+//! A job's items are split into chunks of at most [`CHUNK_ITEMS`] items, each stored as one object.
+//! One conditional write thereby commits several results, and the number of writes to the store is
+//! divided by the chunk size. One gateway at a time works on a chunk, under a lease that is kept in
+//! the chunk record itself. Every write is conditional on the version that the holder last wrote, so
+//! a holder whose lease was taken over cannot write again.
 
 use serde::{Deserialize, Serialize};
 
 use foxwheel_core::ids::{DeploymentName, ItemId, JobId, ModelName};
 
-/// Items in one chunk, at most.
+/// Maximum number of items in one chunk.
 pub const CHUNK_ITEMS: usize = 32;
 
-/// Where a job stands.
+/// State of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
-    /// Items are being run.
+    /// The job's items are being run.
     Running,
     /// Every item is done, failed or cancelled.
     Completed,
-    /// Cancelled by an operator or caller: no further item starts.
+    /// The job was cancelled by an operator or its caller; no further item starts.
     Cancelled,
 }
 
-/// A job record, under `jobs/<id>`.
+/// Record of a job, stored under `jobs/<id>`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The job's id.
+    /// Id of the job.
     pub id: JobId,
-    /// The model its items ask for.
+    /// Model that the job's items request.
     pub model: ModelName,
-    /// The caller's workspace; empty when it named none.
+    /// Workspace of the caller; empty if it named none.
     #[serde(default)]
     pub workspace: String,
-    /// The deployment chosen by the rules when the job was accepted.
+    /// Deployment that the rules selected when the job was accepted.
     pub deployment: DeploymentName,
-    /// A fingerprint of the model and items, so that a client key used for another job is
-    /// told apart from a resend.
+    /// Fingerprint of the model and the items. It distinguishes a resend from another job under the
+    /// same client key.
     pub fingerprint: String,
-    /// Where it stands.
+    /// State of the job.
     pub state: JobState,
-    /// Its items by state, once every chunk is finished; they do not change afterwards.
+    /// Number of items by state, set once every chunk is finished. It does not change afterwards.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub final_counts: Option<ItemCounts>,
-    /// Accepted at, Unix milliseconds.
+    /// Time when the job was accepted, in Unix milliseconds.
     pub created_ms: u64,
-    /// Due at, Unix milliseconds.
+    /// Time when the job is due, in Unix milliseconds.
     pub deadline_ms: u64,
-    /// Items in all.
+    /// Number of items.
     pub item_count: u32,
-    /// Chunks in all; chunk indexes run from 0 to `chunk_count - 1`.
+    /// Number of chunks. Chunk indexes run from 0 to `chunk_count - 1`.
     pub chunk_count: u32,
 }
 
-/// Where an item stands.
+/// State of an item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ItemState {
-    /// Not finished yet.
+    /// The item is not finished yet.
     Pending,
-    /// Finished; `result` holds the answer.
+    /// The item is finished; `result` or the object under `result_key` holds the response.
     Done,
-    /// Can never be done; `error` says why.
+    /// The item failed for good; `error` gives the reason.
     Failed,
-    /// Its job was cancelled before it finished.
+    /// The job was cancelled before the item finished.
     Cancelled,
 }
 
 impl ItemState {
-    /// Whether the item will not change again.
+    /// Returns whether an item in this state never changes again.
     pub fn is_final(self) -> bool {
         self != Self::Pending
     }
 }
 
-/// One item.
+/// Record of one item, as part of its chunk.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ItemRecord {
-    /// The caller's id for it, unique in the job.
+    /// Id that the caller gave the item, unique in the job.
     pub custom_id: ItemId,
-    /// The completion request body.
+    /// Body of the completion request.
     pub body: serde_json::Value,
-    /// Where it stands.
+    /// State of the item.
     pub state: ItemState,
-    /// Tries that a backend received and did not answer well.
+    /// Number of attempts that a backend received without giving a usable response.
     pub attempts: u32,
-    /// The answer, when done and small enough to be kept here.
+    /// Response, if the item is done and the response is small enough to be stored here.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub result: Option<serde_json::Value>,
-    /// The store key of the answer, when done and kept in an object of its own.
+    /// Key of the response in the store, if the item is done and the response is stored in an object
+    /// of its own.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub result_key: Option<String>,
-    /// Why it failed, when failed.
+    /// Reason of the failure, if the item failed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub error: Option<String>,
 }
 
-/// A lease on a chunk.
+/// Lease on a chunk.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkLease {
-    /// The gateway holding it.
+    /// Name of the gateway that holds the lease.
     pub holder: String,
-    /// A random number for this holding, to recognise our own write after a lost reply.
+    /// Random number chosen when the lease was taken, by which the holder recognizes its own write
+    /// after the response to it was lost.
     pub nonce: u64,
-    /// Writes made under this holding; grows by one with each.
+    /// Number of commits made under this lease since it was taken.
     pub commit_seq: u64,
-    /// Runs out at this Unix time in milliseconds unless renewed by a write.
+    /// Time when the lease expires unless a write renews it, in Unix milliseconds.
     pub expires_ms: u64,
 }
 
-/// A chunk record, under `chunks/<job>/<index>`.
+/// Record of a chunk, stored under `chunks/<job>/<index>`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChunkRecord {
-    /// The job it belongs to.
+    /// Id of the job that the chunk belongs to.
     pub job_id: JobId,
-    /// Its index in the job.
+    /// Index of the chunk in the job.
     pub index: u32,
-    /// Its items, in the order given.
+    /// Items of the chunk, in the order in which the caller gave them.
     pub items: Vec<ItemRecord>,
-    /// The current lease, if anyone holds one.
+    /// Current lease, if a gateway has taken one. It may have expired.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<ChunkLease>,
 }
 
 impl ChunkRecord {
-    /// Its items by state.
+    /// Returns the number of items by state.
     pub fn counts(&self) -> ItemCounts {
         let mut counts = ItemCounts::default();
         for item in &self.items {
@@ -135,8 +137,8 @@
         counts
     }
 
-    /// Marks every unfinished item as cancelled.
-    pub fn cancel_pending(&mut self) {
+    /// Marks every pending item as cancelled.
+    pub fn cancel_pending_items(&mut self) {
         for item in &mut self.items {
             if item.state == ItemState::Pending {
                 item.state = ItemState::Cancelled;
@@ -144,29 +146,33 @@
         }
     }
 
-    /// Whether any item is still pending.
-    pub fn has_pending(&self) -> bool {
-        self.items.iter().any(|i| i.state == ItemState::Pending)
+    /// Returns whether any item is still pending.
+    pub fn has_pending_items(&self) -> bool {
+        self.items
+            .iter()
+            .any(|item| item.state == ItemState::Pending)
     }
 
-    /// Whether the lease, if any, has run out by `now_ms`.
-    pub fn is_free(&self, now_ms: u64) -> bool {
-        self.lease.as_ref().is_none_or(|l| l.expires_ms <= now_ms)
+    /// Returns whether the chunk has no lease or its lease has expired at `now_ms`.
+    pub fn is_lease_free(&self, now_ms: u64) -> bool {
+        self.lease
+            .as_ref()
+            .is_none_or(|lease| lease.expires_ms <= now_ms)
     }
 }
 
-/// Counts of items by state.
+/// Number of items by state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemCounts {
-    /// Items in all.
+    /// Number of all items.
     pub total: u32,
-    /// Not finished.
+    /// Number of items that are not finished.
     pub pending: u32,
-    /// Finished.
+    /// Number of items that are done.
     pub done: u32,
-    /// Can never be done.
+    /// Number of items that failed for good.
     pub failed: u32,
-    /// Stopped by a cancel.
+    /// Number of items that a cancellation stopped.
     pub cancelled: u32,
 }
 
@@ -181,7 +187,7 @@
 }
 
 impl ItemCounts {
-    /// Adds one item in `state`.
+    /// Counts one more item in `state`.
     pub fn add(&mut self, state: ItemState) {
         self.total += 1;
         match state {
@@ -193,42 +199,42 @@
     }
 }
 
-/// The answer to `GET /v1/batches/{id}`.
+/// Response to `GET /v1/batches/{id}`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// The job's record.
+    /// Record of the job.
     pub job: JobRecord,
-    /// Its items by state, as of the chunks finished so far; pending items of a cancelled
-    /// job count as cancelled.
+    /// Number of items by state. Items of chunks that are not finished count as pending, or as
+    /// cancelled if the job is cancelled.
     pub counts: ItemCounts,
 }
 
-/// One item as the caller sends it.
+/// One item, as the caller sends it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ItemInput {
-    /// The caller's id for it, unique in the job.
+    /// Id that the caller gave the item, unique in the job.
     pub custom_id: ItemId,
-    /// A completion request body: `model` and `messages` or `prompt`.
+    /// Body of a completion request, with `model` and either `messages` or `prompt`.
     pub body: serde_json::Value,
 }
 
-/// The body of `POST /v1/batches`.
+/// Body of `POST /v1/batches`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CreateJob {
-    /// The caller's key for this job: a resend with the same key returns the same job
-    /// instead of making another.
+    /// Key that the caller chose for this job. A resend with the same key returns the same job
+    /// instead of creating another one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub client_key: Option<String>,
-    /// The model every item asks for.
+    /// Model that every item requests.
     pub model: ModelName,
-    /// How long the job may take, in seconds.
+    /// Time within which the job is to be completed, in seconds.
     pub completion_window_s: u64,
-    /// The items; or give `input_jsonl` instead.
+    /// Items of the job. They can also be given as `input_jsonl`.
     #[serde(default)]
     pub items: Vec<ItemInput>,
-    /// The items as JSON lines, one [`ItemInput`] per line, as batch files are written.
+    /// Items as JSON lines, one [`ItemInput`] per line, which is the format of batch files.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub input_jsonl: Option<String>,
 }
@@ -236,14 +242,14 @@
 /// One line of `GET /v1/batches/{id}/results`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ItemResult {
-    /// The caller's id.
+    /// Id that the caller gave the item.
     pub custom_id: ItemId,
-    /// Where it stands.
+    /// State of the item.
     pub state: ItemState,
-    /// The answer, when done.
+    /// Response, if the item is done.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub response: Option<serde_json::Value>,
-    /// Why it failed, when failed.
+    /// Reason of the failure, if the item failed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub error: Option<String>,
 }
--- a/crates/foxwheel-gateway/src/config.rs
+++ b/crates/foxwheel-gateway/src/config.rs
@@ -1,8 +1,8 @@
-//! The configuration controller: the applied deployments and rules, watched from the store.
+//! The configuration controller, which watches the deployments and rules in the store.
 //!
-//! A change is in force on this gateway as soon as the watch delivers it. The active
-//! configuration only moves forward: an answer older than the one in force is ignored, so
-//! an applied configuration never reverts, even across store outages.
+//! A change is in force at this gateway as soon as the watch delivers it. The revision in force
+//! never decreases: a response that is older than the configuration in force is ignored, so that
+//! an applied configuration never reverts, not even through an outage of the store.
 
 use std::sync::{Arc, RwLock};
 
@@ -17,25 +17,25 @@
 /// The configuration in force.
 #[derive(Debug, Clone, Default)]
 pub struct ActiveConfig {
-    /// Deployments sorted by name.
+    /// Deployments, sorted by name.
     pub deployments: Vec<Deployment>,
-    /// The ordered rules.
+    /// Ordered rules.
     pub rules: RuleSet,
-    /// The store revision this reflects; never decreases. 0 until something is in force.
+    /// Revision of the store that this configuration was read at; 0 while none is in force.
     pub revision: Version,
 }
 
 impl ActiveConfig {
-    /// The deployment named `name`.
+    /// Returns the deployment with this name.
     pub fn deployment(&self, name: &str) -> Option<&Deployment> {
         self.deployments
-            .binary_search_by(|d| d.name.as_str().cmp(name))
+            .binary_search_by(|deployment| deployment.name.as_str().cmp(name))
             .ok()
             .map(|at| &self.deployments[at])
     }
 
-    /// Builds the configuration from a snapshot of `config/`; objects that do not decode
-    /// are skipped and logged, so one bad write cannot take the rest down.
+    /// Builds the configuration from a snapshot of `config/`. Objects that cannot be decoded are
+    /// skipped and logged, so that one bad write does not disable the rest.
     pub fn from_snapshot(snapshot: &Snapshot) -> Self {
         let mut config = Self {
             revision: snapshot.revision,
@@ -45,12 +45,12 @@
             if key == keys::RULES_KEY {
                 match serde_json::from_value(value.clone()) {
                     Ok(rules) => config.rules = rules,
-                    Err(e) => log::warn!("config: {key} does not decode: {e}"),
+                    Err(e) => log::warn!("config: {key} cannot be decoded and is skipped: {e}"),
                 }
             } else if key.starts_with(keys::DEPLOYMENTS_PREFIX) {
                 match serde_json::from_value::<Deployment>(value.clone()) {
-                    Ok(d) => config.deployments.push(d),
-                    Err(e) => log::warn!("config: {key} does not decode: {e}"),
+                    Ok(deployment) => config.deployments.push(deployment),
+                    Err(e) => log::warn!("config: {key} cannot be decoded and is skipped: {e}"),
                 }
             }
         }
@@ -59,19 +59,20 @@
     }
 }
 
-/// The shared handle to the configuration in force.
+/// Shared handle to the configuration in force.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigHandle {
     active: Arc<RwLock<Arc<ActiveConfig>>>,
 }
 
 impl ConfigHandle {
-    /// The configuration in force now.
+    /// Returns the configuration in force now.
     pub fn current(&self) -> Arc<ActiveConfig> {
         self.active.read().expect("config lock").clone()
     }
 
-    /// Puts `config` in force if it is newer than the one in force; returns whether it was.
+    /// Puts `config` in force if its revision is higher than that of the configuration in force.
+    /// Returns whether it did.
     pub fn advance(&self, config: ActiveConfig) -> bool {
         let mut active = self.active.write().expect("config lock");
         if config.revision <= active.revision {
@@ -82,8 +83,9 @@
     }
 }
 
-/// Runs `reflector`, of `config/`, and keeps `handle` current until `cancel` fires.
-pub async fn run(
+/// Keeps `handle` up to date from the store until `cancel` is cancelled. Starts `reflector`, which
+/// must be the one of `config/`.
+pub async fn run_controller(
     handle: ConfigHandle,
     reflector: Reflector,
     store: StoreClient,
@@ -98,10 +100,10 @@
         }
         let config = reflector.read(ActiveConfig::from_snapshot);
         let revision = config.revision;
-        let (deployments, rules) = (config.deployments.len(), config.rules.rules.len());
+        let (deployment_count, rule_count) = (config.deployments.len(), config.rules.rules.len());
         if handle.advance(config) {
             log::info!(
-                "config revision {revision} in force: {deployments} deployments, {rules} rules"
+                "config revision {revision} in force: {deployment_count} deployments, {rule_count} rules"
             );
         }
     }
--- a/crates/foxwheel-gateway/src/control.rs
+++ b/crates/foxwheel-gateway/src/control.rs
@@ -1,9 +1,9 @@
-//! The control controller: polls every agent in the host table over the control channel.
+//! The controller that polls every agent in the host table over the control channel.
 //!
-//! Each answer renews the host's liveness and brings its load and drain state; an agent
-//! whose configuration is older than this gateway's is pushed the newer one. One task
-//! polls one agent, on one connection that is opened again after a failure, so a silent
-//! agent delays no other.
+//! A response shows that the host is alive and reports its load and whether it is draining. An
+//! agent whose configuration is older than this gateway's is sent the newer one. Each agent is
+//! polled by a task of its own on one connection, which is reopened after a failure, so that an
+//! agent that does not respond delays no other.
 
 use std::time::Duration;
 
@@ -13,57 +13,57 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::config::ConfigHandle;
-use crate::hosts::{HostTable, Target};
+use crate::hosts::{BackendHost, HostTable};
 
-/// How agents are polled.
+/// Timing of the polls.
 #[derive(Debug, Clone, Copy)]
-pub struct PollShape {
-    /// The pause between two polls of one agent.
+pub struct PollTiming {
+    /// Delay between two polls of one agent.
     pub interval: Duration,
-    /// Bounds one connect and one call.
+    /// Timeout of one connection attempt and of one call.
     pub timeout: Duration,
 }
 
-/// What every poller shares.
+/// State that all pollers share.
 #[derive(Clone)]
-pub struct Polling {
-    /// The table whose agents are polled.
+pub struct PollContext {
+    /// Table of the hosts whose agents are polled.
     pub table: HostTable,
-    /// The configuration pushed to agents.
+    /// Configuration that is sent to agents.
     pub config: ConfigHandle,
-    /// How agents are polled.
-    pub shape: PollShape,
-    /// Counts answers and misses.
+    /// Timing of the polls.
+    pub timing: PollTiming,
+    /// Counters of polls with and without a response.
     pub counters: Counters,
 }
 
-/// A running poller.
+/// A running task that polls one agent.
 struct Poller {
     control_addr: String,
     cancel: CancellationToken,
 }
 
-/// Keeps one poller per agent of the table until `cancel` fires.
-pub async fn run(polling: Polling, cancel: CancellationToken) {
-    // Sorted by control address.
+/// Keeps one poller running per agent in the table until `cancel` is cancelled.
+pub async fn run_pollers(poll_context: PollContext, cancel: CancellationToken) {
+    // Sorted by control address, for the binary searches below.
     let mut pollers: Vec<Poller> = Vec::new();
     while !cancel.is_cancelled() {
-        let mut targets = polling.table.targets();
-        targets.sort_by(|a, b| a.member.control_addr.cmp(&b.member.control_addr));
+        let mut hosts = poll_context.table.hosts();
+        hosts.sort_by(|a, b| a.member.control_addr.cmp(&b.member.control_addr));
         pollers.retain(|poller| {
-            let wanted = targets
+            let is_listed = hosts
                 .binary_search_by(|t| t.member.control_addr.cmp(&poller.control_addr))
                 .is_ok();
-            if !wanted {
+            if !is_listed {
                 poller.cancel.cancel();
             }
-            wanted
+            is_listed
         });
-        for target in targets {
-            let control_addr = target.member.control_addr.clone();
+        for host in hosts {
+            let control_addr = host.member.control_addr.clone();
             if let Err(at) = pollers.binary_search_by(|p| p.control_addr.cmp(&control_addr)) {
                 let cancel = cancel.child_token();
-                actix_web::rt::spawn(poll(target, polling.clone(), cancel.clone()));
+                actix_web::rt::spawn(poll_agent(host, poll_context.clone(), cancel.clone()));
                 let poller = Poller {
                     control_addr,
                     cancel,
@@ -73,66 +73,67 @@
         }
         tokio::select! {
             () = cancel.cancelled() => {}
-            () = tokio::time::sleep(polling.shape.interval) => {}
+            () = tokio::time::sleep(poll_context.timing.interval) => {}
         }
     }
 }
 
-/// Polls one agent until `cancel` fires; logs when it stops and starts answering.
-async fn poll(target: Target, polling: Polling, cancel: CancellationToken) {
-    let host = &target.member.host;
+/// Polls one agent until `cancel` is cancelled. Logs when the agent stops responding and when it
+/// responds again.
+async fn poll_agent(backend: BackendHost, poll_context: PollContext, cancel: CancellationToken) {
+    let host = &backend.member.host;
     let mut client: Option<ControlClient> = None;
-    let mut answering = true;
+    let mut is_responding = true;
     while !cancel.is_cancelled() {
-        let polled = poll_once(&mut client, &target, &polling).await;
-        match polled {
+        let result = poll_agent_once(&mut client, &backend, &poll_context).await;
+        match result {
             Ok(report) => {
-                polling.counters.incr("control.answered");
-                target.record(report);
-                if !answering {
-                    log::info!("{host} answers control polls again");
+                poll_context.counters.incr("control.answered");
+                backend.record_report(report);
+                if !is_responding {
+                    log::info!("{host} responds to control polls again");
                 }
-                answering = true;
+                is_responding = true;
             }
             Err(e) => {
-                polling.counters.incr("control.unanswered");
-                target.record_missed();
-                if answering {
-                    log::warn!("{host} does not answer control polls: {e}");
+                poll_context.counters.incr("control.unanswered");
+                backend.record_missed_poll();
+                if is_responding {
+                    log::warn!("{host} does not respond to control polls: {e}");
                 }
-                answering = false;
+                is_responding = false;
             }
         }
         tokio::select! {
             () = cancel.cancelled() => {}
-            () = tokio::time::sleep(polling.shape.interval) => {}
+            () = tokio::time::sleep(poll_context.timing.interval) => {}
         }
     }
 }
 
-/// One poll, and a push when the agent's configuration is older; a connection that failed
-/// is not put back.
-async fn poll_once(
+/// Polls an agent once and sends it the configuration in force if its own is older. `client`
+/// keeps the connection for the next poll; after a failure it is left empty.
+async fn poll_agent_once(
     client: &mut Option<ControlClient>,
-    target: &Target,
-    polling: &Polling,
+    host: &BackendHost,
+    poll_context: &PollContext,
 ) -> Result<LoadReport, ControlError> {
-    let peer = &target.member.control_addr;
-    let connected = match client.take() {
-        Some(connected) => connected,
-        None => ControlClient::connect(peer, polling.shape.timeout).await?,
+    let peer = &host.member.control_addr;
+    let connection = match client.take() {
+        Some(connection) => connection,
+        None => ControlClient::connect(peer, poll_context.timing.timeout).await?,
     };
-    let report = connected.load().await?;
-    let config = polling.config.current();
+    let report = connection.load().await?;
+    let config = poll_context.config.current();
     if config.revision > report.config_revision {
-        let deployment = config.deployment(&target.member.deployment);
-        let pushed = AgentConfig {
+        let deployment = config.deployment(&host.member.deployment);
+        let agent_config = AgentConfig {
             revision: config.revision,
             batch_gate: deployment.and_then(|d| d.batch_gate.clone()),
         };
-        connected.configure(pushed).await?;
-        polling.counters.incr("control.configured");
+        connection.configure(agent_config).await?;
+        poll_context.counters.incr("control.configured");
     }
-    *client = Some(connected);
+    *client = Some(connection);
     Ok(report)
 }
--- a/crates/foxwheel-gateway/src/filters.rs
+++ b/crates/foxwheel-gateway/src/filters.rs
@@ -1,9 +1,9 @@
-//! The filter chain every request passes before it is forwarded.
+//! The filter chain that every request passes before it is forwarded.
 //!
-//! The chain is a list of [`Filter`]s run in order on an [`Exchange`]; each either lets the
-//! exchange through (having added to it) or answers with a refusal that says the request
-//! did not run. Parsing and checking the body come first in the handlers, routing and
-//! forwarding last, with retries where they are safe.
+//! The chain is a list of [`Filter`]s that are applied in order to a [`RequestContext`]. Each one
+//! either admits the request and may add to the context, or refuses it, with a response that
+//! states that the request did not run. The handlers parse and check the body before the chain
+//! runs. After it they forward the request, with retries if those are safe.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Arc;
@@ -16,38 +16,39 @@
 
 use crate::config::ActiveConfig;
 
-/// Told in `Retry-After` while no configuration is in force.
-const NOT_READY_RETRY_S: u64 = 1;
+/// `Retry-After` of refusals while no configuration is in force, in seconds.
+const NOT_READY_RETRY_AFTER_S: u64 = 1;
 
-/// A request on its way through the chain.
-pub struct Exchange {
-    /// Online, batch or service.
+/// A request that passes the filter chain, with what the filters have decided about it.
+pub struct RequestContext {
+    /// Kind of the request: online, batch or service.
     pub workload: Workload,
-    /// The `model` field, for completions.
+    /// `model` field of the body, for completions.
     pub model: Option<String>,
-    /// The service name, for service calls.
+    /// Name of the service, for service calls.
     pub service: Option<String>,
-    /// The path rules match on: the service path, or the API path.
+    /// Path that rules match on: the path within the service, or the path of the API.
     pub path: String,
-    /// The caller's workspace.
+    /// Workspace of the caller.
     pub workspace: Option<String>,
-    /// The configuration in force when the request arrived; it stays the same for the
-    /// request's whole life.
+    /// Configuration that was in force when the request arrived. It stays the same until the
+    /// request ends.
     pub config: Arc<ActiveConfig>,
-    /// Set by [`MatchRules`]: whether the request may run more than once.
+    /// Whether the request may run more than once. Set by [`MatchRules`].
     pub idempotent: bool,
-    /// Set by [`MatchRules`]: the rule that matched.
+    /// Name of the rule that matched. Set by [`MatchRules`].
     pub rule: Option<String>,
-    /// Set by [`MatchRules`]: the deployment routed to.
+    /// Deployment that the request is routed to. Set by [`MatchRules`].
     pub deployment: Option<Deployment>,
-    /// Set by [`MatchRules`]: the class admitted under.
+    /// Priority class that the request is admitted under. Set by [`MatchRules`].
     pub class: PriorityClass,
-    /// Set by [`Admission`]: held while the request is in flight.
-    pub admitted: Option<AdmissionGuard>,
+    /// Guard that counts the request while it is in flight. Set by [`Admission`] for online
+    /// requests.
+    pub admission_guard: Option<AdmissionGuard>,
 }
 
-impl Exchange {
-    /// A new exchange for a request with these facts.
+impl RequestContext {
+    /// Creates the context of a request that no filter has been applied to.
     pub fn new(workload: Workload, path: String, config: Arc<ActiveConfig>) -> Self {
         Self {
             workload,
@@ -60,11 +61,11 @@
             rule: None,
             deployment: None,
             class: PriorityClass::Online,
-            admitted: None,
+            admission_guard: None,
         }
     }
 
-    fn facts(&self) -> RequestAttributes<'_> {
+    fn request_attributes(&self) -> RequestAttributes<'_> {
         RequestAttributes {
             workload: self.workload,
             model: self.model.as_deref(),
@@ -75,53 +76,55 @@
     }
 }
 
-/// One step of the chain.
+/// One step of the filter chain.
 pub trait Filter: Send + Sync {
-    /// The counter of this step's refusals.
-    fn refusals(&self) -> &'static str;
-    /// Lets the exchange through, or refuses it.
-    fn apply(&self, exchange: &mut Exchange) -> Result<(), Refused>;
+    /// Returns the name of the counter of this filter's refusals.
+    fn refusal_counter(&self) -> &'static str;
+    /// Admits the request, adding to its context, or returns the refusal for the caller.
+    fn apply(&self, context: &mut RequestContext) -> Result<(), Refused>;
 }
 
-/// Runs `chain` in order; the first refusal ends it and is counted under its filter.
-pub fn run(
+/// Applies the filters of `chain` in order. Stops at the first refusal, counts it under the filter's
+/// counter and returns it.
+pub fn apply_chain(
     chain: &[Box<dyn Filter>],
-    exchange: &mut Exchange,
+    context: &mut RequestContext,
     counters: &Counters,
 ) -> Result<(), Refused> {
-    counters.incr(match exchange.workload {
+    counters.incr(match context.workload {
         Workload::Online => "requests.online",
         Workload::Batch => "requests.batch",
         Workload::Service => "requests.service",
     });
     chain.iter().try_for_each(|filter| {
-        let passed = filter.apply(exchange);
-        if passed.is_err() {
-            counters.incr(filter.refusals());
+        let result = filter.apply(context);
+        if result.is_err() {
+            counters.incr(filter.refusal_counter());
         }
-        passed
+        result
     })
 }
 
-/// The ordered when-then rules: the first match decides the deployment and class.
+/// Filter that matches the ordered when-then rules. The first rule that matches decides the
+/// deployment and the priority class.
 pub struct MatchRules;
 
 impl Filter for MatchRules {
-    fn refusals(&self) -> &'static str {
+    fn refusal_counter(&self) -> &'static str {
         "refused.match_rules"
     }
 
-    fn apply(&self, exchange: &mut Exchange) -> Result<(), Refused> {
-        let config = exchange.config.clone();
+    fn apply(&self, context: &mut RequestContext) -> Result<(), Refused> {
+        let config = context.config.clone();
         if config.revision == 0 {
             return Err(Refused::not_run(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "not_ready",
                 "this gateway has no configuration yet",
-                Some(NOT_READY_RETRY_S),
+                Some(NOT_READY_RETRY_AFTER_S),
             ));
         }
-        let Some(rule) = config.rules.first_match(&exchange.facts()) else {
+        let Some(rule) = config.rules.first_match(&context.request_attributes()) else {
             return Err(Refused::not_run(
                 StatusCode::NOT_FOUND,
                 "no_rule",
@@ -137,7 +140,7 @@
                 None,
             )),
             Action::Route { deployment, class } => {
-                let Some(found) = config.deployment(deployment) else {
+                let Some(found_deployment) = config.deployment(deployment) else {
                     return Err(Refused::not_run(
                         StatusCode::SERVICE_UNAVAILABLE,
                         "no_deployment",
@@ -148,18 +151,18 @@
                         Some(1),
                     ));
                 };
-                exchange.rule = Some(rule.name.clone());
-                exchange.deployment = Some(found.clone());
-                exchange.class = *class;
-                exchange.idempotent = exchange.workload != Workload::Service
-                    || !found.is_non_idempotent(&exchange.path);
+                context.rule = Some(rule.name.clone());
+                context.deployment = Some(found_deployment.clone());
+                context.class = *class;
+                context.idempotent = context.workload != Workload::Service
+                    || !found_deployment.is_non_idempotent(&context.path);
                 Ok(())
             }
         }
     }
 }
 
-/// Held while an admitted request is in flight; frees its place when dropped.
+/// Counts an admitted request as in flight until the guard is dropped.
 #[derive(Debug)]
 pub struct AdmissionGuard(Arc<AtomicU32>);
 
@@ -169,29 +172,29 @@
     }
 }
 
-/// Admission by priority class: online requests in flight are capped per gateway; over
-/// the cap the caller is told to come back, and nothing ran.
+/// Filter that limits the online requests in flight at this gateway. A request over the limit is
+/// refused as not run, with a retry time. Requests of other classes are not limited here.
 pub struct Admission {
-    /// Online requests in flight now.
+    /// Number of online requests in flight now.
     pub online_in_flight: Arc<AtomicU32>,
-    /// The cap.
+    /// Maximum number of online requests in flight.
     pub online_max_in_flight: u32,
-    /// Told to the caller when over the cap, in seconds.
+    /// `Retry-After` of refusals over the limit, in seconds.
     pub retry_after_s: u64,
 }
 
 impl Filter for Admission {
-    fn refusals(&self) -> &'static str {
+    fn refusal_counter(&self) -> &'static str {
         "refused.admission"
     }
 
-    fn apply(&self, exchange: &mut Exchange) -> Result<(), Refused> {
-        if exchange.class != PriorityClass::Online {
+    fn apply(&self, context: &mut RequestContext) -> Result<(), Refused> {
+        if context.class != PriorityClass::Online {
             return Ok(());
         }
-        let before = self.online_in_flight.fetch_add(1, Ordering::Relaxed);
+        let previous_count = self.online_in_flight.fetch_add(1, Ordering::Relaxed);
         let guard = AdmissionGuard(self.online_in_flight.clone());
-        if before >= self.online_max_in_flight {
+        if previous_count >= self.online_max_in_flight {
             drop(guard);
             return Err(Refused::not_run(
                 StatusCode::TOO_MANY_REQUESTS,
@@ -200,7 +203,7 @@
                 Some(self.retry_after_s),
             ));
         }
-        exchange.admitted = Some(guard);
+        context.admission_guard = Some(guard);
         Ok(())
     }
 }
--- a/crates/foxwheel-gateway/src/forwarding.rs
+++ b/crates/foxwheel-gateway/src/forwarding.rs
@@ -1,8 +1,9 @@
-//! Sending a request to a host of its deployment, and to another while that is safe.
+//! Sending a request to a host of its deployment, and to another one after a failure if that is
+//! safe.
 //!
-//! Whether a request may go to another host after a failed try is decided in
-//! [`foxwheel_policy::retry`]; the tries are shared with those that finish its answer
-//! ([`crate::answers`]).
+//! [`foxwheel_policy::retry`] decides whether a request may be sent to another host after a failed
+//! attempt. The same limit of attempts covers those that complete a response that was cut off
+//! ([`crate::response_relay`]).
 
 use std::time::Duration;
 
@@ -17,50 +18,51 @@
 use foxwheel_core::protocol::{self, RunState, REQUEST_ID_HEADER, RESUME_FROM_HEADER};
 use foxwheel_policy::retry::{AttemptOutcome, Attempts, NextStep};
 
-use crate::filters::Exchange;
-use crate::hosts::InFlight;
+use crate::filters::RequestContext;
+use crate::hosts::InFlightGuard;
 use crate::state::{GatewayState, WorkerState};
 
-/// Why no backend answered.
+/// Why no backend responded, with the response for the caller.
 #[derive(Debug)]
 pub enum SendFailure {
-    /// No host received the request: the caller may send it again.
+    /// No host ran the request, so the caller may send it again.
     NotRun(HttpResponse),
-    /// A host may have received it.
+    /// A host may have run the request.
     Unknown(HttpResponse),
 }
 
 impl SendFailure {
-    /// The answer for the caller.
+    /// Returns the response for the caller.
     pub fn into_response(self) -> HttpResponse {
         match self {
-            Self::NotRun(r) | Self::Unknown(r) => r,
+            Self::NotRun(response) | Self::Unknown(response) => response,
         }
     }
 }
 
-/// A host's answer, as far as its head.
-pub struct Answered {
-    /// The answer.
+/// A host's response, of which the head has been received.
+pub struct HostResponse {
+    /// The response, whose body is still to be read.
     pub response: BackendResponse,
-    /// The host it comes from.
+    /// The host that responded.
     pub host: HostId,
-    /// Counts the request on the host while the answer is read.
-    pub in_flight: InFlight,
+    /// Counts the request as in flight at the host while the response is read.
+    pub in_flight: InFlightGuard,
 }
 
-/// What became of one try at one host.
-enum Tried {
-    /// It answered.
-    Answered(BackendResponse),
-    /// It gave no answer within the caller's time.
+/// Result of one attempt at one host.
+enum AttemptResult {
+    /// The host responded.
+    Responded(BackendResponse),
+    /// The host did not respond within the request's timeout.
     TimedOut(SendFailure),
-    /// It gave no usable answer; the failure is for the caller if no other host answers.
+    /// The host gave no usable response. The failure, if any, is returned to the caller unless
+    /// another host responds.
     Failed(AttemptOutcome, Option<SendFailure>),
 }
 
-/// A request on its way, with the hosts it has been tried on.
-pub struct Outbound {
+/// A request that is being forwarded, with the attempts made so far.
+pub struct OutboundRequest {
     method: Method,
     path: String,
     headers: HeaderMap,
@@ -69,19 +71,26 @@
     class: PriorityClass,
     idempotent: bool,
     timeout: Duration,
-    /// Hosts it is not to be sent to again.
-    excluded: Vec<HostId>,
+    /// Hosts that the request is not sent to again.
+    excluded_hosts: Vec<HostId>,
     attempts: Attempts,
-    /// Tokens the caller had before this request, if it resumes a stream itself.
-    caller_has: usize,
+    /// Number of tokens that the caller had received before this request; 0 unless it resumes a
+    /// stream itself.
+    caller_token_count: usize,
 }
 
-impl Outbound {
-    /// The caller's request as routed by the filter chain; gets a request id if it has none.
-    pub fn new(state: &GatewayState, exchange: &Exchange, req: &HttpRequest, body: Bytes) -> Self {
-        let deployment = exchange.deployment.as_ref().expect("routed by MatchRules");
-        let headers = outgoing_headers(req, exchange.class);
-        let caller_has = headers
+impl OutboundRequest {
+    /// Creates the request to forward from the caller's request, which the filter chain has
+    /// routed. Adds a request id if the caller sent none.
+    pub fn new(
+        state: &GatewayState,
+        context: &RequestContext,
+        req: &HttpRequest,
+        body: Bytes,
+    ) -> Self {
+        let deployment = context.deployment.as_ref().expect("routed by MatchRules");
+        let headers = forwarded_headers(req, context.class);
+        let caller_token_count = headers
             .get(RESUME_FROM_HEADER)
             .and_then(|v| v.to_str().ok())
             .and_then(|v| v.parse().ok());
@@ -91,64 +100,68 @@
             headers,
             body,
             deployment: deployment.name.clone(),
-            class: exchange.class,
-            idempotent: exchange.idempotent,
+            class: context.class,
+            idempotent: context.idempotent,
             timeout: Duration::from_millis(deployment.request_timeout_ms),
-            excluded: Vec::new(),
-            attempts: Attempts::new(exchange.idempotent, state.settings.max_attempts),
-            caller_has: caller_has.unwrap_or(0),
+            excluded_hosts: Vec::new(),
+            attempts: Attempts::new(context.idempotent, state.settings.max_attempts),
+            caller_token_count: caller_token_count.unwrap_or(0),
         }
     }
 
-    /// Takes note that `host` broke off its answer; the request is not sent there again.
-    pub fn broke_off(&mut self, host: HostId) {
+    /// Records that `host` did not complete its response, so that the request is not sent there
+    /// again.
+    pub fn record_cut_off(&mut self, host: HostId) {
         self.attempts.record(AttemptOutcome::Unknown);
         self.exclude(host);
     }
 
     fn exclude(&mut self, host: HostId) {
-        self.excluded.push(host);
+        self.excluded_hosts.push(host);
     }
 
-    /// Asks for the rest of the answer after `delivered` more tokens.
-    pub fn resume_after(&mut self, delivered: usize) {
-        let value = HeaderValue::from(self.caller_has + delivered);
+    /// Makes the next attempt request the rest of the response, after `delivered_tokens` tokens in
+    /// addition to those that the caller already had.
+    pub fn resume_after(&mut self, delivered_tokens: usize) {
+        let value = HeaderValue::from(self.caller_token_count + delivered_tokens);
         let name = HeaderName::from_static(RESUME_FROM_HEADER);
         self.headers.insert(name, value);
     }
 
-    /// Sends the request to hosts of its deployment until one answers or the tries run out.
+    /// Sends the request to hosts of its deployment until one responds or no further attempt is
+    /// allowed. Returns the failure for the caller if no host responded.
     pub async fn send(
         &mut self,
         state: &GatewayState,
         worker: &WorkerState,
-    ) -> Result<Answered, SendFailure> {
+    ) -> Result<HostResponse, SendFailure> {
         let counters = &state.counters;
-        // A request whose tries were used up by broken answers is not sent once more.
+        // If responses that were cut off have used up the attempts, the request is not sent again.
         let mut may_try = !self.attempts.may_have_run() || self.attempts.may_run_again();
-        let mut broke_off = None;
+        let mut last_failure = None;
         while may_try {
             let zone = &state.settings.zone;
-            let picked = state
-                .hosts
-                .pick(&self.deployment, self.class, zone, &self.excluded);
+            let picked =
+                state
+                    .hosts
+                    .pick_host(&self.deployment, self.class, zone, &self.excluded_hosts);
             let Some(target) = picked else { break };
-            let in_flight = InFlight::start(&target);
+            let in_flight = InFlightGuard::start(&target);
             let host = target.member.host;
-            let tried = self.try_host(worker, &target.member.agent_addr).await;
-            let (outcome, failure) = match tried {
-                Tried::Answered(response) => {
-                    return Ok(Answered {
+            let result = self.attempt_host(worker, &target.member.agent_addr).await;
+            let (outcome, failure) = match result {
+                AttemptResult::Responded(response) => {
+                    return Ok(HostResponse {
                         response,
                         host,
                         in_flight,
                     })
                 }
-                Tried::TimedOut(failure) => {
+                AttemptResult::TimedOut(failure) => {
                     counters.incr("failed.timeout");
                     return Err(failure);
                 }
-                Tried::Failed(outcome, failure) => (outcome, failure),
+                AttemptResult::Failed(outcome, failure) => (outcome, failure),
             };
             may_try = self.attempts.record(outcome) == NextStep::TryAnother;
             if may_try {
@@ -158,40 +171,45 @@
                     AttemptOutcome::Failed | AttemptOutcome::Unknown => "retried.broke_off",
                 });
             }
-            broke_off = failure.or(broke_off);
+            last_failure = failure.or(last_failure);
             self.exclude(host);
         }
         if self.attempts.give_up() == NextStep::RefuseNotRun {
             counters.incr("failed.not_run");
-            return Err(self.no_backend(state.settings.retry_after_s));
+            return Err(self.no_backend_failure(state.settings.retry_after_s));
         }
         counters.incr("failed.unknown");
-        Err(broke_off.unwrap_or_else(|| forward_failed("", &"its hosts broke off")))
+        Err(last_failure.unwrap_or_else(|| forward_failure("", &"no host completed its response")))
     }
 
-    async fn try_host(&self, worker: &WorkerState, agent_addr: &str) -> Tried {
+    async fn attempt_host(&self, worker: &WorkerState, agent_addr: &str) -> AttemptResult {
         match self.send_to(worker, agent_addr).await {
             Ok(response) => match http::read_run_state(&response) {
-                Some(RunState::NotRun) => Tried::Failed(AttemptOutcome::Rejected, None),
+                Some(RunState::NotRun) => AttemptResult::Failed(AttemptOutcome::Rejected, None),
                 Some(RunState::Unknown) if self.idempotent => {
-                    let failure = forward_failed(agent_addr, &"its backend broke off");
-                    Tried::Failed(AttemptOutcome::Unknown, Some(failure))
+                    let failure =
+                        forward_failure(agent_addr, &"its backend did not complete the response");
+                    AttemptResult::Failed(AttemptOutcome::Unknown, Some(failure))
                 }
-                Some(RunState::Unknown) | None => Tried::Answered(response),
+                Some(RunState::Unknown) | None => AttemptResult::Responded(response),
             },
-            Err(e) if http::is_connect_failure(&e) => Tried::Failed(AttemptOutcome::NotSent, None),
+            Err(e) if http::is_connect_failure(&e) => {
+                AttemptResult::Failed(AttemptOutcome::NotSent, None)
+            }
             Err(e) => {
-                let failure = forward_failed(agent_addr, &e);
+                let failure = forward_failure(agent_addr, &e);
                 match e {
-                    // The caller's time is spent.
-                    SendRequestError::Timeout if self.idempotent => Tried::TimedOut(failure),
-                    _ => Tried::Failed(AttemptOutcome::Unknown, Some(failure)),
+                    // The request's timeout has expired, so no time is left for another attempt.
+                    SendRequestError::Timeout if self.idempotent => {
+                        AttemptResult::TimedOut(failure)
+                    }
+                    _ => AttemptResult::Failed(AttemptOutcome::Unknown, Some(failure)),
                 }
             }
         }
     }
 
-    fn no_backend(&self, retry_after_s: u64) -> SendFailure {
+    fn no_backend_failure(&self, retry_after_s: u64) -> SendFailure {
         SendFailure::NotRun(http::not_run_response(
             StatusCode::SERVICE_UNAVAILABLE,
             "no_backend",
@@ -212,9 +230,10 @@
     }
 }
 
-/// The answer when a host may have received the request and gave no answer.
-fn forward_failed(agent_addr: &str, why: &dyn std::fmt::Display) -> SendFailure {
-    let message = format!("forward to agent at {agent_addr}: {why}");
+/// Returns the failure for a request that a host may have received without giving a usable
+/// response.
+fn forward_failure(agent_addr: &str, reason: &dyn std::fmt::Display) -> SendFailure {
+    let message = format!("forward to agent at {agent_addr}: {reason}");
     let status = StatusCode::BAD_GATEWAY;
     SendFailure::Unknown(http::unknown_run_state_response(
         status,
@@ -223,8 +242,9 @@
     ))
 }
 
-/// The caller's headers, with a request id when it sent none, and the class.
-fn outgoing_headers(req: &HttpRequest, class: PriorityClass) -> HeaderMap {
+/// Returns the caller's headers with the priority class, and with a new request id if the caller
+/// sent none.
+fn forwarded_headers(req: &HttpRequest, class: PriorityClass) -> HeaderMap {
     let mut headers = req.headers().clone();
     if !headers.contains_key(REQUEST_ID_HEADER) {
         let id = format!("fw-{:016x}", rand::random::<u64>());
--- a/crates/foxwheel-gateway/src/hosts.rs
+++ b/crates/foxwheel-gateway/src/hosts.rs
@@ -1,12 +1,13 @@
-//! The host list controller: which backend hosts take work.
+//! The controller of the host table, which decides which backend hosts take work.
 //!
-//! The membership records in the store say which agents exist; the control polls
-//! ([`crate::control`]) say which are alive, draining or busy. A host takes work while its
-//! record says ready and its agent has not missed several polls in a row. So a dead or
-//! leaving host drops out within seconds even while the store is down, and a store outage
-//! takes no live host out. Polls are counted rather than time, so that a gateway that was
-//! itself paused does not take every host for dead. Routing prefers the gateway's zone and,
-//! within it, the host with the fewest requests in flight.
+//! The membership records in the store list the agents that exist. The control polls
+//! ([`crate::control`]) show which of them are alive, draining or busy. A host takes work while
+//! its record is in state ready, its agent does not report that it drains, and its agent has not
+//! missed several polls in a row. A dead or leaving host is therefore taken out of use within
+//! seconds even while the store is down, and an outage of the store takes no live host out of
+//! use. Missed polls are counted instead of measuring time, so that a gateway that was paused
+//! itself does not consider every host dead. Routing prefers the gateway's zone and, within it,
+//! the host with the fewest requests in flight.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -22,212 +23,221 @@
 use foxwheel_store::reflector::Reflector;
 use tokio_util::sync::CancellationToken;
 
-/// How often expired membership records are looked for.
+/// Interval at which membership records with an expired lease are deleted.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(30);
 
-/// What the control polls of one agent last said.
+/// Result of the latest control polls of one agent.
 #[derive(Debug)]
-pub struct Liveness {
-    /// Polls missed since the last answer.
-    missed: u32,
-    /// The last report.
-    report: LoadReport,
-    /// Online requests on the host sent by others than this gateway, as of the report.
-    others_online: u32,
+pub struct PollStatus {
+    /// Number of polls without a response since the last one with a response.
+    missed_polls: u32,
+    /// Last load report.
+    load_report: LoadReport,
+    /// Number of online requests at the host, as of the report, that were not sent by this
+    /// gateway.
+    online_from_others: u32,
 }
 
-/// One backend host as seen by this gateway.
+/// One backend host, as known to this gateway.
 #[derive(Debug, Clone)]
-pub struct Target {
-    /// The member record.
+pub struct BackendHost {
+    /// Membership record.
     pub member: Member,
-    /// The record's store version.
+    /// Version of the record in the store.
     pub version: Version,
-    /// When this gateway saw that version; a lease runs out by this gateway's own clock.
-    pub seen_at: Instant,
-    /// Requests this gateway has in flight on the host.
+    /// Time when this gateway first read that version. The lease's expiry is computed from it, so
+    /// that only this gateway's own clock matters.
+    pub first_seen_at: Instant,
+    /// Number of requests that this gateway has in flight at the host.
     pub in_flight: Arc<AtomicU32>,
-    /// Shared with the poller of this host.
-    liveness: Arc<Mutex<Liveness>>,
+    /// Results of the control polls, shared with the task that polls this host's agent.
+    poll_status: Arc<Mutex<PollStatus>>,
 }
 
-impl Target {
+impl BackendHost {
     fn new(member: Member, version: Version, now: Instant) -> Self {
         Self {
             member,
             version,
-            seen_at: now,
+            first_seen_at: now,
             in_flight: Arc::default(),
-            liveness: Arc::new(Mutex::new(Liveness {
-                missed: 0,
-                report: LoadReport::default(),
-                others_online: 0,
+            poll_status: Arc::new(Mutex::new(PollStatus {
+                missed_polls: 0,
+                load_report: LoadReport::default(),
+                online_from_others: 0,
             })),
         }
     }
 
-    /// Records the answer to a control poll.
-    pub fn record(&self, report: LoadReport) {
-        let own = self.in_flight.load(Ordering::Relaxed);
-        let mut liveness = self.liveness.lock().expect("liveness lock");
-        liveness.others_online =
-            (report.running_online + report.waiting_online).saturating_sub(own);
-        liveness.report = report;
-        liveness.missed = 0;
+    /// Records the response to a control poll.
+    pub fn record_report(&self, load_report: LoadReport) {
+        let own_in_flight = self.in_flight.load(Ordering::Relaxed);
+        let mut poll_status = self.poll_status.lock().expect("liveness lock");
+        poll_status.online_from_others =
+            (load_report.running_online + load_report.waiting_online).saturating_sub(own_in_flight);
+        poll_status.load_report = load_report;
+        poll_status.missed_polls = 0;
     }
 
-    /// Records a control poll that got no answer; answers how many in a row that makes.
-    pub fn record_missed(&self) -> u32 {
-        let mut liveness = self.liveness.lock().expect("liveness lock");
-        liveness.missed = liveness.missed.saturating_add(1);
-        liveness.missed
+    /// Records a control poll without a response. Returns the number of polls in a row that had
+    /// none.
+    pub fn record_missed_poll(&self) -> u32 {
+        let mut poll_status = self.poll_status.lock().expect("liveness lock");
+        poll_status.missed_polls = poll_status.missed_polls.saturating_add(1);
+        poll_status.missed_polls
     }
 
-    /// Whether the host takes work.
-    fn is_live(&self, max_missed: u32) -> bool {
-        let liveness = self.liveness.lock().expect("liveness lock");
+    /// Returns whether the host takes work.
+    fn is_live(&self, max_missed_polls: u32) -> bool {
+        let poll_status = self.poll_status.lock().expect("liveness lock");
         self.member.state == MemberState::Ready
-            && !liveness.report.draining
-            && liveness.missed < max_missed
+            && !poll_status.load_report.draining
+            && poll_status.missed_polls < max_missed_polls
     }
 
-    /// What a choice of a host for work of `class` goes by. Batch work that runs does not
-    /// count: the agent preempts it for online requests.
-    fn candidate(&self, class: PriorityClass) -> Candidate {
-        let liveness = self.liveness.lock().expect("liveness lock");
-        let online = self.in_flight.load(Ordering::Relaxed) + liveness.others_online;
-        let ahead = match class {
+    /// Returns this host as a candidate for work of `class`. Running batch work is not counted,
+    /// because the agent preempts it for online requests.
+    fn to_candidate(&self, class: PriorityClass) -> Candidate {
+        let poll_status = self.poll_status.lock().expect("liveness lock");
+        let online_in_flight =
+            self.in_flight.load(Ordering::Relaxed) + poll_status.online_from_others;
+        let queued_ahead = match class {
             PriorityClass::Online => 0,
-            PriorityClass::Batch => liveness.report.waiting_batch,
+            PriorityClass::Batch => poll_status.load_report.waiting_batch,
         };
         Candidate {
             id: self.member.host.clone(),
             zone: self.member.zone.clone(),
-            slots: liveness.report.slots,
-            in_flight: online + ahead,
+            slots: poll_status.load_report.slots,
+            in_flight: online_in_flight + queued_ahead,
             ..Candidate::default()
         }
     }
 
-    /// Whether the record's lease has run out by `now`.
-    fn lease_expired(&self, now: Instant) -> bool {
+    /// Returns whether the record's lease has expired at `now`.
+    fn is_lease_expired(&self, now: Instant) -> bool {
         let ttl = Duration::from_millis(self.member.lease_ttl_ms);
-        now.saturating_duration_since(self.seen_at) > ttl
+        now.saturating_duration_since(self.first_seen_at) > ttl
     }
 }
 
-/// Counts one request in flight on a host while it is alive.
+/// Counts one request as in flight at a host until the guard is dropped.
 #[derive(Debug)]
-pub struct InFlight(Arc<AtomicU32>);
+pub struct InFlightGuard(Arc<AtomicU32>);
 
-impl InFlight {
-    /// Counts one more request on `target`.
-    pub fn start(target: &Target) -> Self {
-        target.in_flight.fetch_add(1, Ordering::Relaxed);
-        Self(target.in_flight.clone())
+impl InFlightGuard {
+    /// Counts one more request at `host`.
+    pub fn start(host: &BackendHost) -> Self {
+        host.in_flight.fetch_add(1, Ordering::Relaxed);
+        Self(host.in_flight.clone())
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// The routing table: hosts by deployment, each list sorted by host id.
+/// Routing table: the hosts by deployment, each list sorted by host id.
 #[derive(Debug, Clone)]
 pub struct HostTable {
-    /// Polls in a row an agent may miss before its host takes no work.
-    max_missed: u32,
-    by_deployment: Arc<RwLock<BTreeMap<String, Vec<Target>>>>,
+    /// Number of missed polls in a row after which a host takes no more work.
+    max_missed_polls: u32,
+    by_deployment: Arc<RwLock<BTreeMap<String, Vec<BackendHost>>>>,
 }
 
 impl HostTable {
-    /// An empty table whose hosts drop out after `max_missed` polls without an answer.
-    pub fn new(max_missed: u32) -> Self {
+    /// Creates an empty table whose hosts take no more work after `max_missed_polls` polls in a row
+    /// without a response.
+    pub fn new(max_missed_polls: u32) -> Self {
         Self {
-            max_missed,
+            max_missed_polls,
             by_deployment: Arc::default(),
         }
     }
 
-    /// Picks a live host of `deployment` for work of `class` as seen from `zone`, skipping
-    /// `excluded` hosts. Agents keep a queue, so a busy host is picked if none is free.
-    pub fn pick(
+    /// Picks a live host of `deployment` for work of `class`, preferring those in `zone` and
+    /// skipping `excluded` hosts. Agents queue requests, so a busy host is picked if none is free.
+    /// Returns `None` if no live host is left.
+    pub fn pick_host(
         &self,
         deployment: &str,
         class: PriorityClass,
         zone: &str,
         excluded: &[HostId],
-    ) -> Option<Target> {
+    ) -> Option<BackendHost> {
         let table = self.by_deployment.read().expect("host table lock");
-        let targets = table.get(deployment)?;
-        let candidates: Vec<Candidate> = targets
+        let hosts = table.get(deployment)?;
+        let candidates: Vec<Candidate> = hosts
             .iter()
-            .filter(|target| target.is_live(self.max_missed))
-            .filter(|target| !excluded.contains(&target.member.host))
-            .map(|target| target.candidate(class))
+            .filter(|host| host.is_live(self.max_missed_polls))
+            .filter(|host| !excluded.contains(&host.member.host))
+            .map(|host| host.to_candidate(class))
             .collect();
-        let draw = rand::random::<u32>() as usize;
-        let picked = placement::least_loaded(&candidates, zone, draw)?;
-        let at = targets
-            .binary_search_by(|target| target.member.host.cmp(&picked.id))
+        let tie_breaker = rand::random::<u32>() as usize;
+        let picked = placement::least_loaded(&candidates, zone, tie_breaker)?;
+        let at = hosts
+            .binary_search_by(|host| host.member.host.cmp(&picked.id))
             .ok()?;
-        Some(targets[at].clone())
+        Some(hosts[at].clone())
     }
 
-    /// Live hosts of `deployment` now.
+    /// Returns the number of live hosts of `deployment`.
     pub fn live_count(&self, deployment: &str) -> usize {
-        let is_live = |target: &&Target| target.is_live(self.max_missed);
+        let is_live = |host: &&BackendHost| host.is_live(self.max_missed_polls);
         let table = self.by_deployment.read().expect("host table lock");
         table
             .get(deployment)
-            .map_or(0, |targets| targets.iter().filter(is_live).count())
+            .map_or(0, |hosts| hosts.iter().filter(is_live).count())
     }
 
-    /// Every host in the table.
-    pub fn targets(&self) -> Vec<Target> {
+    /// Returns all hosts in the table.
+    pub fn hosts(&self) -> Vec<BackendHost> {
         let table = self.by_deployment.read().expect("host table lock");
         table.values().flatten().cloned().collect()
     }
 
-    /// Replaces the table from member records. An agent still at the same control address
-    /// keeps its in-flight counts and liveness; one that moved starts anew.
+    /// Replaces the contents of the table by those of `records`. A host whose agent has kept its
+    /// control address keeps its count of requests in flight and its poll results; a host whose
+    /// agent moved to another address starts without them.
     pub fn rebuild(&self, records: Vec<(Member, Version)>) {
         let now = Instant::now();
         let mut table = self.by_deployment.write().expect("host table lock");
-        let mut next: BTreeMap<String, Vec<Target>> = BTreeMap::new();
+        let mut new_table: BTreeMap<String, Vec<BackendHost>> = BTreeMap::new();
         for (member, version) in records {
-            let old = table.get(&member.deployment).and_then(|targets| {
-                targets
-                    .binary_search_by(|t| t.member.host.cmp(&member.host))
+            let previous = table.get(&member.deployment).and_then(|hosts| {
+                hosts
+                    .binary_search_by(|host| host.member.host.cmp(&member.host))
                     .ok()
-                    .map(|at| &targets[at])
-                    .filter(|t| t.member.control_addr == member.control_addr)
+                    .map(|at| &hosts[at])
+                    .filter(|host| host.member.control_addr == member.control_addr)
             });
-            let target = match old {
-                Some(old) if old.version == version => old.clone(),
-                Some(old) => Target {
+            let host = match previous {
+                Some(previous) if previous.version == version => previous.clone(),
+                Some(previous) => BackendHost {
                     member,
                     version,
-                    seen_at: now,
-                    ..old.clone()
+                    first_seen_at: now,
+                    ..previous.clone()
                 },
-                None => Target::new(member, version, now),
+                None => BackendHost::new(member, version, now),
             };
-            next.entry(target.member.deployment.clone())
+            new_table
+                .entry(host.member.deployment.clone())
                 .or_default()
-                .push(target);
+                .push(host);
         }
-        for targets in next.values_mut() {
-            targets.sort_by(|a, b| a.member.host.cmp(&b.member.host));
+        for hosts in new_table.values_mut() {
+            hosts.sort_by(|a, b| a.member.host.cmp(&b.member.host));
         }
-        *table = next;
+        *table = new_table;
     }
 }
 
-/// Runs `reflector`, of `members/`, and keeps `table` current until `cancel` fires.
-pub async fn run(
+/// Keeps `table` up to date from the membership records and deletes expired records until `cancel`
+/// is cancelled. Starts `reflector`, which must be the one of `members/`.
+pub async fn run_controller(
     table: HostTable,
     reflector: Reflector,
     store: StoreClient,
@@ -241,7 +251,7 @@
             () = cancel.cancelled() => return,
             changed = changes.changed() => if changed.is_err() { return },
             _ = sweep.tick() => {
-                remove_expired(&table, &store).await;
+                remove_expired_members(&table, &store).await;
                 continue;
             }
         }
@@ -249,18 +259,19 @@
     }
 }
 
-/// Deletes records whose lease ran out, each only at the version seen, so an agent that
-/// renews meanwhile keeps its record. A failed delete is tried again by the next sweep.
-async fn remove_expired(table: &HostTable, store: &StoreClient) {
+/// Deletes records whose lease has expired. Each delete is conditional on the version read, so that
+/// an agent that renews its lease in the meantime keeps its record. A failed delete is retried by
+/// the next sweep.
+async fn remove_expired_members(table: &HostTable, store: &StoreClient) {
     let now = Instant::now();
-    for target in table.targets() {
-        let member = &target.member;
-        if !target.lease_expired(now) {
+    for host in table.hosts() {
+        let member = &host.member;
+        if !host.is_lease_expired(now) {
             continue;
         }
         let key = keys::member(&member.deployment, &member.host);
-        match store.delete(&key, Some(target.version)).await {
-            Ok(()) => log::info!("removed {key}: its lease ran out"),
+        match store.delete(&key, Some(host.version)).await {
+            Ok(()) => log::info!("removed {key}: its lease has expired"),
             Err(e) => log::debug!("{key} not removed: {e}"),
         }
     }
--- a/crates/foxwheel-gateway/src/idempotency.rs
+++ b/crates/foxwheel-gateway/src/idempotency.rs
@@ -1,106 +1,108 @@
 //! Records of non-idempotent calls, kept in the store so that a call runs at most once.
 //!
-//! Before the call, the gateway creates the call's record (only if absent) in state
-//! `started`. A resend finds it: if the call finished, its stored answer is replayed; if it
-//! is still running or its outcome is unknown, the caller is told so and nothing runs again.
-//! A store reply lost after the create took effect is resolved by reading the record back
-//! and comparing the attempt's nonce.
+//! Before a call, the gateway creates the call's record in state `started`, only if there is
+//! none. A resend finds the record: if the call has finished, the stored response is replayed; if
+//! it is still running or its outcome is unknown, the resend is refused and nothing runs again.
+//! If the store's response to the create is lost, the gateway reads the record back and compares
+//! its nonce to find out whether the create took effect.
 
 use foxwheel_core::ids::Version;
 use foxwheel_core::{fingerprint, time};
 use foxwheel_store::client::{StoreClient, StoreError};
 use serde::{Deserialize, Serialize};
 
-/// Tries of a write whose reply was lost, before giving up.
-const LOST_REPLY_TRIES: u32 = 3;
+/// Maximum number of times that a write is sent whose response is lost.
+const MAX_LOST_REPLY_TRIES: u32 = 3;
 
-/// Where a call stands.
+/// State of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallState {
-    /// Sent or about to be sent; the outcome is not recorded yet.
+    /// The call was sent or is about to be sent, and its outcome is not recorded yet.
     Started,
-    /// Finished with this answer.
+    /// The call finished with this response.
     Done {
         /// Status.
         status: u16,
         /// Body.
         body: String,
     },
-    /// Refused before any backend received it; a resend may run it.
+    /// The call was refused before any backend ran it, so a resend may run it.
     NotRun,
 }
 
 /// The stored record of one non-idempotent call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRecord {
-    /// Where it stands.
+    /// State of the call.
     pub state: CallState,
-    /// A fingerprint of the method, path and body; a resend with the same key but another
-    /// request is refused.
+    /// Fingerprint of the method, path and body. A resend with the same key but another request is
+    /// refused.
     pub request: String,
-    /// A random number for this attempt, to recognise our own write after a lost reply.
+    /// Random number of this attempt, by which a gateway recognizes its own write after the
+    /// response to it was lost.
     pub nonce: u64,
-    /// When it started, Unix milliseconds.
+    /// Time when the call started, in Unix milliseconds.
     pub started_ms: u64,
 }
 
-/// The right to run a call once: its record as this gateway wrote it.
+/// The right to run a call once, with the record that this gateway has written for it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim {
-    /// The record's key.
+    /// Key of the record in the store.
     pub store_key: String,
-    /// The record's version.
+    /// Version of the record in the store.
     version: Version,
     record: CallRecord,
 }
 
-/// What the caller of [`begin`] is to do.
+/// Result of [`claim_call`], which says what to do with the call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Begin {
-    /// Run the call, then [`finish`] it.
+pub enum ClaimResult {
+    /// Run the call, then pass the claim to [`record_outcome`].
     Run(Claim),
-    /// The call already ran: answer with this.
+    /// The call has already run. Return this stored response.
     Replay {
         /// Status.
         status: u16,
         /// Body.
         body: String,
     },
-    /// The call was started before and its outcome is not known.
+    /// The call was started before, and its outcome is not known.
     InProgress,
-    /// The key was used for another request.
+    /// The key was already used for another request.
     KeyReused,
 }
 
-/// The fingerprint of a request.
+/// Returns the fingerprint of a request.
 pub fn request_fingerprint(method: &str, path: &str, body: &[u8]) -> String {
     fingerprint::hash_parts(&[method.as_bytes(), path.as_bytes(), body])
 }
 
-/// Claims the right to run the call recorded under `store_key`, or says why not.
-pub async fn begin(
+/// Claims the right to run the call recorded under `store_key`, or returns why it must not run.
+/// Returns an error if the store is unavailable or fails the write.
+pub async fn claim_call(
     store: &StoreClient,
     store_key: &str,
     request: String,
-) -> Result<Begin, StoreError> {
+) -> Result<ClaimResult, StoreError> {
     let record = CallRecord {
         state: CallState::Started,
         request,
         nonce: rand::random(),
         started_ms: time::unix_ms(),
     };
-    let claim = |version| {
-        Begin::Run(Claim {
+    let to_claim = |version| {
+        ClaimResult::Run(Claim {
             store_key: store_key.to_owned(),
             version,
             record: record.clone(),
         })
     };
-    let mut if_version = 0;
-    for _ in 0..LOST_REPLY_TRIES {
-        match store.put(store_key, &record, Some(if_version)).await {
-            Ok(object) => return Ok(claim(object.version)),
+    let mut expected_version = 0;
+    for _ in 0..MAX_LOST_REPLY_TRIES {
+        match store.put(store_key, &record, Some(expected_version)).await {
+            Ok(object) => return Ok(to_claim(object.version)),
             Err(StoreError::Conflict { .. } | StoreError::Unavailable { .. }) => {}
             Err(e) => return Err(e),
         }
@@ -108,22 +110,23 @@
             continue;
         };
         if found.nonce == record.nonce {
-            return Ok(claim(version));
+            return Ok(to_claim(version));
         }
         if found.request != record.request {
-            return Ok(Begin::KeyReused);
+            return Ok(ClaimResult::KeyReused);
         }
         match found.state {
-            CallState::Done { status, body } => return Ok(Begin::Replay { status, body }),
-            CallState::Started => return Ok(Begin::InProgress),
-            CallState::NotRun => if_version = version,
+            CallState::Done { status, body } => return Ok(ClaimResult::Replay { status, body }),
+            CallState::Started => return Ok(ClaimResult::InProgress),
+            CallState::NotRun => expected_version = version,
         }
     }
-    Err(no_answer(store, "claim idempotency key"))
+    Err(store_unavailable_error(store, "claim idempotency key"))
 }
 
-/// Records a claimed call's outcome; on a lost reply reads back whether it took effect.
-pub async fn finish(
+/// Records the outcome of a claimed call. If the store's response is lost, reads the record back to
+/// find out whether the write took effect. Returns an error if the outcome could not be recorded.
+pub async fn record_outcome(
     store: &StoreClient,
     claim: Claim,
     outcome: CallState,
@@ -132,7 +135,7 @@
         state: outcome,
         ..claim.record
     };
-    for _ in 0..LOST_REPLY_TRIES {
+    for _ in 0..MAX_LOST_REPLY_TRIES {
         match store
             .put(&claim.store_key, &record, Some(claim.version))
             .await
@@ -147,13 +150,13 @@
             Err(e) => return Err(e),
         }
     }
-    Err(no_answer(store, "record call outcome"))
+    Err(store_unavailable_error(store, "record call outcome"))
 }
 
-fn no_answer(store: &StoreClient, step: &'static str) -> StoreError {
+fn store_unavailable_error(store: &StoreClient, step: &'static str) -> StoreError {
     StoreError::Unavailable {
         step,
         peer: store.base_url().to_owned(),
-        detail: "no answer after retries".to_owned(),
+        detail: "no response after retries".to_owned(),
     }
 }
--- a/crates/foxwheel-gateway/src/main.rs
+++ b/crates/foxwheel-gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! `foxwheel-gateway`: the entry host behind the platform's balancer.
+//! `foxwheel-gateway`: the entry process behind the platform's load balancer.
 
 use foxwheel_core::{cli, shutdown, telemetry};
 use foxwheel_gateway::{server, settings::GatewaySettings};
@@ -11,9 +11,9 @@
         "The foxwheel gateway: caller API, rules, routing, batch dispatch.",
     );
     let cancel = shutdown::cancel_on_signal();
-    let name = settings.name.clone();
+    let gateway_name = settings.name.clone();
     let gateway = server::start(settings, cancel)?;
-    log::info!("gateway {name} listening on {}", gateway.addr);
+    log::info!("gateway {gateway_name} listening on {}", gateway.addr);
     let _ = gateway.stopped.await;
     Ok(())
 }
--- a/crates/foxwheel-gateway/src/online.rs
+++ b/crates/foxwheel-gateway/src/online.rs
@@ -1,8 +1,9 @@
 //! Online completions: `POST /v1/chat/completions` and `POST /v1/completions`.
 //!
-//! The body is checked, the chain decides deployment and class, the request goes to a host
-//! ([`crate::forwarding`]) and its answer comes back whole, from another host where the
-//! first breaks off ([`crate::answers`]).
+//! The body is checked, the filter chain decides the deployment and the priority class, and the
+//! request is sent to a host ([`crate::forwarding`]). The complete response is relayed to the
+//! caller; if the first host's response is cut off, another host completes it
+//! ([`crate::response_relay`]).
 
 use actix_web::http::StatusCode;
 use actix_web::{web, HttpRequest, HttpResponse};
@@ -12,24 +13,24 @@
 use foxwheel_core::protocol::WORKSPACE_HEADER;
 use serde::Deserialize;
 
-use crate::answers;
-use crate::filters::{self, Exchange};
-use crate::forwarding::Outbound;
+use crate::filters::{self, RequestContext};
+use crate::forwarding::OutboundRequest;
+use crate::response_relay;
 use crate::state::{GatewayState, WorkerState};
 
-/// Longest accepted request body, in bytes.
+/// Maximum size of a completion request's body, in bytes.
 pub const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
 fn bad_request(message: impl Into<String>) -> Refused {
     Refused::not_run(StatusCode::BAD_REQUEST, "bad_request", message, None)
 }
 
-/// What the gateway reads of a completion request; the rest is the engine's.
+/// The fields of a completion request that the gateway reads. All others are left to the engine.
 #[derive(Debug, Deserialize)]
-pub struct CompletionHead {
-    /// The model asked for.
+pub struct CompletionFields {
+    /// Requested model.
     pub model: String,
-    /// Whether the answer is to be streamed.
+    /// Whether the response is to be streamed.
     #[serde(default)]
     pub stream: bool,
     #[serde(default)]
@@ -38,9 +39,10 @@
     prompt: Option<serde::de::IgnoredAny>,
 }
 
-/// Checks a completion body: a JSON object with a string `model` and a prompt.
-pub fn check_body(body: &[u8]) -> Result<CompletionHead, Refused> {
-    let head: CompletionHead = serde_json::from_slice(body)
+/// Checks that a completion's body is a JSON object with a string `model` and with `messages` or a
+/// `prompt`. Returns the refusal for the caller otherwise.
+pub fn check_completion_body(body: &[u8]) -> Result<CompletionFields, Refused> {
+    let head: CompletionFields = serde_json::from_slice(body)
         .map_err(|e| bad_request(format!("body is not a completion request: {e}")))?;
     if head.messages.is_none() && head.prompt.is_none() {
         return Err(bad_request("body needs `messages` or `prompt`"));
@@ -48,36 +50,42 @@
     Ok(head)
 }
 
-/// The handler of both completion routes.
-pub async fn complete(
+/// Handles both completion routes.
+pub async fn handle_completion(
     state: web::Data<GatewayState>,
     worker: web::Data<WorkerState>,
     req: HttpRequest,
     body: Bytes,
 ) -> HttpResponse {
-    let head = match check_body(&body) {
+    let head = match check_completion_body(&body) {
         Ok(head) => head,
         Err(refused) => return refused.into_response(),
     };
-    let mut exchange = Exchange::new(
+    let mut context = RequestContext::new(
         Workload::Online,
         req.path().to_owned(),
         state.config.current(),
     );
-    exchange.model = Some(head.model);
-    exchange.workspace = http::header_string(&req, WORKSPACE_HEADER);
-    if let Err(refused) = filters::run(&state.chain, &mut exchange, &state.counters) {
+    context.model = Some(head.model);
+    context.workspace = http::header_string(&req, WORKSPACE_HEADER);
+    if let Err(refused) = filters::apply_chain(&state.filter_chain, &mut context, &state.counters) {
         return refused.into_response();
     }
-    let mut outbound = Outbound::new(&state, &exchange, &req, body);
-    let answered = match outbound.send(&state, &worker).await {
-        Ok(answered) => answered,
+    let mut outbound = OutboundRequest::new(&state, &context, &req, body);
+    let host_response = match outbound.send(&state, &worker).await {
+        Ok(host_response) => host_response,
         Err(failure) => return failure.into_response(),
     };
-    let admitted = exchange.admitted;
+    let admission_guard = context.admission_guard;
     if head.stream {
-        answers::relay_stream(state, worker, outbound, answered, admitted)
+        response_relay::relay_streamed_response(
+            state,
+            worker,
+            outbound,
+            host_response,
+            admission_guard,
+        )
     } else {
-        answers::whole(&state, &worker, outbound, answered).await
+        response_relay::relay_full_response(&state, &worker, outbound, host_response).await
     }
 }
--- a/crates/foxwheel-gateway/src/server.rs
+++ b/crates/foxwheel-gateway/src/server.rs
@@ -5,11 +5,11 @@
 //! - `POST /v1/batches`, `GET /v1/batches/{id}`, `POST /v1/batches/{id}/cancel`,
 //!   `GET /v1/batches/{id}/results`: [`crate::batch::api`].
 //! - `/services/{service}/{path}`: [`crate::services`].
-//! - `GET /ready`: 200 once a configuration is in force, for the platform's balancer.
+//! - `GET /ready`: 200 once a configuration is in force, for the platform's load balancer.
 //! - `GET /snapshot?prefix=`: this gateway's copy of `config/` or `members/`, for a peer
 //!   that starts while the store is down.
-//! - `GET /counters`: totals since start, as a JSON object.
-//! - `GET /status`: the configuration revision in force and live hosts per deployment.
+//! - `GET /counters`: totals since the start, as a JSON object.
+//! - `GET /status`: the configuration revision in force and the live hosts per deployment.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU32;
@@ -27,7 +27,7 @@
 
 use crate::batch::{api, dispatch::Dispatcher};
 use crate::config::{self, ConfigHandle};
-use crate::control::{self, PollShape, Polling};
+use crate::control::{self, PollContext, PollTiming};
 use crate::filters::{Admission, Filter, MatchRules};
 use crate::hosts::{self, HostTable};
 use crate::settings::GatewaySettings;
@@ -36,7 +36,7 @@
 
 async fn status(state: web::Data<GatewayState>) -> HttpResponse {
     let config = state.config.current();
-    let live: Vec<serde_json::Value> = config
+    let deployments: Vec<serde_json::Value> = config
         .deployments
         .iter()
         .map(|d| serde_json::json!({"deployment": d.name, "live_hosts": state.hosts.live_count(&d.name)}))
@@ -45,11 +45,11 @@
         "gateway": state.settings.name,
         "config_revision": config.revision,
         "rules": config.rules.rules.len(),
-        "deployments": live,
+        "deployments": deployments,
     }))
 }
 
-/// Ready once a configuration is in force; the platform's balancer asks this.
+/// Responds with 200 once a configuration is in force. The platform's load balancer polls this.
 async fn ready(state: web::Data<GatewayState>) -> HttpResponse {
     if state.config.current().revision == 0 {
         return HttpResponse::ServiceUnavailable().body("no configuration in force yet");
@@ -66,10 +66,10 @@
     state: web::Data<GatewayState>,
     query: web::Query<SnapshotQuery>,
 ) -> HttpResponse {
-    let found = state.reflectors.iter().find(|r| r.prefix() == query.prefix);
-    match found {
+    let reflector = state.reflectors.iter().find(|r| r.prefix() == query.prefix);
+    match reflector {
         Some(reflector) => HttpResponse::Ok().json(reflector.to_list_response()),
-        None => HttpResponse::NotFound().body("no copy of this prefix"),
+        None => HttpResponse::NotFound().body("this gateway keeps no copy of this prefix"),
     }
 }
 
@@ -78,33 +78,40 @@
 }
 
 /// Registers the gateway's routes.
-pub fn routes(cfg: &mut web::ServiceConfig) {
-    cfg.route("/v1/chat/completions", web::post().to(online::complete))
-        .route("/v1/completions", web::post().to(online::complete))
-        .route("/v1/batches", web::post().to(api::create))
-        .route("/v1/batches/{id}", web::get().to(api::status))
-        .route("/v1/batches/{id}/cancel", web::post().to(api::cancel))
-        .route("/v1/batches/{id}/results", web::get().to(api::results))
-        .route(
-            "/services/{service}/{tail:.*}",
-            web::route().to(services::call),
-        )
-        .route("/status", web::get().to(status))
-        .route("/counters", web::get().to(counters))
-        .route("/ready", web::get().to(ready))
-        .route("/snapshot", web::get().to(snapshot));
+pub fn configure_routes(cfg: &mut web::ServiceConfig) {
+    cfg.route(
+        "/v1/chat/completions",
+        web::post().to(online::handle_completion),
+    )
+    .route("/v1/completions", web::post().to(online::handle_completion))
+    .route("/v1/batches", web::post().to(api::create_job))
+    .route("/v1/batches/{id}", web::get().to(api::job_status))
+    .route("/v1/batches/{id}/cancel", web::post().to(api::cancel_job))
+    .route(
+        "/v1/batches/{id}/results",
+        web::get().to(api::stream_results),
+    )
+    .route(
+        "/services/{service}/{tail:.*}",
+        web::route().to(services::forward_call),
+    )
+    .route("/status", web::get().to(status))
+    .route("/counters", web::get().to(counters))
+    .route("/ready", web::get().to(ready))
+    .route("/snapshot", web::get().to(snapshot));
 }
 
 /// A running gateway.
 pub struct RunningGateway {
-    /// The bound address.
+    /// Address that the server is bound to.
     pub addr: SocketAddr,
     /// Resolves when the gateway has stopped.
     pub stopped: tokio::task::JoinHandle<()>,
 }
 
-/// Starts the gateway's controllers and server; when `cancel` fires, batch work is
-/// committed and released, new connections are refused and requests in flight finish.
+/// Starts the gateway's controllers and its server. Once `cancel` is cancelled, the gateway commits
+/// and releases its batch work, then accepts no new connections and finishes the requests in flight.
+/// Returns an error if the address cannot be bound.
 pub fn start(
     settings: GatewaySettings,
     cancel: CancellationToken,
@@ -112,40 +119,43 @@
     let counters = Counters::new("gateway", settings.statsd_addr.as_deref())?;
     let config = ConfigHandle::default();
     let table = HostTable::new(settings.control_missed_polls);
-    let controllers = CancellationToken::new();
+    let controllers_cancel = CancellationToken::new();
     let reflector = |prefix| Reflector::new(prefix).with_peers(settings.peers.clone());
     let reflectors = [
         reflector(keys::CONFIG_PREFIX),
         reflector(keys::MEMBERS_PREFIX),
     ];
-    actix_web::rt::spawn(config::run(
+    actix_web::rt::spawn(config::run_controller(
         config.clone(),
         reflectors[0].clone(),
         StoreClient::new(&settings.store_url),
-        controllers.clone(),
+        controllers_cancel.clone(),
     ));
-    actix_web::rt::spawn(hosts::run(
+    actix_web::rt::spawn(hosts::run_controller(
         table.clone(),
         reflectors[1].clone(),
         StoreClient::new(&settings.store_url),
-        controllers.clone(),
+        controllers_cancel.clone(),
     ));
-    let poll_shape = PollShape {
+    let poll_timing = PollTiming {
         interval: Duration::from_millis(settings.control_poll_ms),
         timeout: Duration::from_millis(settings.control_poll_timeout_ms),
     };
-    let polling = Polling {
+    let poll_context = PollContext {
         table: table.clone(),
         config: config.clone(),
-        shape: poll_shape,
+        timing: poll_timing,
         counters: counters.clone(),
     };
-    actix_web::rt::spawn(control::run(polling, controllers.clone()));
+    actix_web::rt::spawn(control::run_pollers(
+        poll_context,
+        controllers_cancel.clone(),
+    ));
     let dispatch_cancel = cancel.child_token();
     let dispatcher = actix_web::rt::spawn(
         Dispatcher::new(settings.clone(), table.clone(), counters.clone()).run(dispatch_cancel),
     );
-    let chain: Vec<Box<dyn Filter>> = vec![
+    let filter_chain: Vec<Box<dyn Filter>> = vec![
         Box::new(MatchRules),
         Box::new(Admission {
             online_in_flight: Arc::new(AtomicU32::new(0)),
@@ -160,7 +170,7 @@
         config,
         hosts: table,
         reflectors,
-        chain,
+        filter_chain,
         counters,
     }));
     let server_cancel = CancellationToken::new();
@@ -176,17 +186,17 @@
                     store: StoreClient::new(&store_url),
                 }))
                 .app_data(web::PayloadConfig::new(online::MAX_BODY_BYTES * 64))
-                .configure(routes)
+                .configure(configure_routes)
         },
     )?;
     let stopped = actix_web::rt::spawn(async move {
         let server_task = actix_web::rt::spawn(server);
         cancel.cancelled().await;
-        log::info!("stopping: releasing batch work, finishing requests in flight");
+        log::info!("stopping: releasing batch work and finishing requests in flight");
         let _ = dispatcher.await;
         server_cancel.cancel();
         let _ = server_task.await;
-        controllers.cancel();
+        controllers_cancel.cancel();
         log::info!("stopped");
     });
     Ok(RunningGateway { addr, stopped })
--- a/crates/foxwheel-gateway/src/services.rs
+++ b/crates/foxwheel-gateway/src/services.rs
@@ -1,8 +1,8 @@
-//! Plain service calls: `/services/{service}/{path}` to yardbook, emite-cartao and the like.
+//! Calls of plain services such as yardbook and emite-cartao: `/services/{service}/{path}`.
 //!
-//! Calls to paths the deployment marks non-idempotent need an `Idempotency-Key` header and
-//! run at most once: see [`crate::idempotency`]. They are never retried once a host may
-//! have received them. Other calls pass through like online requests.
+//! Calls to paths that the deployment declares non-idempotent need an `Idempotency-Key` header
+//! and run at most once ([`crate::idempotency`]). They are never retried once a host may have
+//! received them. Other calls are forwarded like online requests.
 
 use actix_web::http::StatusCode;
 use actix_web::{web, HttpRequest, HttpResponse};
@@ -12,16 +12,16 @@
 use foxwheel_core::{http, keys};
 use foxwheel_store::client::StoreError;
 
-use crate::filters::{self, Exchange};
-use crate::forwarding::{Answered, Outbound, SendFailure};
-use crate::idempotency::{self, Begin, CallState, Claim};
+use crate::filters::{self, RequestContext};
+use crate::forwarding::{HostResponse, OutboundRequest, SendFailure};
+use crate::idempotency::{self, CallState, Claim, ClaimResult};
 use crate::state::{GatewayState, WorkerState};
 
-/// Largest service answer stored for replay, in bytes.
-const MAX_ANSWER_BYTES: usize = 512 * 1024;
+/// Maximum size of a service's response that is stored for replay, in bytes.
+const MAX_RESPONSE_BYTES: usize = 512 * 1024;
 
-/// The handler of `/services/{service}/{path}`.
-pub async fn call(
+/// Handles `/services/{service}/{path}`.
+pub async fn forward_call(
     state: web::Data<GatewayState>,
     worker: web::Data<WorkerState>,
     req: HttpRequest,
@@ -30,133 +30,135 @@
 ) -> HttpResponse {
     let (service, tail) = path.into_inner();
     let path = format!("/{tail}");
-    let mut exchange = Exchange::new(Workload::Service, path, state.config.current());
-    exchange.service = Some(service.clone());
-    exchange.workspace = http::header_string(&req, WORKSPACE_HEADER);
-    if let Err(refused) = filters::run(&state.chain, &mut exchange, &state.counters) {
+    let mut context = RequestContext::new(Workload::Service, path, state.config.current());
+    context.service = Some(service.clone());
+    context.workspace = http::header_string(&req, WORKSPACE_HEADER);
+    if let Err(refused) = filters::apply_chain(&state.filter_chain, &mut context, &state.counters) {
         return refused.into_response();
     }
-    let mut outbound = Outbound::new(&state, &exchange, &req, body.clone());
-    if exchange.idempotent {
+    let mut outbound = OutboundRequest::new(&state, &context, &req, body.clone());
+    if context.idempotent {
         return match outbound.send(&state, &worker).await {
-            Ok(answered) => {
-                http::relay_response(answered.response, (answered.in_flight, exchange.admitted))
-            }
+            Ok(host_response) => http::relay_response(
+                host_response.response,
+                (host_response.in_flight, context.admission_guard),
+            ),
             Err(failure) => failure.into_response(),
         };
     }
     let Some(key) = http::header_string(&req, IDEMPOTENCY_KEY_HEADER) else {
-        return key_required(&service, &exchange.path);
+        return key_required_response(&service, &context.path);
     };
-    let workspace = exchange.workspace.as_deref().unwrap_or_default();
+    let workspace = context.workspace.as_deref().unwrap_or_default();
     let store_key = keys::idempotency(&service, workspace, &key);
-    let request = idempotency::request_fingerprint(req.method().as_str(), &exchange.path, &body);
-    match idempotency::begin(&worker.store, &store_key, request).await {
-        Ok(Begin::Run(claim)) => run_once(&state, &worker, outbound, claim).await,
-        Ok(Begin::Replay { status, body }) => {
+    let fingerprint = idempotency::request_fingerprint(req.method().as_str(), &context.path, &body);
+    match idempotency::claim_call(&worker.store, &store_key, fingerprint).await {
+        Ok(ClaimResult::Run(claim)) => run_once(&state, &worker, outbound, claim).await,
+        Ok(ClaimResult::Replay { status, body }) => {
             state.counters.incr("idempotency.replayed");
-            replay(status, body)
+            replay_response(status, body)
         }
-        Ok(Begin::InProgress) => {
+        Ok(ClaimResult::InProgress) => {
             state.counters.incr("idempotency.in_progress");
-            in_progress()
+            in_progress_response()
         }
-        Ok(Begin::KeyReused) => key_reused(),
+        Ok(ClaimResult::KeyReused) => key_reused_response(),
         Err(e) => {
             state.counters.incr("idempotency.store_unavailable");
-            not_recorded(&e, state.settings.retry_after_s)
+            not_recorded_response(&e, state.settings.retry_after_s)
         }
     }
 }
 
-/// Sends a claimed call and records its outcome. Without a whole answer the record stays
-/// as started, so that no resend runs it again.
+/// Sends a claimed call and records its outcome. If no complete response is received, the record
+/// stays in state `started`, so that no resend runs the call again.
 async fn run_once(
     state: &GatewayState,
     worker: &WorkerState,
-    mut outbound: Outbound,
+    mut outbound: OutboundRequest,
     claim: Claim,
 ) -> HttpResponse {
     let (outcome, response) = match outbound.send(state, worker).await {
-        Ok(answered) => read_answer(answered).await,
-        Err(SendFailure::NotRun(reply)) => (Some(CallState::NotRun), reply),
-        Err(SendFailure::Unknown(reply)) => (None, reply),
+        Ok(host_response) => read_service_response(host_response).await,
+        Err(SendFailure::NotRun(response)) => (Some(CallState::NotRun), response),
+        Err(SendFailure::Unknown(response)) => (None, response),
     };
     if let Some(outcome) = outcome {
         let store_key = claim.store_key.clone();
-        if let Err(e) = idempotency::finish(&worker.store, claim, outcome).await {
-            log::warn!("call outcome under {store_key} not recorded: {e}");
+        if let Err(e) = idempotency::record_outcome(&worker.store, claim, outcome).await {
+            log::warn!("the outcome of the call under {store_key} was not recorded: {e}");
         }
     }
     response
 }
 
-/// Reads a service's answer whole; the outcome to record, if it is known, and the reply.
-async fn read_answer(answered: Answered) -> (Option<CallState>, HttpResponse) {
-    let mut response = answered.response;
+/// Reads a service's complete response. Returns the outcome to record, or `None` if it is not known,
+/// and the response for the caller.
+async fn read_service_response(host_response: HostResponse) -> (Option<CallState>, HttpResponse) {
+    let mut response = host_response.response;
     let status = response.status();
-    match response.body().limit(MAX_ANSWER_BYTES).await {
+    match response.body().limit(MAX_RESPONSE_BYTES).await {
         Ok(body) => {
             let outcome = CallState::Done {
                 status: status.as_u16(),
                 body: String::from_utf8_lossy(&body).into_owned(),
             };
-            let mut reply = HttpResponse::build(status);
+            let mut builder = HttpResponse::build(status);
             (
                 Some(outcome),
-                reply.content_type("application/json").body(body),
+                builder.content_type("application/json").body(body),
             )
         }
         Err(e) => {
-            let message = format!("reading the answer: {e}");
-            let reply = http::unknown_run_state_response(
+            let message = format!("reading the service's response failed: {e}");
+            let failure = http::unknown_run_state_response(
                 StatusCode::BAD_GATEWAY,
                 "backend_failed",
                 message,
             );
-            (None, reply)
+            (None, failure)
         }
     }
 }
 
-fn replay(status: u16, body: String) -> HttpResponse {
+fn replay_response(status: u16, body: String) -> HttpResponse {
     HttpResponse::build(StatusCode::from_u16(status).unwrap_or(StatusCode::OK))
         .insert_header((REPLAYED_HEADER, "true"))
         .content_type("application/json")
         .body(body)
 }
 
-fn key_required(service: &str, path: &str) -> HttpResponse {
+fn key_required_response(service: &str, path: &str) -> HttpResponse {
     http::not_run_response(
         StatusCode::BAD_REQUEST,
         "idempotency_key_required",
-        format!("{path} on {service} may not be repeated: send an Idempotency-Key header"),
+        format!("{path} on {service} must not run more than once: send an Idempotency-Key header"),
         None,
     )
 }
 
-fn key_reused() -> HttpResponse {
+fn key_reused_response() -> HttpResponse {
     http::not_run_response(
         StatusCode::UNPROCESSABLE_ENTITY,
         "idempotency_key_reused",
-        "this Idempotency-Key was used for another request",
+        "this Idempotency-Key was already used for another request",
         None,
     )
 }
 
-fn in_progress() -> HttpResponse {
+fn in_progress_response() -> HttpResponse {
     http::unknown_run_state_response(
         StatusCode::CONFLICT,
         "call_in_progress",
-        "a call with this Idempotency-Key started earlier and its outcome is not recorded; it will not run again",
+        "a call with this Idempotency-Key was started before and its outcome is not recorded; it will not run again",
     )
 }
 
-fn not_recorded(error: &StoreError, retry_after_s: u64) -> HttpResponse {
+fn not_recorded_response(error: &StoreError, retry_after_s: u64) -> HttpResponse {
     http::not_run_response(
         StatusCode::SERVICE_UNAVAILABLE,
         "store_unavailable",
-        format!("cannot record the call before running it: {error}"),
+        format!("the call cannot be recorded before it runs: {error}"),
         Some(retry_after_s),
     )
 }
--- a/crates/foxwheel-gateway/src/settings.rs
+++ b/crates/foxwheel-gateway/src/settings.rs
@@ -10,58 +10,62 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// Address to listen on, e.g. `127.0.0.1:7000`.
+    /// Address to listen on, for example `127.0.0.1:7000`.
     pub listen_addr: String,
-    /// This gateway's name, unique among gateways; it holds batch leases under it.
+    /// Name of this gateway, unique among gateways. It is written into the leases of batch chunks.
     pub name: String,
-    /// The zone it runs in; routes prefer backends in the same zone.
+    /// Availability zone that this gateway runs in. Backends in the same zone are preferred.
     pub zone: Zone,
-    /// The platform store's base URL.
+    /// Base URL of the platform store.
     pub store_url: String,
-    /// Base URLs of other gateways, asked for their copy of the configuration and members
-    /// when this one starts while the store is down.
+    /// Base URLs of other gateways. If this one starts while the store is down, it requests their
+    /// copies of the configuration and the members.
     #[serde(default)]
     pub peers: Vec<String>,
-    /// Online requests in flight at once before refusing with 429.
+    /// Maximum number of online requests in flight. Further ones are refused with status 429.
     #[serde(default = "default_online_max_in_flight")]
     pub online_max_in_flight: u32,
-    /// Hosts that may run one request, at most; those that say they did not are counted apart.
+    /// Maximum number of hosts that may run one request. Hosts that respond that they did not run
+    /// it are not counted here but have a limit of their own.
     #[serde(default = "default_max_attempts")]
     pub max_attempts: u32,
-    /// A streamed answer of which nothing came for this long is resumed on another host, in
-    /// milliseconds; longer than the longest wait for a first token.
+    /// Time without new data, in milliseconds, after which a response counts as cut off and is
+    /// resumed or repeated on another host. It must be longer than the longest wait for a first
+    /// token.
     #[serde(default = "default_stream_stall_ms")]
     pub stream_stall_ms: u64,
-    /// Control channel: the pause between two polls of one agent, in milliseconds.
+    /// Control channel: delay between two polls of one agent, in milliseconds.
     #[serde(default = "default_control_poll_ms")]
     pub control_poll_ms: u64,
-    /// Control channel: how long one poll may take, in milliseconds.
+    /// Control channel: timeout of one poll, in milliseconds.
     #[serde(default = "default_control_poll_timeout_ms")]
     pub control_poll_timeout_ms: u64,
-    /// Control channel: a host whose agent missed this many polls in a row takes no new
-    /// work; at least 2, so one lost poll drops no host. A hung host thus drops out after at
-    /// most `control_missed_polls * (control_poll_ms + control_poll_timeout_ms)`.
+    /// Control channel: number of polls in a row that an agent must miss for its host to take no
+    /// new work. At least 2, so that one lost poll takes no host out of use. A host that hangs is
+    /// taken out of use after at most
+    /// `control_missed_polls * (control_poll_ms + control_poll_timeout_ms)`.
     #[serde(default = "default_control_missed_polls")]
     pub control_missed_polls: u32,
-    /// Told to callers in `Retry-After` when no backend can take a request, in seconds.
+    /// Value of `Retry-After` in refusals because no backend can take a request, in seconds.
     #[serde(default = "default_retry_after_s")]
     pub retry_after_s: u64,
-    /// Batch dispatch: chunks this gateway works on at once.
+    /// Batch dispatch: maximum number of chunks that this gateway works on at once.
     #[serde(default = "default_batch_chunks_in_flight")]
     pub batch_chunks_in_flight: usize,
-    /// Batch dispatch: items of one chunk sent at once.
+    /// Batch dispatch: maximum number of items of one chunk in flight at once.
     #[serde(default = "default_batch_items_in_flight")]
     pub batch_items_in_flight: usize,
-    /// Batch dispatch: how long a chunk lease lasts unless renewed, in milliseconds.
+    /// Batch dispatch: time until a chunk lease expires unless it is renewed, in milliseconds.
     #[serde(default = "default_chunk_lease_ms")]
     pub chunk_lease_ms: u64,
-    /// Batch dispatch: how often running jobs are scanned for free chunks, in milliseconds.
+    /// Batch dispatch: interval at which running jobs are scanned for free chunks, in milliseconds.
     #[serde(default = "default_dispatch_poll_ms")]
     pub dispatch_poll_ms: u64,
-    /// Batch dispatch: results are committed at least this often, in milliseconds.
+    /// Batch dispatch: maximum time between two commits of new results, in milliseconds. It must be
+    /// less than half of `chunk_lease_ms`.
     #[serde(default = "default_commit_interval_ms")]
     pub commit_interval_ms: u64,
-    /// statsd address for counters; none drops them.
+    /// Address of the statsd server that counters are sent to. Without it they are not sent.
     #[serde(default)]
     pub statsd_addr: Option<String>,
 }
@@ -117,7 +121,7 @@
         if self.control_missed_polls < 2 {
             problems.add(
                 "control_missed_polls",
-                "must be at least 2, so one lost poll drops no host",
+                "must be at least 2, so that one lost poll takes no host out of use",
             );
         }
         problems.require_positive("batch_chunks_in_flight", self.batch_chunks_in_flight as u64);
@@ -126,7 +130,7 @@
         if self.commit_interval_ms * 2 >= self.chunk_lease_ms {
             problems.add(
                 "commit_interval_ms",
-                "must be less than half of chunk_lease_ms, so leases are renewed in time",
+                "must be less than half of chunk_lease_ms, so that leases are renewed in time",
             );
         }
         problems.require_positive("dispatch_poll_ms", self.dispatch_poll_ms);
--- a/crates/foxwheel-gateway/src/state.rs
+++ b/crates/foxwheel-gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What the gateway's request handlers share.
+//! State that the gateway's request handlers share.
 
 use foxwheel_core::telemetry::Counters;
 use foxwheel_store::client::StoreClient;
@@ -9,25 +9,26 @@
 use crate::hosts::HostTable;
 use crate::settings::GatewaySettings;
 
-/// What every worker thread shares.
+/// State shared by all worker threads.
 pub struct GatewayState {
-    /// The settings.
+    /// Settings of this gateway.
     pub settings: GatewaySettings,
-    /// The configuration in force.
+    /// Handle to the configuration in force.
     pub config: ConfigHandle,
-    /// The routing table.
+    /// Routing table of the backend hosts.
     pub hosts: HostTable,
-    /// The copies of the store that peers may ask for.
+    /// Copies of parts of the store, which peers may request.
     pub reflectors: [Reflector; 2],
-    /// The filter chain, in order.
-    pub chain: Vec<Box<dyn Filter>>,
-    /// This process's counters.
+    /// Filters that each request passes, in this order.
+    pub filter_chain: Vec<Box<dyn Filter>>,
+    /// Counters of this process.
     pub counters: Counters,
 }
 
-/// What each worker thread has of its own (awc clients live on one thread).
+/// State of one worker thread. Its clients cannot be shared, as awc clients are bound to one
+/// thread.
 pub struct WorkerState {
-    /// Client for forwarding to agents.
+    /// Client that forwards requests to agents.
     pub http: awc::Client,
     /// Client of the platform store.
     pub store: StoreClient,
--- a/crates/foxwheel-gateway/tests/caller_api_contract.rs
+++ b/crates/foxwheel-gateway/tests/caller_api_contract.rs
@@ -387,8 +387,8 @@
             .objects
     };
     for _ in 0..400 {
-        let is_free = |chunk: &Object| chunk.value.get("lease").is_none();
-        if chunks().await.iter().all(is_free) {
+        let is_lease_free = |chunk: &Object| chunk.value.get("lease").is_none();
+        if chunks().await.iter().all(is_lease_free) {
             break;
         }
         tokio::time::sleep(Duration::from_millis(25)).await;
--- a/crates/foxwheel-gateway/tests/config_in_force.rs
+++ b/crates/foxwheel-gateway/tests/config_in_force.rs
@@ -126,7 +126,7 @@
         "http://127.0.0.1:9".to_owned(),
     ];
     let handle = ConfigHandle::default();
-    actix_web::rt::spawn(foxwheel_gateway::config::run(
+    actix_web::rt::spawn(foxwheel_gateway::config::run_controller(
         handle.clone(),
         Reflector::new(keys::CONFIG_PREFIX).with_peers(peers),
         StoreClient::new(format!("http://{store_addr}")),
--- a/crates/foxwheel-gateway/tests/membership_faults.rs
+++ b/crates/foxwheel-gateway/tests/membership_faults.rs
@@ -12,7 +12,7 @@
 use foxwheel_core::protocol::{AgentConfig, LoadReport, Member, MemberState, RUN_STATE_HEADER};
 use foxwheel_core::telemetry::Counters;
 use foxwheel_gateway::config::ConfigHandle;
-use foxwheel_gateway::control::{self, PollShape, Polling};
+use foxwheel_gateway::control::{self, PollContext, PollTiming};
 use foxwheel_gateway::hosts::HostTable;
 use foxwheel_store::api::Faults;
 use tokio_util::sync::CancellationToken;
@@ -54,18 +54,18 @@
 
 fn start_polling(cancel: &CancellationToken) -> HostTable {
     let table = HostTable::new(3);
-    let shape = PollShape {
+    let timing = PollTiming {
         interval: POLL,
         timeout: POLL_TIMEOUT,
     };
     let counters = Counters::new("test", None).expect("counters");
-    let polling = Polling {
+    let poll_context = PollContext {
         table: table.clone(),
         config: ConfigHandle::default(),
-        shape,
+        timing,
         counters,
     };
-    actix_web::rt::spawn(control::run(polling, cancel.clone()));
+    actix_web::rt::spawn(control::run_pollers(poll_context, cancel.clone()));
     table
 }
 
@@ -122,7 +122,7 @@
         wait_for_live(&table, 1, case).await;
         for _ in 0..20 {
             let picked = table
-                .pick("draftsman", PriorityClass::Online, "suwon-hall", &[])
+                .pick_host("draftsman", PriorityClass::Online, "suwon-hall", &[])
                 .expect("one host is live");
             assert_eq!(picked.member.host, "suwon-hall-1", "case '{case}'");
         }
--- a/crates/foxwheel-gateway/tests/placement.rs
+++ b/crates/foxwheel-gateway/tests/placement.rs
@@ -2,7 +2,7 @@
 
 use foxwheel_core::declarations::PriorityClass;
 use foxwheel_core::protocol::{LoadReport, Member, MemberState};
-use foxwheel_gateway::hosts::{HostTable, InFlight};
+use foxwheel_gateway::hosts::{HostTable, InFlightGuard};
 
 const DEPLOYMENT: &str = "draftsman";
 const SLOTS: u32 = 8;
@@ -25,12 +25,12 @@
     let table = HostTable::new(3);
     let records = hosts.iter().map(|(host, zone, _)| (record(host, zone), 1));
     table.rebuild(records.collect());
-    for target in table.targets() {
+    for target in table.hosts() {
         let host = hosts
             .iter()
             .find(|(host, _, _)| *host == target.member.host)
             .expect("a host of the table");
-        target.record(LoadReport {
+        target.record_report(LoadReport {
             slots: SLOTS,
             running_online: host.2,
             ..LoadReport::default()
@@ -40,7 +40,7 @@
 }
 
 fn picked(table: &HostTable, class: PriorityClass) -> Option<String> {
-    let target = table.pick(DEPLOYMENT, class, "here", &[]);
+    let target = table.pick_host(DEPLOYMENT, class, "here", &[]);
     target.map(|target| target.member.host)
 }
 
@@ -65,9 +65,9 @@
     let mut burst = Vec::new();
     for _ in 0..3 * SLOTS {
         let target = table
-            .pick(DEPLOYMENT, PriorityClass::Online, "here", &[])
+            .pick_host(DEPLOYMENT, PriorityClass::Online, "here", &[])
             .expect("every host is live");
-        burst.push((target.member.host.clone(), InFlight::start(&target)));
+        burst.push((target.member.host.clone(), InFlightGuard::start(&target)));
     }
     for host in ["a", "b", "c"] {
         let taken = burst.iter().filter(|(taken, _)| taken == host).count() as u32;
