--- a/crates/foxwheel-load/src/experiment.rs
+++ b/crates/foxwheel-load/src/experiment.rs
@@ -12,9 +12,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OnlineLoad {
-    /// The model that requests name.
+    /// The model named in each request.
     pub model: String,
-    /// The workspace that requests name in their header; none if absent.
+    /// The workspace named in the header of each request; no such header if absent.
     #[serde(default)]
     pub workspace: Option<String>,
     /// Mean rate of the Poisson arrivals, in requests per second.
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BatchLoad {
-    /// The model that every item names.
+    /// The model named in each item.
     pub model: String,
     /// The client key of the job. The job is sent twice with it, as by a client that resends.
     pub client_key: String,
@@ -220,7 +220,7 @@
     pub batch_wait_s: u64,
     /// The seed of the random number generators.
     pub seed: u64,
-    /// The online loads, one for each model.
+    /// The online loads, each for one model.
     #[serde(default)]
     pub online: Vec<OnlineLoad>,
     /// The batch jobs.
--- a/crates/foxwheel-load/src/main.rs
+++ b/crates/foxwheel-load/src/main.rs
@@ -55,7 +55,7 @@
     let first_load = experiment.online.first();
     let model = &first_load.ok_or("the experiment has no online load")?.model;
     std::fs::create_dir_all(out)?;
-    let result = overhead::measure(&spec, base_folder(path), out, model, calls).await?;
+    let result = overhead::measure_overhead(&spec, base_folder(path), out, model, calls).await?;
     let json = serde_json::to_string_pretty(&result)?;
     println!("{json}");
     std::fs::write(out.join("overhead.json"), json)?;
@@ -66,7 +66,7 @@
     let experiment: Experiment = settings::load(path)?;
     let spec = experiment.fleet.ok_or("the experiment has no fleet")?;
     std::fs::create_dir_all(out)?;
-    let result = propagation::measure(&spec, base_folder(path), out, changes).await?;
+    let result = propagation::measure_propagation(&spec, base_folder(path), out, changes).await?;
     let json = serde_json::to_string_pretty(&result)?;
     println!("{json}");
     std::fs::write(out.join("propagation.json"), json)?;
--- a/crates/foxwheel-load/src/overhead.rs
+++ b/crates/foxwheel-load/src/overhead.rs
@@ -13,9 +13,9 @@
 /// Latencies of complete responses of one token.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct Overhead {
-    /// Calls directly to the engine emulator.
+    /// Latency of calls directly to the engine emulator.
     pub direct: Percentiles,
-    /// The same calls through a gateway and the agent of the engine.
+    /// Latency of the same calls through a gateway and the agent of the engine.
     pub through_gateway: Percentiles,
     /// The number of failed calls of both kinds.
     pub failed: u64,
@@ -23,7 +23,7 @@
 
 /// Starts a fleet and sends `calls` requests for `model` each way, one at a time. Returns an error
 /// if the fleet does not start.
-pub async fn measure(
+pub async fn measure_overhead(
     spec: &FleetSpec,
     base: &Path,
     out: &Path,
--- a/crates/foxwheel-load/src/propagation.rs
+++ b/crates/foxwheel-load/src/propagation.rs
@@ -29,7 +29,7 @@
 /// Starts a fleet, applies `changes` changes of the rules to it one after the other, and returns
 /// their propagation times. Changes that the store does not accept are left out. Returns an
 /// error if the fleet does not start.
-pub async fn measure(
+pub async fn measure_propagation(
     spec: &FleetSpec,
     base: &Path,
     out: &Path,
--- a/crates/foxwheel-model/src/loads.rs
+++ b/crates/foxwheel-model/src/loads.rs
@@ -55,7 +55,7 @@
 
     /// Records the current loads as the report of time `now`, unless the last report is more
     /// recent than the report interval.
-    pub fn report(&mut self, now: Duration) {
+    pub fn record_report(&mut self, now: Duration) {
         let last_report_at = self.reported.back().map(|(at, _)| *at);
         if last_report_at.is_some_and(|last_report_at| now < last_report_at + REPORT_INTERVAL) {
             return;
--- a/crates/foxwheel-model/src/simulation.rs
+++ b/crates/foxwheel-model/src/simulation.rs
@@ -157,7 +157,7 @@
                 self.record_engine_event(event);
             }
         }
-        self.loads.report(self.now);
+        self.loads.record_report(self.now);
         self.queue_due_retries();
         for front in 0..self.fronts.len() {
             self.serve_waiting_requests(front);
