--- a/crates/foxwheel-server-emu/src/faults.rs
+++ b/crates/foxwheel-server-emu/src/faults.rs
@@ -1,53 +1,56 @@
-//! How the stand-in fails.
+//! Faults that the emulated server can show, and the script that assigns them to requests.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
 
-/// What happens to one request.
+/// The fault of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing: it is served.
+    /// No fault: the request is served.
     None,
-    /// Rejected as not run, as when full.
+    /// The request is rejected as not run, as by a full server.
     Reject,
-    /// Runs and answers 500.
+    /// The request runs and the response has status 500.
     Fail,
-    /// Runs and answers that it can never be done.
+    /// The request runs and the response has status 422: it can never succeed.
     Impossible,
-    /// Runs, and the connection closes without an answer.
+    /// The request runs and the connection closes without a response.
     LoseResponse,
-    /// Runs, and nothing is ever answered.
+    /// The request runs and no response is ever sent, while the connection stays open.
     Stall,
-    /// Runs, and the connection closes after this many events.
+    /// The request runs and the connection closes after this number of events.
     CutAfter(u64),
-    /// Runs, and the connection closes within the event after this many.
+    /// The request runs and the connection closes in the middle of the event that follows this
+    /// number of events.
     CutWithin(u64),
-    /// Runs, and the stream falls silent after this many events.
+    /// The request runs and the stream sends nothing after this number of events, while the
+    /// connection stays open.
     StallAfter(u64),
-    /// Answers with another request's id.
+    /// The response carries the id of another request.
     ForeignId,
-    /// Answers without a signature.
+    /// The response has no signature.
     Unsigned,
-    /// The body is shorter than its head says.
+    /// The body of the response is shorter than its `content-length`.
     Truncate,
 }
 
-/// The faults of the next requests; served once they are used up.
+/// The faults of the next requests, one each in the order of arrival. Requests are served
+/// without fault once the script is empty.
 #[derive(Debug, Default)]
 pub struct FaultScript(Mutex<VecDeque<Fault>>);
 
 impl FaultScript {
-    /// Appends faults for the next requests.
+    /// Appends faults to the script.
     pub fn extend(&self, faults: impl IntoIterator<Item = Fault>) {
         self.0.lock().expect("script lock").extend(faults);
     }
 
-    /// Drops the faults that no request has met yet.
+    /// Removes all faults that no request has used yet.
     pub fn clear(&self) {
         self.0.lock().expect("script lock").clear();
     }
 
-    /// The fault of the request that came now.
+    /// Removes and returns the next fault, [`Fault::None`] if the script is empty.
     pub fn next_fault(&self) -> Fault {
         let mut script = self.0.lock().expect("script lock");
         script.pop_front().unwrap_or(Fault::None)
--- a/crates/foxwheel-server-emu/src/lib.rs
+++ b/crates/foxwheel-server-emu/src/lib.rs
@@ -1,8 +1,8 @@
-//! A stand-in for a backend server of the users' platform, for tests.
+//! An emulator of a backend server on the users' platform, for tests.
 //!
-//! It answers plain requests and streams of events, resumes streams, queues what is over
-//! its slots, and fails as scripted. It records every run, so that a test can assert what
-//! callers cannot see: what ran, how often, and with what.
+//! It responds to plain requests, streams server-sent events, resumes streams, queues requests
+//! beyond its slots, and fails as a test scripts it. It records every run, so that a test can
+//! check what callers cannot see: which requests ran, how often, and with which content.
 
 pub mod faults;
 pub mod runs;
--- a/crates/foxwheel-server-emu/src/runs.rs
+++ b/crates/foxwheel-server-emu/src/runs.rs
@@ -1,4 +1,4 @@
-//! The record of what ran.
+//! The log of the requests that a server received and ran.
 
 use std::sync::Mutex;
 use std::time::Instant;
@@ -6,34 +6,35 @@
 /// One run of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
-    /// The request's id.
+    /// The id of the request.
     pub request_id: String,
-    /// Its method and path with the query.
+    /// The method and the path with its query, separated by a space.
     pub target: String,
-    /// Its body.
+    /// The body of the request.
     pub body: Vec<u8>,
-    /// Milliseconds the sender said it would wait.
+    /// The time that the sender said it would wait, in milliseconds; `None` if it did not say.
     pub deadline_ms: Option<u64>,
-    /// The event behind which it was resumed.
+    /// The number of the last event that the sender has; `None` unless the run resumes a stream.
     pub resumed_after: Option<u64>,
-    /// When it began.
+    /// When the run began.
     pub started_at: Instant,
-    /// When it ended; none while it runs.
+    /// When the run ended; `None` while it runs.
     pub ended_at: Option<Instant>,
-    /// Whether the sender was still there when it ended; none while it runs.
+    /// Whether the run ended with a complete response. It is false if a fault was injected or the
+    /// sender left before, and `None` while the request runs.
     pub completed: Option<bool>,
 }
 
 /// A request that reached the server, whether it was run or not.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
-    /// The request's id.
+    /// The id of the request.
     pub request_id: String,
-    /// When its head was read.
+    /// When the head of the request was read.
     pub received_at: Instant,
 }
 
-/// All arrivals and runs, each in their order.
+/// All arrivals and all runs, each in their order.
 #[derive(Debug, Default)]
 pub struct RunLog {
     arrivals: Mutex<Vec<Arrival>>,
@@ -50,35 +51,35 @@
         self.arrivals.lock().expect("arrivals lock").push(arrival);
     }
 
-    /// Every arrival so far.
+    /// Returns all arrivals so far.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.arrivals.lock().expect("arrivals lock").clone()
     }
 
-    /// Records a start; answers the run's number.
+    /// Records the start of a run and returns its index in the log.
     pub fn record_start(&self, run: Run) -> usize {
         let mut runs = self.runs.lock().expect("runs lock");
         runs.push(run);
         runs.len() - 1
     }
 
-    /// Records an end.
-    pub fn record_end(&self, number: usize, completed: bool) {
+    /// Records the end of the run at `index`, unless an end is recorded already.
+    pub fn record_end(&self, index: usize, completed: bool) {
         let mut runs = self.runs.lock().expect("runs lock");
-        let run = &mut runs[number];
+        let run = &mut runs[index];
         run.completed.get_or_insert(completed);
         run.ended_at.get_or_insert_with(Instant::now);
     }
 
-    /// Every run so far.
+    /// Returns all runs so far.
     pub fn all_runs(&self) -> Vec<Run> {
         self.runs.lock().expect("runs lock").clone()
     }
 
-    /// Runs of one request.
+    /// Returns the runs of one request.
     pub fn runs_of(&self, request_id: &str) -> Vec<Run> {
         let runs = self.runs.lock().expect("runs lock");
-        let of_request = runs.iter().filter(|run| run.request_id == request_id);
-        of_request.cloned().collect()
+        let request_runs = runs.iter().filter(|run| run.request_id == request_id);
+        request_runs.cloned().collect()
     }
 }
--- a/crates/foxwheel-server-emu/src/server.rs
+++ b/crates/foxwheel-server-emu/src/server.rs
@@ -1,4 +1,4 @@
-//! The stand-in's server.
+//! The HTTP server of the emulator.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -24,20 +24,20 @@
 
 type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// What the stand-in is and how fast it is.
+/// The identity, capacity and speed of an emulated server.
 #[derive(Debug, Clone)]
 pub struct ServerConfig {
-    /// Its id, which requests may expect.
+    /// The id of the server. A request that expects another instance is rejected.
     pub id: String,
-    /// Requests it runs at once.
+    /// Number of requests that run at once.
     pub slots: usize,
-    /// Requests that wait beyond its slots; more are rejected.
+    /// Number of requests that may wait for a slot. Further requests are rejected.
     pub max_queued: usize,
-    /// Events of a stream; 0 answers a plain body.
+    /// Number of events of a streamed response; 0 for plain responses.
     pub events_per_stream: u64,
-    /// Time from the start of a run to its answer, and between events.
+    /// Time from the start of a run to its response, and between two events.
     pub step_time: Duration,
-    /// Body of a request that crashes the server as soon as it begins to run.
+    /// Body of a request that crashes the server after its first step; `None` for no such request.
     pub crashing_body: Option<String>,
 }
 
@@ -54,89 +54,96 @@
     }
 }
 
-/// A running stand-in.
+/// A running emulated server.
 #[derive(Debug, Clone)]
 pub struct Server {
-    /// Where it listens.
+    /// The address that the server listens on.
     pub addr: SocketAddr,
-    /// Its faults.
+    /// The faults of the next requests.
     pub fault_script: Arc<FaultScript>,
-    /// Its record.
+    /// The requests that the server received and ran.
     pub run_log: Arc<RunLog>,
-    /// Cancelled when it ends.
-    ended: CancellationToken,
+    /// Cancelled when the server crashes or is terminated.
+    terminated: CancellationToken,
 }
 
 impl Server {
-    /// Whether it crashed or was ended: nothing listens at its address.
+    /// Returns whether the server crashed or was terminated, so that nothing listens at its
+    /// address.
     pub fn has_terminated(&self) -> bool {
-        self.ended.is_cancelled()
+        self.terminated.is_cancelled()
     }
 
-    /// Ends it: it closes everything without a word.
+    /// Terminates the server: all its connections close at once, without responses.
     pub fn terminate(&self) {
-        self.ended.cancel();
+        self.terminated.cancel();
     }
 
-    /// Fires when it has crashed or was ended.
+    /// Returns a token that is cancelled when the server crashes or is terminated. Cancelling it
+    /// terminates the server.
     pub fn termination_token(&self) -> CancellationToken {
-        self.ended.clone()
+        self.terminated.clone()
     }
 }
 
 #[derive(Debug)]
-struct Inner {
-    shape: ServerConfig,
-    script: Arc<FaultScript>,
-    runs: Arc<RunLog>,
+struct ServerState {
+    config: ServerConfig,
+    fault_script: Arc<FaultScript>,
+    run_log: Arc<RunLog>,
     slots: Arc<Semaphore>,
-    waiting: Arc<Semaphore>,
-    ended: CancellationToken,
+    /// One permit for each request that runs or waits for a slot.
+    admission: Arc<Semaphore>,
+    terminated: CancellationToken,
 }
 
-/// Starts a stand-in on an ephemeral port of `ip`; it closes everything when cancelled.
+/// Starts a server on an ephemeral port of `ip`. It closes all connections when `cancel` is
+/// cancelled.
+///
+/// Returns an error if the port can't be bound.
 pub async fn start(
     ip: std::net::IpAddr,
-    shape: ServerConfig,
+    config: ServerConfig,
     cancel: CancellationToken,
 ) -> std::io::Result<Server> {
     let listener = TcpListener::bind((ip, 0)).await?;
-    let ended = cancel.child_token();
+    let terminated = cancel.child_token();
     let server = Server {
         addr: listener.local_addr()?,
         fault_script: Arc::default(),
         run_log: Arc::default(),
-        ended: ended.clone(),
+        terminated: terminated.clone(),
     };
-    let inner = Arc::new(Inner {
-        slots: Arc::new(Semaphore::new(shape.slots)),
-        waiting: Arc::new(Semaphore::new(shape.slots + shape.max_queued)),
-        script: Arc::clone(&server.fault_script),
-        runs: Arc::clone(&server.run_log),
-        ended: ended.clone(),
-        shape,
+    let state = Arc::new(ServerState {
+        slots: Arc::new(Semaphore::new(config.slots)),
+        admission: Arc::new(Semaphore::new(config.slots + config.max_queued)),
+        fault_script: Arc::clone(&server.fault_script),
+        run_log: Arc::clone(&server.run_log),
+        terminated: terminated.clone(),
+        config,
     });
     tokio::spawn(async move {
         loop {
             let accepted = tokio::select! {
-                () = ended.cancelled() => return,
+                () = terminated.cancelled() => return,
                 accepted = listener.accept() => accepted,
             };
             let Ok((stream, _)) = accepted else { continue };
-            let inner = Arc::clone(&inner);
-            let ended = ended.clone();
+            let state = Arc::clone(&state);
+            let terminated = terminated.clone();
             tokio::spawn(async move {
                 let service = service_fn(move |request| {
-                    let inner = Arc::clone(&inner);
-                    // At once: a request whose sender is gone already is never polled.
-                    inner.runs.record_arrival(id_of(&request));
-                    async move { inner.answer(request).await }
+                    let state = Arc::clone(&state);
+                    // Recorded outside the future, because the future of a request whose sender
+                    // has disconnected already is never polled.
+                    state.run_log.record_arrival(request_id_of(&request));
+                    async move { state.serve_request(request).await }
                 });
                 let connection =
                     http1::Builder::new().serve_connection(TokioIo::new(stream), service);
                 tokio::select! {
-                    () = ended.cancelled() => {}
-                    // Broken connections are part of the tests.
+                    () = terminated.cancelled() => {}
+                    // Errors are ignored: tests break connections on purpose.
                     _ = connection => {}
                 }
             });
@@ -145,31 +152,31 @@
     Ok(server)
 }
 
-/// A request's id; empty without one.
-fn id_of<B>(request: &Request<B>) -> &str {
+/// Returns the id of a request, empty if it has none.
+fn request_id_of<B>(request: &Request<B>) -> &str {
     let id = request.headers().get(names::REQUEST_ID);
     id.and_then(|id| id.to_str().ok()).unwrap_or("")
 }
 
 /// Records the end of a run when it is dropped.
 struct RunGuard {
-    runs: Arc<RunLog>,
-    number: usize,
-    finished: bool,
+    run_log: Arc<RunLog>,
+    run_index: usize,
+    completed: bool,
 }
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
-        self.runs.record_end(self.number, self.finished);
+        self.run_log.record_end(self.run_index, self.completed);
     }
 }
 
-impl Inner {
-    async fn answer(
+impl ServerState {
+    async fn serve_request(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> Result<Response<Body>, std::io::Error> {
-        let request_id = id_of(&request).to_owned();
+        let request_id = request_id_of(&request).to_owned();
         let (head, body) = request.into_parts();
         let header = |name| head.headers.get(name).and_then(|value| value.to_str().ok());
         let body = body
@@ -177,21 +184,21 @@
             .await
             .map_err(std::io::Error::other)?
             .to_bytes();
-        if header(names::EXPECT_INSTANCE).is_some_and(|id| id != self.shape.id) {
-            return Ok(self.not_run(StatusCode::MISDIRECTED_REQUEST, &request_id));
+        if header(names::EXPECT_INSTANCE).is_some_and(|id| id != self.config.id) {
+            return Ok(self.not_run_response(StatusCode::MISDIRECTED_REQUEST, &request_id));
         }
-        let fault = self.script.next_fault();
-        let Ok(place) = Arc::clone(&self.waiting).try_acquire_owned() else {
-            return Ok(self.not_run(StatusCode::SERVICE_UNAVAILABLE, &request_id));
+        let fault = self.fault_script.next_fault();
+        let Ok(admission_permit) = Arc::clone(&self.admission).try_acquire_owned() else {
+            return Ok(self.not_run_response(StatusCode::SERVICE_UNAVAILABLE, &request_id));
         };
         if fault == Fault::Reject {
-            return Ok(self.not_run(StatusCode::SERVICE_UNAVAILABLE, &request_id));
+            return Ok(self.not_run_response(StatusCode::SERVICE_UNAVAILABLE, &request_id));
         }
         let slots = Arc::clone(&self.slots);
         let slot = slots.acquire_owned().await.map_err(std::io::Error::other)?;
         let resumed_after = header(names::LAST_EVENT_ID).and_then(|id| id.parse().ok());
         let target = head.uri.path_and_query().map_or("", |path| path.as_str());
-        let number = self.runs.record_start(Run {
+        let run_index = self.run_log.record_start(Run {
             request_id: request_id.clone(),
             target: format!("{} {target}", head.method),
             body: body.to_vec(),
@@ -202,161 +209,168 @@
             completed: None,
         });
         let guard = RunGuard {
-            runs: Arc::clone(&self.runs),
-            number,
-            finished: false,
+            run_log: Arc::clone(&self.run_log),
+            run_index,
+            completed: false,
         };
-        tokio::time::sleep(self.shape.step_time).await;
-        if self.crashes_on(&body) {
-            self.ended.cancel();
+        tokio::time::sleep(self.config.step_time).await;
+        if self.should_crash_on(&body) {
+            self.terminated.cancel();
         }
-        let held = (place, slot, guard);
-        self.run(fault, &request_id, resumed_after, held).await
+        let resources = (admission_permit, slot, guard);
+        self.respond(fault, &request_id, resumed_after, resources)
+            .await
     }
 
-    async fn run<H: Send + 'static + Finish>(
+    async fn respond<R: Send + 'static + RunResources>(
         &self,
         fault: Fault,
         request_id: &str,
         resumed_after: Option<u64>,
-        mut held: H,
+        mut resources: R,
     ) -> Result<Response<Body>, std::io::Error> {
         let reset = || std::io::Error::from(std::io::ErrorKind::ConnectionReset);
         match fault {
             Fault::LoseResponse => Err(reset()),
             Fault::Stall => std::future::pending().await,
-            Fault::Fail => Ok(self.whole(StatusCode::INTERNAL_SERVER_ERROR, request_id)),
-            Fault::Impossible => Ok(self.whole(StatusCode::UNPROCESSABLE_ENTITY, request_id)),
-            Fault::ForeignId => Ok(self.whole(StatusCode::OK, "another-request")),
+            Fault::Fail => Ok(self.full_response(StatusCode::INTERNAL_SERVER_ERROR, request_id)),
+            Fault::Impossible => {
+                Ok(self.full_response(StatusCode::UNPROCESSABLE_ENTITY, request_id))
+            }
+            Fault::ForeignId => Ok(self.full_response(StatusCode::OK, "another-request")),
             Fault::Unsigned => {
-                let mut answer = self.whole(StatusCode::OK, request_id);
-                answer.headers_mut().remove(names::SIGNATURE);
-                Ok(answer)
+                let mut response = self.full_response(StatusCode::OK, request_id);
+                response.headers_mut().remove(names::SIGNATURE);
+                Ok(response)
             }
-            Fault::Truncate => Ok(self.truncated(request_id)),
-            _ if self.shape.events_per_stream == 0 => {
-                held.finish();
-                Ok(self.whole(StatusCode::OK, request_id))
+            Fault::Truncate => Ok(self.truncated_response(request_id)),
+            _ if self.config.events_per_stream == 0 => {
+                resources.mark_completed();
+                Ok(self.full_response(StatusCode::OK, request_id))
             }
-            _ => Ok(self.stream(fault, request_id, resumed_after, held)),
+            _ => Ok(self.streamed_response(fault, request_id, resumed_after, resources)),
         }
     }
 
-    fn crashes_on(&self, body: &[u8]) -> bool {
-        let crash = self.shape.crashing_body.as_ref();
-        crash.is_some_and(|crash| crash.as_bytes() == body)
+    fn should_crash_on(&self, body: &[u8]) -> bool {
+        let crashing_body = self.config.crashing_body.as_ref();
+        crashing_body.is_some_and(|crashing_body| crashing_body.as_bytes() == body)
     }
 
-    fn head(&self, status: StatusCode, request_id: &str) -> hyper::http::response::Builder {
+    fn response_head(
+        &self,
+        status: StatusCode,
+        request_id: &str,
+    ) -> hyper::http::response::Builder {
         Response::builder()
             .status(status)
             .header(names::REQUEST_ID, request_id)
     }
 
-    fn signed(&self, status: StatusCode, request_id: &str, body: Body) -> Response<Body> {
-        let signature = format!("{}.{request_id}", self.shape.id);
-        self.head(status, request_id)
+    fn signed_response(&self, status: StatusCode, request_id: &str, body: Body) -> Response<Body> {
+        let signature = format!("{}.{request_id}", self.config.id);
+        self.response_head(status, request_id)
             .header(names::SIGNATURE, signature)
             .header("keep-alive", "timeout=5")
             .body(body)
             .expect("a valid head")
     }
 
-    fn whole(&self, status: StatusCode, request_id: &str) -> Response<Body> {
+    fn full_response(&self, status: StatusCode, request_id: &str) -> Response<Body> {
         let body = plain_body(request_id);
-        self.signed(status, request_id, full(body))
+        self.signed_response(status, request_id, full_body(body))
     }
 
-    fn not_run(&self, status: StatusCode, request_id: &str) -> Response<Body> {
-        self.head(status, request_id)
+    fn not_run_response(&self, status: StatusCode, request_id: &str) -> Response<Body> {
+        self.response_head(status, request_id)
             .header(names::NOT_EXECUTED, "1")
-            .body(full(String::new()))
+            .body(full_body(String::new()))
             .expect("a valid head")
     }
 
-    fn truncated(&self, request_id: &str) -> Response<Body> {
+    fn truncated_response(&self, request_id: &str) -> Response<Body> {
         let body = plain_body(request_id);
-        let half = Bytes::from(body[..body.len() / 2].to_owned());
-        let cut = std::io::Error::from(std::io::ErrorKind::ConnectionReset);
-        let pieces = stream::iter([Ok(Frame::data(half)), Err(cut)]);
-        let mut answer = self.signed(
+        let first_half = Bytes::from(body[..body.len() / 2].to_owned());
+        let reset = std::io::Error::from(std::io::ErrorKind::ConnectionReset);
+        let frames = stream::iter([Ok(Frame::data(first_half)), Err(reset)]);
+        let mut response = self.signed_response(
             StatusCode::OK,
             request_id,
-            StreamBody::new(pieces).boxed_unsync(),
+            StreamBody::new(frames).boxed_unsync(),
         );
         let length = body.len().into();
-        answer.headers_mut().insert("content-length", length);
-        answer
+        response.headers_mut().insert("content-length", length);
+        response
     }
 
-    fn stream<H: Send + 'static + Finish>(
+    fn streamed_response<R: Send + 'static + RunResources>(
         &self,
         fault: Fault,
         request_id: &str,
         resumed_after: Option<u64>,
-        held: H,
+        resources: R,
     ) -> Response<Body> {
-        let first = resumed_after.unwrap_or(0) + 1;
-        let last = self.shape.events_per_stream;
-        let step = self.shape.step_time;
+        let first_event = resumed_after.unwrap_or(0) + 1;
+        let last_event = self.config.events_per_stream;
+        let step_time = self.config.step_time;
         let id = request_id.to_owned();
-        let events = stream::unfold((first, held), move |(event, mut held)| {
+        let frames = stream::unfold((first_event, resources), move |(event, mut resources)| {
             let text = event_text(&id, event);
             async move {
-                if event > last {
-                    held.finish();
+                if event > last_event {
+                    resources.mark_completed();
                     return None;
                 }
-                tokio::time::sleep(step).await;
-                let broken = std::io::Error::from(std::io::ErrorKind::ConnectionReset);
-                let piece = match fault {
-                    Fault::CutAfter(count) if event > count => Err(broken),
-                    Fault::CutWithin(count) if event > count + 1 => Err(broken),
+                tokio::time::sleep(step_time).await;
+                let reset = std::io::Error::from(std::io::ErrorKind::ConnectionReset);
+                let frame = match fault {
+                    Fault::CutAfter(count) if event > count => Err(reset),
+                    Fault::CutWithin(count) if event > count + 1 => Err(reset),
                     Fault::CutWithin(count) if event == count + 1 => {
                         Ok(Frame::data(Bytes::from(text[..text.len() / 2].to_owned())))
                     }
                     Fault::StallAfter(count) if event > count => std::future::pending().await,
                     _ => Ok(Frame::data(Bytes::from(text))),
                 };
-                Some((piece, (event + 1, held)))
+                Some((frame, (event + 1, resources)))
             }
         });
-        self.signed(
+        self.signed_response(
             StatusCode::OK,
             request_id,
-            StreamBody::new(events).boxed_unsync(),
+            StreamBody::new(frames).boxed_unsync(),
         )
     }
 }
 
-/// What a run holds until it ends.
-trait Finish {
-    /// The run ended whole.
-    fn finish(&mut self);
+/// The permits and the guard that a run keeps until it ends.
+trait RunResources {
+    /// Marks that the run ended with a complete response.
+    fn mark_completed(&mut self);
 }
 
-impl<A, B> Finish for (A, B, RunGuard) {
-    fn finish(&mut self) {
-        self.2.finished = true;
+impl<A, B> RunResources for (A, B, RunGuard) {
+    fn mark_completed(&mut self) {
+        self.2.completed = true;
     }
 }
 
-/// The body of a plain answer to a request.
+/// Returns the body of a plain response to a request.
 pub fn plain_body(request_id: &str) -> String {
     format!("the whole answer to {request_id}")
 }
 
-/// The data of one event of a stream.
+/// Returns the data field of one event of a streamed response.
 pub fn event_data(request_id: &str, event: u64) -> String {
     format!("piece {event} of {request_id}")
 }
 
-/// One event of a stream as it goes out.
+/// Returns one event of a streamed response as it is sent.
 pub fn event_text(request_id: &str, event: u64) -> String {
     format!("id: {event}\ndata: {}\n\n", event_data(request_id, event))
 }
 
-fn full(body: String) -> Body {
+fn full_body(body: String) -> Body {
     Full::new(Bytes::from(body))
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
