--- a/crates/foxwheel-engine-emu/src/settings.rs
+++ b/crates/foxwheel-engine-emu/src/settings.rs
@@ -1,4 +1,4 @@
-//! The engine emulator's settings file.
+//! The settings of the engine emulator.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -6,37 +6,37 @@
 use foxwheel_core::ids::ModelName;
 use foxwheel_core::settings::{Check, Problems};
 
-/// What the engine does with an order whose fencing number is older than one it has seen.
+/// How the engine treats a command whose fencing number is smaller than one received before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum FencingMode {
-    /// Refuses it with 409.
+    /// Refuses it with status 409.
     Refuse,
-    /// Applies it anyway, as engines that do not check do.
+    /// Applies it, as engines do that don't check fencing numbers.
     Ignore,
 }
 
-/// How a stream breaks.
+/// How a response is broken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum ResponseFault {
-    /// The connection is closed in the middle of the answer.
+    /// The connection closes in the middle of the response.
     Abort,
-    /// The answer ends as if it were whole, without its last event.
+    /// The response ends early as if it were complete, without its last event.
     EndEarly,
-    /// Nothing more comes and the connection stays open.
+    /// Nothing more is sent and the connection stays open.
     Stall,
 }
 
-/// Faults of the engine, set at start or by `POST /faults`.
+/// Faults of the engine, set in the settings or by `POST /faults`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct EngineFaults {
-    /// Breaks every answer, streamed or whole, in this way.
+    /// How every response, streamed or not, is broken; no fault if absent.
     #[serde(default)]
     #[serde(rename = "break_answers")]
     pub response_fault: Option<ResponseFault>,
-    /// After this many tokens.
+    /// Number of tokens sent before the fault.
     #[serde(default)]
     pub after_tokens: usize,
 }
@@ -47,33 +47,33 @@
 pub struct EngineSettings {
     /// Address to listen on, e.g. `127.0.0.1:7300`.
     pub listen_addr: String,
-    /// Models it serves at start.
+    /// Models that the engine serves at start.
     pub models: Vec<ModelName>,
-    /// Sequences decoded together at most; more wait.
+    /// Largest number of sequences decoded together; further requests wait.
     #[serde(default = "default_max_batch")]
     pub max_batch: usize,
-    /// Prefill cost of each uncached prompt token, in microseconds.
+    /// Prefill time per uncached prompt token, in microseconds.
     #[serde(default = "default_prefill_us_per_token")]
     pub prefill_us_per_token: u64,
-    /// Fixed cost of one decode step, in microseconds.
+    /// Fixed time of one decode step, in microseconds.
     #[serde(default = "default_decode_step_us")]
     pub decode_step_us: u64,
-    /// Added cost of one decode step per running sequence, in microseconds.
+    /// Additional time of one decode step per running sequence, in microseconds.
     #[serde(default = "default_decode_us_per_seq")]
     pub decode_us_per_seq: u64,
-    /// Prefix cache capacity, in tokens.
+    /// Capacity of the prefix cache, in tokens.
     #[serde(default = "default_cache_capacity_tokens")]
     pub cache_capacity_tokens: usize,
-    /// How late load reports and cache events are published, in milliseconds.
+    /// Delay after which the load and cache events are published, in milliseconds.
     #[serde(default = "default_report_lag_ms")]
     pub report_lag_ms: u64,
-    /// Drop every n-th cache event (a gap); 0 keeps all.
+    /// Every n-th cache event is dropped, which leaves a gap; 0 drops none.
     #[serde(default)]
     pub cache_event_gap_every: u64,
-    /// Faults from the start.
+    /// Faults from the start on.
     #[serde(default)]
     pub faults: EngineFaults,
-    /// What to do with an order carrying an old fencing number.
+    /// How a command with an old fencing number is treated.
     #[serde(default = "default_fencing_mode")]
     pub fencing_mode: FencingMode,
 }
@@ -101,7 +101,7 @@
 }
 
 impl EngineSettings {
-    /// Settings for tests: listens on an ephemeral port, serves `model`, fast time model.
+    /// Returns settings for tests: an ephemeral port, the model `model`, and a fast time model.
     pub fn for_test(model: &str) -> Self {
         Self {
             listen_addr: "127.0.0.1:0".to_owned(),
--- a/crates/foxwheel-platform-emu/src/settings.rs
+++ b/crates/foxwheel-platform-emu/src/settings.rs
@@ -1,4 +1,4 @@
-//! The emulator's settings file.
+//! The settings of the platform emulator.
 
 use std::path::PathBuf;
 
@@ -13,17 +13,19 @@
 pub struct PlatformSettings {
     /// Address to listen on, e.g. `127.0.0.1:7100`.
     pub listen_addr: String,
-    /// Writes allowed per second before 429; the platform's budget is several hundred.
+    /// Writes allowed per second; further writes get status 429. The platform allows several
+    /// hundred.
     #[serde(default = "default_write_limit")]
     pub write_limit_per_s: u64,
-    /// Reads (gets, lists, watch calls) allowed per second before 429; about two thousand.
+    /// Reads (gets, lists and watch calls) allowed per second; further reads get status 429. The
+    /// platform allows about two thousand.
     #[serde(default = "default_read_limit")]
     pub read_limit_per_s: u64,
-    /// File the objects are kept in across restarts; none keeps them in memory only. Written
-    /// at most every 100 ms and at a graceful stop.
+    /// File that keeps the objects across restarts, written at most every 100 ms and at a graceful
+    /// stop. Without it, the objects are kept in memory only.
     #[serde(default)]
     pub data_file: Option<PathBuf>,
-    /// How many past changes are kept for watches that start from an old version.
+    /// Number of past changes kept for watches that start from an old version.
     #[serde(default = "default_history_len")]
     pub history_len: usize,
 }
@@ -41,7 +43,7 @@
 }
 
 impl PlatformSettings {
-    /// Settings for tests: an ephemeral port and rates no test reaches.
+    /// Returns settings for tests: an ephemeral port, and rate limits that no test reaches.
     pub fn for_test() -> Self {
         Self {
             listen_addr: "127.0.0.1:0".to_owned(),
--- a/crates/foxwheel-service-emu/src/lib.rs
+++ b/crates/foxwheel-service-emu/src/lib.rs
@@ -1,9 +1,9 @@
-//! A stand-in for plain services such as yardbook (order tracking) and emite-cartao (card
+//! An emulator of plain services such as yardbook (order tracking) and emite-cartao (card
 //! issuing).
 //!
-//! `GET` on any path answers a small JSON record. `POST` on any path is an execution: it is
-//! recorded with its `Idempotency-Key` header, so that tests can count how often each
-//! non-idempotent call ran. `GET /_emu/executions` lists the counts.
+//! The response to `GET` on any path is a small JSON record. Any other method, such as `POST`, is
+//! an execution: it is counted by its path and `Idempotency-Key` header, so that tests can check
+//! how often each non-idempotent call ran. `GET /_emu/executions` returns the counts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,9 +25,9 @@
 pub struct ServiceSettings {
     /// Address to listen on.
     pub listen_addr: String,
-    /// The service's name, e.g. `yardbook`.
+    /// Name of the service, e.g. `yardbook`.
     pub service: String,
-    /// Time each call takes, in milliseconds.
+    /// Time that each call takes, in milliseconds.
     #[serde(default = "default_delay_ms")]
     pub delay_ms: u64,
 }
@@ -43,18 +43,18 @@
     }
 }
 
-/// How often one (path, key) pair was executed.
+/// The number of executions of one pair of path and idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutionCount {
-    /// The path posted to.
+    /// The path of the calls.
     pub path: String,
-    /// The `Idempotency-Key` sent, or empty.
+    /// The `Idempotency-Key` header of the calls, empty if they had none.
     pub idempotency_key: String,
-    /// Executions seen.
+    /// Number of executions.
     pub count: u64,
 }
 
-/// The service's state: executions by (path, key).
+/// The state of the service, with the number of executions by path and idempotency key.
 #[derive(Debug, Default)]
 pub struct Service {
     name: String,
@@ -62,19 +62,19 @@
     executions: Mutex<BTreeMap<(String, String), u64>>,
 }
 
-async fn record_execution(
+async fn serve_execution(
     service: web::Data<Service>,
-    req: HttpRequest,
+    request: HttpRequest,
     body: web::Bytes,
 ) -> HttpResponse {
     tokio::time::sleep(service.delay).await;
-    let key = req
+    let key = request
         .headers()
         .get(IDEMPOTENCY_KEY_HEADER)
-        .and_then(|v| v.to_str().ok())
+        .and_then(|value| value.to_str().ok())
         .unwrap_or_default()
         .to_owned();
-    let path = req.path().to_owned();
+    let path = request.path().to_owned();
     let count = {
         let mut executions = service.executions.lock().expect("executions lock");
         let count = executions.entry((path.clone(), key.clone())).or_insert(0);
@@ -91,17 +91,17 @@
     }))
 }
 
-async fn read(service: web::Data<Service>, req: HttpRequest) -> HttpResponse {
+async fn serve_read(service: web::Data<Service>, request: HttpRequest) -> HttpResponse {
     tokio::time::sleep(service.delay).await;
     HttpResponse::Ok().json(serde_json::json!({
         "service": service.name,
-        "path": req.path(),
+        "path": request.path(),
         "status": "ok",
     }))
 }
 
-async fn executions(service: web::Data<Service>) -> HttpResponse {
-    let list: Vec<ExecutionCount> = service
+async fn get_executions(service: web::Data<Service>) -> HttpResponse {
+    let counts: Vec<ExecutionCount> = service
         .executions
         .lock()
         .expect("executions lock")
@@ -112,10 +112,13 @@
             count: *count,
         })
         .collect();
-    HttpResponse::Ok().json(list)
+    HttpResponse::Ok().json(counts)
 }
 
-/// Starts the service; it stops gracefully when `cancel` fires. Returns the bound address.
+/// Starts the service and returns the address that it listens on and its server. The service
+/// stops gracefully when `cancel` is cancelled.
+///
+/// Returns an error if the address of the settings can't be bound.
 pub fn start(
     settings: &ServiceSettings,
     cancel: CancellationToken,
@@ -125,22 +128,26 @@
         delay: Duration::from_millis(settings.delay_ms),
         executions: Mutex::default(),
     }));
-    let shape = ServerOptions {
+    let options = ServerOptions {
         shutdown_timeout: Duration::from_secs(10),
         ..ServerOptions::default()
     };
-    http::serve(&settings.listen_addr, shape, cancel, move || {
+    http::serve(&settings.listen_addr, options, cancel, move || {
         actix_web::App::new()
             .app_data(service.clone())
-            .route("/_emu/executions", web::get().to(executions))
-            .default_service(web::route().to(dispatch))
+            .route("/_emu/executions", web::get().to(get_executions))
+            .default_service(web::route().to(serve_call))
     })
 }
 
-async fn dispatch(service: web::Data<Service>, req: HttpRequest, body: web::Bytes) -> HttpResponse {
-    if req.method() == actix_web::http::Method::GET {
-        read(service, req).await
+async fn serve_call(
+    service: web::Data<Service>,
+    request: HttpRequest,
+    body: web::Bytes,
+) -> HttpResponse {
+    if request.method() == actix_web::http::Method::GET {
+        serve_read(service, request).await
     } else {
-        record_execution(service, req, body).await
+        serve_execution(service, request, body).await
     }
 }
