--- a/crates/foxwheel-engine-emu/src/cache.rs
+++ b/crates/foxwheel-engine-emu/src/cache.rs
@@ -1,5 +1,5 @@
-//! The prefix cache: blocks of prompt tokens kept in limited memory, least recently used
-//! evicted first, with a log of events published late and with gaps.
+//! The prefix cache: blocks of prompt tokens in limited memory, of which the least recently used
+//! is evicted first. Its log of events is published late and with gaps.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -7,12 +7,12 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Tokens in one cache block.
+/// Number of tokens in one cache block.
 pub const BLOCK_TOKENS: usize = 16;
-/// Cache events kept for readers.
-const EVENT_LOG_LEN: usize = 10_000;
+/// Number of cache events kept for readers.
+const MAX_LOGGED_EVENTS: usize = 10_000;
 
-/// What happened to a block.
+/// The kind of a cache event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheEventKind {
@@ -22,18 +22,18 @@
     Evicted,
 }
 
-/// One cache event, as published on `GET /cache/events`.
+/// A cache event, as published by `GET /cache/events`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Sequence number; gaps mean lost events.
+    /// The sequence number. A missing number means a lost event.
     pub seq: u64,
-    /// Stored or evicted.
+    /// Whether the block was stored or evicted.
     pub kind: CacheEventKind,
-    /// The block's hash: a hash of every token up to its end.
+    /// The hash of the block: a hash of all tokens of the prompt up to the end of the block.
     pub block_hash: u64,
 }
 
-/// The cache.
+/// The prefix cache.
 ///
 /// Invariant: `used_tokens == blocks.len() * BLOCK_TOKENS <= capacity_tokens`, and
 /// `blocks_by_last_use` holds exactly one entry per block.
@@ -49,7 +49,8 @@
 }
 
 impl PrefixCache {
-    /// A cache of `capacity_tokens`, dropping every `gap_every`-th event (0: none).
+    /// Returns an empty cache for `capacity_tokens` tokens. Every `gap_every`-th event is dropped,
+    /// none if it is 0.
     pub fn new(capacity_tokens: usize, gap_every: u64) -> Self {
         Self {
             capacity_tokens,
@@ -62,44 +63,45 @@
         }
     }
 
-    /// Tokens held now.
+    /// Returns the number of tokens in the cache.
     pub fn used_tokens(&self) -> usize {
         self.blocks.len() * BLOCK_TOKENS
     }
 
-    /// Looks the prompt up block by block, stores the blocks it lacks, and returns how many
-    /// leading tokens were already cached.
+    /// Looks up the blocks of a prompt, stores those that are missing, and returns how many of
+    /// the leading tokens were cached already.
     pub fn insert_prompt(&mut self, prompt: &str) -> usize {
         let hashes = block_hashes(prompt);
         let mut hit_blocks = 0;
-        let mut missed = false;
+        let mut has_missed = false;
         for hash in hashes {
             self.access_counter += 1;
-            if let Some(age) = self.blocks.get_mut(&hash) {
-                self.blocks_by_last_use.remove(age);
-                *age = self.access_counter;
+            if let Some(last_use) = self.blocks.get_mut(&hash) {
+                self.blocks_by_last_use.remove(last_use);
+                *last_use = self.access_counter;
                 self.blocks_by_last_use.insert(self.access_counter, hash);
-                if !missed {
+                if !has_missed {
                     hit_blocks += 1;
                 }
                 continue;
             }
-            missed = true;
+            has_missed = true;
             self.evict_until_block_fits();
             self.blocks.insert(hash, self.access_counter);
             self.blocks_by_last_use.insert(self.access_counter, hash);
-            self.publish(CacheEventKind::Stored, hash);
+            self.log_event(CacheEventKind::Stored, hash);
         }
         hit_blocks * BLOCK_TOKENS
     }
 
-    /// Events published at least `lag` ago with a sequence number of `from` or more.
+    /// Returns the events that are at least `lag` old and have a sequence number of at least
+    /// `from`.
     pub fn published_events(&self, from: u64, lag: Duration) -> Vec<CacheEvent> {
         let now = Instant::now();
         self.events
             .iter()
-            .filter(|(at, e)| e.seq >= from && now.duration_since(*at) >= lag)
-            .map(|(_, e)| e.clone())
+            .filter(|(logged_at, event)| event.seq >= from && now.duration_since(*logged_at) >= lag)
+            .map(|(_, event)| event.clone())
             .collect()
     }
 
@@ -109,11 +111,11 @@
                 return;
             };
             self.blocks.remove(&hash);
-            self.publish(CacheEventKind::Evicted, hash);
+            self.log_event(CacheEventKind::Evicted, hash);
         }
     }
 
-    fn publish(&mut self, kind: CacheEventKind, block_hash: u64) {
+    fn log_event(&mut self, kind: CacheEventKind, block_hash: u64) {
         let seq = self.next_seq;
         self.next_seq += 1;
         if self.gap_every > 0 && seq % self.gap_every == self.gap_every - 1 {
@@ -127,19 +129,20 @@
                 block_hash,
             },
         ));
-        if self.events.len() > EVENT_LOG_LEN {
+        if self.events.len() > MAX_LOGGED_EVENTS {
             self.events.pop_front();
         }
     }
 }
 
-/// Hashes of each whole block of the prompt, each covering every token before its end.
+/// Returns the hashes of the complete blocks of a prompt. Each covers all tokens up to the end of
+/// its block.
 pub fn block_hashes(prompt: &str) -> Vec<u64> {
     let mut hasher = std::collections::hash_map::DefaultHasher::new();
     let mut hashes = Vec::new();
-    for (i, word) in prompt.split_whitespace().enumerate() {
+    for (index, word) in prompt.split_whitespace().enumerate() {
         word.hash(&mut hasher);
-        if (i + 1) % BLOCK_TOKENS == 0 {
+        if (index + 1) % BLOCK_TOKENS == 0 {
             hashes.push(hasher.finish());
         }
     }
--- a/crates/foxwheel-engine-emu/src/commands.rs
+++ b/crates/foxwheel-engine-emu/src/commands.rs
@@ -1,5 +1,5 @@
-//! Orders to the engine (load a model, an adapter or a version, change role), each carrying
-//! a fencing number.
+//! Commands to the engine: load or unload a model, an adapter or a version, or change the role.
+//! Each carries the fencing number of its sender.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,64 +7,65 @@
 
 use crate::settings::FencingMode;
 
-/// What an order asks for.
+/// The action that a command asks for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum CommandKind {
-    /// Serve this model (or adapter, or version) from now on.
+    /// Start to serve a model, an adapter or a version.
     LoadModel {
-        /// The model's name.
+        /// The name of the model.
         model: ModelName,
     },
-    /// Stop serving this model.
+    /// Stop serving a model.
     UnloadModel {
-        /// The model's name.
+        /// The name of the model.
         model: ModelName,
     },
-    /// Take another role, e.g. `prefill` or `decode`.
+    /// Change the role, e.g. to `prefill` or `decode`.
     ChangeRole {
         /// The new role.
         role: String,
     },
 }
 
-/// An order as posted to `POST /orders`.
+/// The body of `POST /orders`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// The sender's fencing number; a newer sender has a larger one.
+    /// The fencing number of the sender. A sender that took over from another has a larger one.
     pub fencing: FencingToken,
-    /// What to do.
+    /// The action to perform.
     #[serde(rename = "order")]
     pub kind: CommandKind,
 }
 
-/// What the engine did with an order.
+/// The result of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommandOutcome {
-    /// Applied.
+    /// The command was applied.
     Applied,
-    /// Refused: its fencing number is older than one already seen.
+    /// The command was refused, because its fencing number is smaller than one received before.
     RefusedStale,
 }
 
-/// The engine's served models and role, changed only by orders.
+/// The models that the engine serves and its role. Only commands change them.
 ///
 /// Invariant: `models` is sorted and free of duplicates; `highest_fencing` never decreases.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ServingState {
-    /// Models served, sorted.
+    /// The models served, sorted.
     pub models: Vec<ModelName>,
-    /// The engine's role.
+    /// The role of the engine.
     pub role: String,
-    /// The largest fencing number seen.
+    /// The largest fencing number received.
     pub highest_fencing: FencingToken,
-    /// Orders applied although stale (only with [`FencingMode::Ignore`]).
+    /// Number of commands applied although their fencing number was old. It stays 0 unless the
+    /// mode is [`FencingMode::Ignore`].
     pub stale_applied: u64,
 }
 
 impl ServingState {
-    /// Serves `models` in role `scrambled`.
+    /// Returns the state of an engine that serves `models` in the role `mixed`.
     pub fn new(mut models: Vec<ModelName>) -> Self {
         models.sort();
         models.dedup();
@@ -75,32 +76,32 @@
         }
     }
 
-    /// Whether `model` is served.
+    /// Returns whether `model` is served.
     pub fn serves(&self, model: &str) -> bool {
         self.models
             .binary_search_by(|m| m.as_str().cmp(model))
             .is_ok()
     }
 
-    /// Applies or refuses an order according to `mode`.
+    /// Applies a command, or refuses it if its fencing number is old and `mode` says so.
     pub fn apply_command(&mut self, command: &Command, mode: FencingMode) -> CommandOutcome {
-        let stale = command.fencing < self.highest_fencing;
-        if stale && mode == FencingMode::Refuse {
+        let is_stale = command.fencing < self.highest_fencing;
+        if is_stale && mode == FencingMode::Refuse {
             return CommandOutcome::RefusedStale;
         }
-        if stale {
+        if is_stale {
             self.stale_applied += 1;
         }
         self.highest_fencing = self.highest_fencing.max(command.fencing);
         match &command.kind {
             CommandKind::LoadModel { model } => {
-                if let Err(at) = self.models.binary_search(model) {
-                    self.models.insert(at, model.clone());
+                if let Err(index) = self.models.binary_search(model) {
+                    self.models.insert(index, model.clone());
                 }
             }
             CommandKind::UnloadModel { model } => {
-                if let Ok(at) = self.models.binary_search(model) {
-                    self.models.remove(at);
+                if let Ok(index) = self.models.binary_search(model) {
+                    self.models.remove(index);
                 }
             }
             CommandKind::ChangeRole { role } => self.role = role.clone(),
--- a/crates/foxwheel-engine-emu/src/lib.rs
+++ b/crates/foxwheel-engine-emu/src/lib.rs
@@ -1,9 +1,10 @@
-//! A stand-in for a model engine, for tests and the main job.
+//! An emulator of a model engine, for tests and for the main job.
 //!
-//! It speaks the OpenAI-compatible completion API with server-sent events, batches
-//! continuously with a per-token time model, keeps a prefix cache in limited memory,
-//! publishes cache events late and with gaps, reports load with a lag, and takes orders
-//! that carry a fencing number, which it refuses when old or ignores, as set.
+//! It serves the OpenAI-compatible completion API with server-sent events, batches requests
+//! continuously under a time model with a cost per token, and keeps a prefix cache of limited
+//! size. It publishes cache events late and with gaps, and its load with a lag. Its commands
+//! carry a fencing number; according to the settings, it refuses commands with an old number or
+//! ignores the number.
 
 pub mod cache;
 pub mod commands;
@@ -12,7 +13,7 @@
 pub mod settings;
 pub mod text;
 
-/// The emulator's parts for `use foxwheel_engine_emu::prelude::*`.
+/// The crate's modules, for `use foxwheel_engine_emu::prelude::*`.
 pub mod prelude {
     pub use crate::{cache, commands, openai, server, settings, text};
 }
--- a/crates/foxwheel-engine-emu/src/openai.rs
+++ b/crates/foxwheel-engine-emu/src/openai.rs
@@ -1,78 +1,79 @@
-//! The OpenAI-compatible request and answer shapes the emulator reads and writes.
+//! The OpenAI-compatible requests and responses of the emulator.
 //!
-//! Only the fields foxwheel relies on are typed; unknown request fields are ignored, as
-//! engines do.
+//! Only the fields that foxwheel depends on are declared. Unknown fields of a request are
+//! ignored, as real engines do.
 
 use serde::{Deserialize, Serialize};
 
-/// Tokens answered when the request names no `max_tokens`.
+/// Number of tokens generated for a request without `max_tokens`.
 pub const DEFAULT_MAX_TOKENS: usize = 16;
 
-/// One chat message.
+/// A chat message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// `system`, `user` or `assistant`.
     pub role: String,
-    /// The text.
+    /// The text of the message.
     pub content: String,
 }
 
-/// A chat or plain completion request; `messages` for chat, `prompt` for plain.
+/// A completion request: a chat request with `messages`, or a plain request with `prompt`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionRequest {
-    /// The model asked for.
+    /// The requested model.
     pub model: String,
-    /// Chat messages.
+    /// The messages of a chat request.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub messages: Vec<Message>,
-    /// Plain prompt.
+    /// The prompt of a plain request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub prompt: Option<String>,
-    /// Tokens to generate.
+    /// Number of tokens to generate, [`DEFAULT_MAX_TOKENS`] if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<usize>,
-    /// Whether to stream server-sent events.
+    /// Whether the response is a stream of server-sent events.
     #[serde(default)]
     pub stream: bool,
 }
 
 impl CompletionRequest {
-    /// The text the answer depends on: the prompt, or the messages joined by newlines.
+    /// Returns the text that the response depends on: the prompt, or else the contents of the
+    /// messages joined by newlines.
     pub fn prompt_text(&self) -> String {
         match &self.prompt {
-            Some(p) => p.clone(),
+            Some(prompt) => prompt.clone(),
             None => self
                 .messages
                 .iter()
-                .map(|m| m.content.as_str())
+                .map(|message| message.content.as_str())
                 .collect::<Vec<_>>()
                 .join("\n"),
         }
     }
 
-    /// Tokens to generate.
+    /// Returns the number of tokens to generate.
     pub fn max_tokens(&self) -> usize {
         self.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS)
     }
 
-    /// Whether this is a chat request.
+    /// Returns whether this is a chat request.
     pub fn is_chat(&self) -> bool {
         self.prompt.is_none()
     }
 }
 
-/// Token counts of an answer.
+/// The token counts of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Prompt tokens.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: usize,
-    /// Generated tokens.
+    /// Number of generated tokens.
     pub completion_tokens: usize,
-    /// Both.
+    /// Sum of both counts.
     pub total_tokens: usize,
 }
 
-/// Builds the whole (non-streamed) answer body.
+/// Returns the body of a response that is not streamed.
 pub fn full_response(
     id: &str,
     request: &CompletionRequest,
@@ -98,14 +99,15 @@
     })
 }
 
-/// Builds one streamed chunk carrying `piece`; `finish` on the last.
+/// Returns one chunk of a streamed response with the text `piece`. The last chunk, with
+/// `is_last`, carries a finish reason.
 pub fn stream_chunk(
     id: &str,
     request: &CompletionRequest,
     piece: &str,
-    finish: bool,
+    is_last: bool,
 ) -> serde_json::Value {
-    let finish_reason = finish.then_some("length");
+    let finish_reason = is_last.then_some("length");
     let choice = if request.is_chat() {
         serde_json::json!({"index": 0, "delta": {"content": piece}, "finish_reason": finish_reason})
     } else {
@@ -119,13 +121,18 @@
     serde_json::json!({"id": id, "object": object, "model": request.model, "choices": [choice]})
 }
 
-/// The text of one chunk or whole answer, whichever shape it has.
+/// Returns the text of a chunk or of a full response, of a chat or of a plain request; `None` if
+/// `value` is neither.
 pub fn extract_text(value: &serde_json::Value) -> Option<&str> {
     let choice = value.get("choices")?.get(0)?;
     choice
         .get("delta")
-        .and_then(|d| d.get("content"))
-        .or_else(|| choice.get("message").and_then(|m| m.get("content")))
+        .and_then(|delta| delta.get("content"))
+        .or_else(|| {
+            choice
+                .get("message")
+                .and_then(|message| message.get("content"))
+        })
         .or_else(|| choice.get("text"))
-        .and_then(|t| t.as_str())
+        .and_then(|text| text.as_str())
 }
--- a/crates/foxwheel-engine-emu/src/server.rs
+++ b/crates/foxwheel-engine-emu/src/server.rs
@@ -1,9 +1,9 @@
-//! The engine emulator's HTTP routes and its continuous-batching time model.
+//! The HTTP routes of the engine emulator and its time model of continuous batching.
 //!
-//! Every admitted sequence holds one of `max_batch` slots; each decode step of a sequence
-//! lasts `decode_step_us + decode_us_per_seq * running`, so a fuller batch is slower per
-//! token, as on a real engine. A stream whose caller goes away is cancelled at once and
-//! frees its slot.
+//! Every running sequence holds one of `max_batch` slots. Each decode step of a sequence takes
+//! `decode_step_us + decode_us_per_seq * running`, so that a fuller batch is slower per token, as
+//! on a real engine. A stream whose caller disconnects is cancelled at its next token and frees
+//! its slot.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -24,52 +24,52 @@
 use crate::settings::{EngineFaults, EngineSettings, ResponseFault};
 use crate::text;
 
-/// Chunks buffered per stream before the engine waits for the reader.
-const STREAM_BUFFER: usize = 64;
+/// Number of chunks buffered per stream before the engine waits for the reader.
+const STREAM_BUFFER_CHUNKS: usize = 64;
 
-/// The engine's load, as published with a lag on `GET /load`.
+/// The load of the engine, as published with a lag by `GET /load`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Sequences decoding now.
+    /// Number of running sequences.
     pub running: usize,
-    /// Sequences waiting for a slot.
+    /// Number of sequences that wait for a slot.
     pub waiting: usize,
-    /// Slots in all.
+    /// Total number of slots.
     pub max_batch: usize,
-    /// Prefix cache tokens held.
+    /// Number of tokens in the prefix cache.
     pub cache_used_tokens: usize,
-    /// Prefix cache capacity in tokens.
+    /// Capacity of the prefix cache, in tokens.
     pub cache_capacity_tokens: usize,
 }
 
-/// Counters on `GET /stats`.
+/// The counters of `GET /stats`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineStats {
-    /// Requests admitted to a slot.
+    /// Number of requests that got a slot.
     pub requests_total: u64,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub tokens_total: u64,
-    /// Streams cancelled because their caller went away.
+    /// Number of running requests cancelled because their caller disconnected.
     pub cancelled_total: u64,
 }
 
-/// The engine: slots, cache, role and counters.
+/// An emulated engine with its slots, prefix cache, served models, faults and counters.
 pub struct Engine {
     settings: EngineSettings,
     slots: Arc<Semaphore>,
     running: AtomicUsize,
     waiting: AtomicUsize,
     cache: Mutex<PrefixCache>,
-    role: Mutex<ServingState>,
+    serving_state: Mutex<ServingState>,
     faults: Mutex<EngineFaults>,
-    published: Mutex<EngineLoad>,
+    published_load: Mutex<EngineLoad>,
     requests_total: AtomicU64,
     tokens_total: AtomicU64,
     cancelled_total: AtomicU64,
 }
 
 impl Engine {
-    /// An idle engine with `settings`.
+    /// Returns an idle engine.
     pub fn new(settings: EngineSettings) -> Self {
         Self {
             slots: Arc::new(Semaphore::new(settings.max_batch)),
@@ -80,8 +80,8 @@
                 settings.cache_event_gap_every,
             )),
             faults: Mutex::new(settings.faults),
-            role: Mutex::new(ServingState::new(settings.models.clone())),
-            published: Mutex::new(EngineLoad::default()),
+            serving_state: Mutex::new(ServingState::new(settings.models.clone())),
+            published_load: Mutex::new(EngineLoad::default()),
             requests_total: AtomicU64::new(0),
             tokens_total: AtomicU64::new(0),
             cancelled_total: AtomicU64::new(0),
@@ -89,7 +89,7 @@
         }
     }
 
-    fn current_load(&self) -> EngineLoad {
+    fn measure_load(&self) -> EngineLoad {
         EngineLoad {
             running: self.running.load(Ordering::Relaxed),
             waiting: self.waiting.load(Ordering::Relaxed),
@@ -99,7 +99,7 @@
         }
     }
 
-    fn step_time(&self) -> Duration {
+    fn decode_step_time(&self) -> Duration {
         let running = self.running.load(Ordering::Relaxed) as u64;
         Duration::from_micros(
             self.settings.decode_step_us + self.settings.decode_us_per_seq * running,
@@ -108,29 +108,30 @@
 
     fn prefill_time(&self, prompt: &str, resume_from: usize) -> Duration {
         let cached = self.cache.lock().expect("cache lock").insert_prompt(prompt);
-        let tokens = text::count_tokens(prompt) + resume_from;
-        let uncached = tokens.saturating_sub(cached) as u64;
+        let token_count = text::count_tokens(prompt) + resume_from;
+        let uncached = token_count.saturating_sub(cached) as u64;
         Duration::from_micros(uncached * self.settings.prefill_us_per_token)
     }
 
-    /// Runs one sequence, sending each token to `out`; stops early when `out` closes.
+    /// Runs one sequence and sends each token to `chunk_sender`. Stops early if the receiver is
+    /// closed.
     async fn generate(
         self: Arc<Self>,
         id: String,
         request: CompletionRequest,
         resume_from: usize,
-        out: mpsc::Sender<String>,
+        chunk_sender: mpsc::Sender<String>,
     ) {
         self.waiting.fetch_add(1, Ordering::Relaxed);
-        let permit = tokio::select! {
-            permit = self.slots.clone().acquire_owned() => permit,
-            _ = out.closed() => {
+        let slot = tokio::select! {
+            slot = self.slots.clone().acquire_owned() => slot,
+            _ = chunk_sender.closed() => {
                 self.waiting.fetch_sub(1, Ordering::Relaxed);
                 return;
             }
         };
         self.waiting.fetch_sub(1, Ordering::Relaxed);
-        let Ok(_permit) = permit else { return };
+        let Ok(_held_slot) = slot else { return };
         self.running.fetch_add(1, Ordering::Relaxed);
         self.requests_total.fetch_add(1, Ordering::Relaxed);
         let prompt = request.prompt_text();
@@ -138,11 +139,11 @@
         let max_tokens = request.max_tokens();
         tokio::time::sleep(self.prefill_time(&prompt, resume_from)).await;
         for index in resume_from..max_tokens {
-            tokio::time::sleep(self.step_time()).await;
+            tokio::time::sleep(self.decode_step_time()).await;
             let piece = text::token(hash, index);
-            let finish = index + 1 == max_tokens;
-            let stream_chunk = openai::stream_chunk(&id, &request, &piece, finish).to_string();
-            if out.send(stream_chunk).await.is_err() {
+            let is_last = index + 1 == max_tokens;
+            let stream_chunk = openai::stream_chunk(&id, &request, &piece, is_last).to_string();
+            if chunk_sender.send(stream_chunk).await.is_err() {
                 self.cancelled_total.fetch_add(1, Ordering::Relaxed);
                 break;
             }
@@ -152,60 +153,61 @@
     }
 }
 
-fn error_body(status: actix_web::http::StatusCode, message: &str) -> HttpResponse {
+fn error_response(status: actix_web::http::StatusCode, message: &str) -> HttpResponse {
     HttpResponse::build(status)
         .json(serde_json::json!({"error": {"message": message, "code": "engine"}}))
 }
 
-async fn complete(
+async fn serve_completion(
     engine: web::Data<Engine>,
-    req: HttpRequest,
+    http_request: HttpRequest,
     body: web::Json<CompletionRequest>,
 ) -> HttpResponse {
     let request = body.into_inner();
     if !engine
-        .role
+        .serving_state
         .lock()
-        .expect("role lock")
+        .expect("serving state lock")
         .serves(&request.model)
     {
-        return error_body(
+        return error_response(
             actix_web::http::StatusCode::NOT_FOUND,
             "model not served here",
         );
     }
-    let resume_from = req
+    let resume_from = http_request
         .headers()
         .get(foxwheel_core::protocol::RESUME_FROM_HEADER)
-        .and_then(|v| v.to_str().ok())
-        .and_then(|v| v.parse().ok())
+        .and_then(|value| value.to_str().ok())
+        .and_then(|value| value.parse().ok())
         .unwrap_or(0);
-    let id = req
+    let id = http_request
         .headers()
         .get(foxwheel_core::protocol::REQUEST_ID_HEADER)
-        .and_then(|v| v.to_str().ok())
+        .and_then(|value| value.to_str().ok())
         .map(str::to_owned)
         .unwrap_or_else(|| format!("cmpl-{}", engine.requests_total.load(Ordering::Relaxed)));
-    let (tx, mut rx) = mpsc::channel::<String>(STREAM_BUFFER);
+    let (chunk_sender, mut chunk_receiver) = mpsc::channel::<String>(STREAM_BUFFER_CHUNKS);
     let engine = engine.into_inner();
     let faults = *engine.faults.lock().expect("faults lock");
-    actix_web::rt::spawn(engine.generate(id.clone(), request.clone(), resume_from, tx));
+    actix_web::rt::spawn(engine.generate(id.clone(), request.clone(), resume_from, chunk_sender));
     if request.stream {
-        let events = apply_fault(sse_events(rx), faults);
+        let events = apply_fault(sse_events(chunk_receiver), faults);
         return HttpResponse::Ok()
             .content_type("text/event-stream")
             .insert_header(("cache-control", "no-cache"))
             .streaming(events);
     }
-    let mut answer = String::new();
-    let mut tokens = 0;
-    while let Some(stream_chunk) = rx.recv().await {
-        if faults.response_fault.is_some() && tokens == faults.after_tokens {
-            let half = futures::stream::once(async { Ok(Bytes::from_static(b"{\"choices\": [")) });
+    let mut response_text = String::new();
+    let mut token_count = 0;
+    while let Some(stream_chunk) = chunk_receiver.recv().await {
+        if faults.response_fault.is_some() && token_count == faults.after_tokens {
+            let truncated_body =
+                futures::stream::once(async { Ok(Bytes::from_static(b"{\"choices\": [")) });
             return HttpResponse::Ok()
                 .content_type("application/json")
                 .streaming(apply_fault(
-                    half,
+                    truncated_body,
                     EngineFaults {
                         after_tokens: 1,
                         ..faults
@@ -213,58 +215,63 @@
                 ));
         }
         let value: serde_json::Value = serde_json::from_str(&stream_chunk).unwrap_or_default();
-        answer.push_str(openai::extract_text(&value).unwrap_or_default());
-        tokens += 1;
+        response_text.push_str(openai::extract_text(&value).unwrap_or_default());
+        token_count += 1;
     }
     let prompt_tokens = text::count_tokens(&request.prompt_text());
     let usage = openai::Usage {
         prompt_tokens,
-        completion_tokens: tokens,
-        total_tokens: prompt_tokens + tokens,
+        completion_tokens: token_count,
+        total_tokens: prompt_tokens + token_count,
     };
-    HttpResponse::Ok().json(openai::full_response(&id, &request, &answer, usage))
+    HttpResponse::Ok().json(openai::full_response(&id, &request, &response_text, usage))
 }
 
-/// Breaks a stream of events as `faults` says, after so many of them.
+/// Applies the response fault of `faults` to a stream of events, after the first
+/// `after_tokens` of them.
 fn apply_fault(
     events: impl futures::Stream<Item = Result<Bytes, actix_web::Error>> + 'static,
     faults: EngineFaults,
 ) -> futures::stream::LocalBoxStream<'static, Result<Bytes, actix_web::Error>> {
     use futures::StreamExt;
-    let Some(how) = faults.response_fault else {
+    let Some(response_fault) = faults.response_fault else {
         return events.boxed_local();
     };
-    let cut = events.take(faults.after_tokens);
-    match how {
-        ResponseFault::EndEarly => cut.boxed_local(),
-        ResponseFault::Stall => cut.chain(futures::stream::pending()).boxed_local(),
+    let sent_events = events.take(faults.after_tokens);
+    match response_fault {
+        ResponseFault::EndEarly => sent_events.boxed_local(),
+        ResponseFault::Stall => sent_events.chain(futures::stream::pending()).boxed_local(),
         ResponseFault::Abort => {
-            let abort = actix_web::error::ErrorInternalServerError("aborted by fault");
-            cut.chain(futures::stream::once(async { Err(abort) }))
+            let abort = actix_web::error::ErrorInternalServerError("response aborted by fault");
+            sent_events
+                .chain(futures::stream::once(async { Err(abort) }))
                 .boxed_local()
         }
     }
 }
 
-/// Turns the chunk channel into server-sent events, ending with `data: [DONE]`.
+/// Returns the chunks of a channel as server-sent events, followed by `data: [DONE]`.
 fn sse_events(
-    rx: mpsc::Receiver<String>,
+    chunk_receiver: mpsc::Receiver<String>,
 ) -> impl futures::Stream<Item = Result<Bytes, actix_web::Error>> {
     use futures::StreamExt;
-    let chunks = receiver_stream(rx).map(|c| Ok(Bytes::from(format!("data: {c}\n\n"))));
+    let chunks =
+        receiver_stream(chunk_receiver).map(|chunk| Ok(Bytes::from(format!("data: {chunk}\n\n"))));
     let done = futures::stream::once(async { Ok(Bytes::from_static(b"data: [DONE]\n\n")) });
     chunks.chain(done)
 }
 
-fn receiver_stream(mut rx: mpsc::Receiver<String>) -> impl futures::Stream<Item = String> {
-    futures::stream::poll_fn(move |cx| rx.poll_recv(cx))
+fn receiver_stream(
+    mut chunk_receiver: mpsc::Receiver<String>,
+) -> impl futures::Stream<Item = String> {
+    futures::stream::poll_fn(move |context| chunk_receiver.poll_recv(context))
 }
 
-async fn load(engine: web::Data<Engine>) -> HttpResponse {
-    HttpResponse::Ok().json(engine.published.lock().expect("load lock").clone())
+async fn get_load(engine: web::Data<Engine>) -> HttpResponse {
+    HttpResponse::Ok().json(engine.published_load.lock().expect("load lock").clone())
 }
 
-async fn stats(engine: web::Data<Engine>) -> HttpResponse {
+async fn get_stats(engine: web::Data<Engine>) -> HttpResponse {
     HttpResponse::Ok().json(EngineStats {
         requests_total: engine.requests_total.load(Ordering::Relaxed),
         tokens_total: engine.tokens_total.load(Ordering::Relaxed),
@@ -272,17 +279,21 @@
     })
 }
 
-async fn models(engine: web::Data<Engine>) -> HttpResponse {
-    let role = engine.role.lock().expect("role lock").clone();
-    HttpResponse::Ok().json(role)
+async fn get_models(engine: web::Data<Engine>) -> HttpResponse {
+    let serving_state = engine
+        .serving_state
+        .lock()
+        .expect("serving state lock")
+        .clone();
+    HttpResponse::Ok().json(serving_state)
 }
 
 async fn apply_command(engine: web::Data<Engine>, body: web::Json<Command>) -> HttpResponse {
     let mode = engine.settings.fencing_mode;
     let outcome = engine
-        .role
+        .serving_state
         .lock()
-        .expect("role lock")
+        .expect("serving state lock")
         .apply_command(&body, mode);
     match outcome {
         CommandOutcome::Applied => HttpResponse::Ok().json(outcome),
@@ -301,7 +312,10 @@
     from: u64,
 }
 
-async fn cache_events(engine: web::Data<Engine>, query: web::Query<EventsQuery>) -> HttpResponse {
+async fn get_cache_events(
+    engine: web::Data<Engine>,
+    query: web::Query<EventsQuery>,
+) -> HttpResponse {
     let lag = Duration::from_millis(engine.settings.report_lag_ms);
     let events = engine
         .cache
@@ -311,19 +325,22 @@
     HttpResponse::Ok().json(events)
 }
 
-/// Registers the engine's routes.
-pub fn routes(cfg: &mut web::ServiceConfig) {
-    cfg.route("/v1/chat/completions", web::post().to(complete))
-        .route("/v1/completions", web::post().to(complete))
-        .route("/v1/models", web::get().to(models))
-        .route("/load", web::get().to(load))
-        .route("/stats", web::get().to(stats))
+/// Registers the routes of the engine.
+pub fn configure_routes(cfg: &mut web::ServiceConfig) {
+    cfg.route("/v1/chat/completions", web::post().to(serve_completion))
+        .route("/v1/completions", web::post().to(serve_completion))
+        .route("/v1/models", web::get().to(get_models))
+        .route("/load", web::get().to(get_load))
+        .route("/stats", web::get().to(get_stats))
         .route("/faults", web::post().to(set_faults))
         .route("/orders", web::post().to(apply_command))
-        .route("/cache/events", web::get().to(cache_events));
+        .route("/cache/events", web::get().to(get_cache_events));
 }
 
-/// Starts the engine; it stops gracefully when `cancel` fires. Returns the bound address.
+/// Starts the engine and returns the address that it listens on and its server. The engine stops
+/// gracefully when `cancel` is cancelled.
+///
+/// Returns an error if the address of the settings can't be bound.
 pub fn start(
     settings: EngineSettings,
     cancel: CancellationToken,
@@ -331,19 +348,19 @@
     let listen_addr = settings.listen_addr.clone();
     let lag = Duration::from_millis(settings.report_lag_ms.max(1));
     let engine = web::Data::from(Arc::new(Engine::new(settings)));
-    let publisher = engine.clone();
+    let publishing_engine = engine.clone();
     let publisher_cancel = cancel.clone();
     actix_web::rt::spawn(async move {
         while !publisher_cancel.is_cancelled() {
-            let now = publisher.current_load();
-            *publisher.published.lock().expect("load lock") = now;
+            let current_load = publishing_engine.measure_load();
+            *publishing_engine.published_load.lock().expect("load lock") = current_load;
             tokio::time::sleep(lag).await;
         }
     });
-    let shape = ServerOptions::default();
-    http::serve(&listen_addr, shape, cancel, move || {
+    let options = ServerOptions::default();
+    http::serve(&listen_addr, options, cancel, move || {
         actix_web::App::new()
             .app_data(engine.clone())
-            .configure(routes)
+            .configure(configure_routes)
     })
 }
--- a/crates/foxwheel-engine-emu/src/text.rs
+++ b/crates/foxwheel-engine-emu/src/text.rs
@@ -1,9 +1,9 @@
-//! The emulator's answers: a fixed function of the prompt, so that a caller can check that
-//! the whole answer it got is the one to its own request.
+//! The text that the emulator generates. It is a fixed function of the prompt, so that a caller
+//! can check that the complete response it received belongs to its own request.
 
 use std::hash::{Hash, Hasher};
 
-/// Words the answers are made of.
+/// The words that generated text consists of.
 const WORDS: &[&str] = &[
     "cedar",
     "larch",
@@ -27,14 +27,15 @@
     "garden",
 ];
 
-/// A stable hash of the prompt text.
+/// Returns a stable hash of the text of a prompt.
 pub fn prompt_hash(prompt: &str) -> u64 {
     let mut hasher = std::collections::hash_map::DefaultHasher::new();
     prompt.hash(&mut hasher);
     hasher.finish()
 }
 
-/// The `index`-th token of the answer to a prompt with hash `hash`, with its trailing space.
+/// Returns the token at `index` of the response to the prompt with hash `hash`, with a trailing
+/// space.
 pub fn token(hash: u64, index: usize) -> String {
     let scrambled = hash
         .wrapping_add(index as u64)
@@ -43,13 +44,13 @@
     format!("{} ", WORDS[(scrambled % WORDS.len() as u64) as usize])
 }
 
-/// The whole answer of `max_tokens` tokens to `prompt`.
+/// Returns the complete response of `max_tokens` tokens to `prompt`.
 pub fn response_text(prompt: &str, max_tokens: usize) -> String {
     let hash = prompt_hash(prompt);
-    (0..max_tokens).map(|i| token(hash, i)).collect()
+    (0..max_tokens).map(|index| token(hash, index)).collect()
 }
 
-/// The number of tokens in a prompt, counted as whitespace-separated words.
+/// Returns the number of tokens in a prompt: its words separated by whitespace, at least 1.
 pub fn count_tokens(prompt: &str) -> usize {
     prompt.split_whitespace().count().max(1)
 }
