--- a/crates/foxwheel-engine-emu/tests/engine_contract.rs
+++ b/crates/foxwheel-engine-emu/tests/engine_contract.rs
@@ -1,4 +1,4 @@
-//! Contract of the model engine's API as the stand-in serves it, with its fault cases.
+//! Checks the API of the engine emulator, with its faults.
 
 use std::time::Duration;
 
@@ -16,12 +16,14 @@
 }
 
 impl Engine {
-    /// Streams cancelled, once there is any: one whose thread stood still may begin, and be
-    /// cancelled, after a later one of another thread was answered.
-    async fn cancelled_in_the_end(&self) -> u64 {
+    /// Waits up to 5 s until a stream is cancelled and returns the number of cancelled streams.
+    ///
+    /// The wait is needed because a stream on a delayed thread can begin, and be cancelled, after a
+    /// later stream on another thread has got its response.
+    async fn wait_for_cancelled_count(&self) -> u64 {
         let mut cancelled = 0;
         for _ in 0..500 {
-            let stats: EngineStats = self.json("/stats").await;
+            let stats: EngineStats = self.get_json("/stats").await;
             cancelled = stats.cancelled_total;
             if cancelled > 0 {
                 break;
@@ -42,7 +44,7 @@
         }
     }
 
-    async fn json<T: serde::de::DeserializeOwned>(&self, path: &str) -> T {
+    async fn get_json<T: serde::de::DeserializeOwned>(&self, path: &str) -> T {
         let mut response = self
             .http
             .get(format!("{}{path}", self.url))
@@ -52,19 +54,24 @@
         response.json().await.expect("json")
     }
 
-    async fn order(&self, fencing: u64, order: serde_json::Value) -> u16 {
-        let body = serde_json::json!({"fencing": fencing, "order": order});
+    async fn send_command(&self, fencing: u64, command: serde_json::Value) -> u16 {
+        let body = serde_json::json!({"fencing": fencing, "order": command});
         self.http
             .post(format!("{}/orders", self.url))
             .send_json(&body)
             .await
-            .expect("order")
+            .expect("command")
             .status()
             .as_u16()
     }
 
-    /// The streamed text and whether the stream ended with `[DONE]`.
-    async fn stream(&self, prompt: &str, tokens: usize, resume_from: usize) -> (String, bool) {
+    /// Returns the streamed text and whether the stream ended with `[DONE]`.
+    async fn stream_completion(
+        &self,
+        prompt: &str,
+        tokens: usize,
+        resume_from: usize,
+    ) -> (String, bool) {
         let body = serde_json::json!({"model": "draftsman", "prompt": prompt, "max_tokens": tokens, "stream": true});
         let mut response = self
             .http
@@ -73,19 +80,21 @@
             .send_json(&body)
             .await
             .expect("stream");
-        let bytes = response.body().await.expect("whole stream");
-        let mut answer = String::new();
+        let bytes = response.body().await.expect("complete stream");
+        let mut response_text = String::new();
         let mut done = false;
         for data in String::from_utf8_lossy(&bytes)
             .lines()
-            .filter_map(|l| l.strip_prefix("data: "))
+            .filter_map(|line| line.strip_prefix("data: "))
         {
             match serde_json::from_str::<serde_json::Value>(data) {
-                Ok(chunk) => answer.push_str(openai::extract_text(&chunk).unwrap_or_default()),
+                Ok(chunk) => {
+                    response_text.push_str(openai::extract_text(&chunk).unwrap_or_default())
+                }
                 Err(_) => done = data == "[DONE]",
             }
         }
-        (answer, done)
+        (response_text, done)
     }
 }
 
@@ -96,48 +105,62 @@
 }
 
 #[actix_web::test]
-async fn a_resumed_stream_goes_on_where_it_stopped() {
+async fn resumed_stream_continues_after_delivered_tokens() {
     let engine = Engine::start(EngineSettings::for_test("draftsman"));
     let hash = text::prompt_hash("cut sheet");
     for delivered in [0, 1, 4, 8, 9] {
-        let head: String = (0..delivered).map(|i| text::token(hash, i)).collect();
-        let (tail, done) = engine.stream("cut sheet", 9, delivered).await;
+        let delivered_text: String = (0..delivered)
+            .map(|index| text::token(hash, index))
+            .collect();
+        let (resumed_text, done) = engine.stream_completion("cut sheet", 9, delivered).await;
         assert_eq!(
-            format!("{head}{tail}"),
+            format!("{delivered_text}{resumed_text}"),
             text::response_text("cut sheet", 9),
             "resumed after {delivered} tokens"
         );
-        assert!(done, "resumed after {delivered} tokens: ends with [DONE]");
+        assert!(
+            done,
+            "resumed after {delivered} tokens: the stream ends with [DONE]"
+        );
     }
 }
 
 #[actix_web::test]
-async fn orders_are_fenced_or_not_by_setting() {
-    let load = |model: &str| serde_json::json!({"kind": "load_model", "model": model});
-    // (case, mode, status of the stale order, whether its model is served afterwards)
+async fn fencing_mode_decides_about_stale_commands() {
+    let load_command = |model: &str| serde_json::json!({"kind": "load_model", "model": model});
+    // (case, mode, status of the stale command, whether its model is served afterwards)
     let cases = [
-        ("refuses old numbers", FencingMode::Refuse, 409, false),
-        ("ignores numbers", FencingMode::Ignore, 200, true),
+        (
+            "refuses old fencing numbers",
+            FencingMode::Refuse,
+            409,
+            false,
+        ),
+        ("ignores fencing numbers", FencingMode::Ignore, 200, true),
     ];
     for (case, fencing_mode, stale_status, stale_served) in cases {
         let engine = Engine::start(EngineSettings {
             fencing_mode,
             ..EngineSettings::for_test("draftsman")
         });
-        assert_eq!(engine.order(7, load("draftsman-v2")).await, 200, "{case}");
         assert_eq!(
-            engine.order(7, load("draftsman-v2")).await,
+            engine.send_command(7, load_command("draftsman-v2")).await,
             200,
-            "{case}: the same sender may repeat an order"
+            "{case}"
         );
-        let stale = engine.order(6, load("draftsman-v1")).await;
+        assert_eq!(
+            engine.send_command(7, load_command("draftsman-v2")).await,
+            200,
+            "{case}: the same sender may repeat a command"
+        );
+        let stale = engine.send_command(6, load_command("draftsman-v1")).await;
         assert_eq!(stale, stale_status, "{case}");
-        let role: serde_json::Value = engine.json("/v1/models").await;
+        let role: serde_json::Value = engine.get_json("/v1/models").await;
         let models: Vec<&str> = role["models"]
             .as_array()
             .expect("models")
             .iter()
-            .filter_map(|m| m.as_str())
+            .filter_map(|model| model.as_str())
             .collect();
         assert!(models.contains(&"draftsman-v2"), "{case}");
         assert_eq!(models.contains(&"draftsman-v1"), stale_served, "{case}");
@@ -145,7 +168,7 @@
 }
 
 #[actix_web::test]
-async fn a_stream_whose_caller_leaves_is_cancelled_and_frees_its_slot() {
+async fn disconnected_stream_is_cancelled_and_frees_its_slot() {
     let engine = Engine::start(EngineSettings {
         max_batch: 1,
         ..EngineSettings::for_test("draftsman")
@@ -158,14 +181,14 @@
         .await
         .expect("stream");
     drop(response);
-    let (answer, done) = engine.stream("short", 3, 0).await;
-    assert_eq!(answer, text::response_text("short", 3));
-    assert!(done, "the only slot was free again");
-    assert_eq!(engine.cancelled_in_the_end().await, 1);
+    let (response_text, done) = engine.stream_completion("short", 3, 0).await;
+    assert_eq!(response_text, text::response_text("short", 3));
+    assert!(done, "the only slot is free again");
+    assert_eq!(engine.wait_for_cancelled_count().await, 1);
 }
 
 #[actix_web::test]
-async fn the_prefix_cache_evicts_and_publishes_late_and_with_gaps() {
+async fn prefix_cache_stays_within_capacity_and_publishes_events_with_gaps() {
     let engine = Engine::start(EngineSettings {
         cache_capacity_tokens: 64,
         cache_event_gap_every: 3,
@@ -173,29 +196,37 @@
     });
     for i in 0..12 {
         let prompt = format!("{i} ").repeat(40);
-        engine.stream(&prompt, 1, 0).await;
+        engine.stream_completion(&prompt, 1, 0).await;
     }
-    let load: EngineLoad = engine.json("/load").await;
-    assert!(load.cache_used_tokens <= 64, "stays within its memory");
-    // Events are published late: wait (bounded) for them.
+    let load: EngineLoad = engine.get_json("/load").await;
+    assert!(
+        load.cache_used_tokens <= 64,
+        "the cache stays within its capacity"
+    );
+    // Events are published with a lag, so wait up to 5 s for them.
     let mut events: Vec<serde_json::Value> = Vec::new();
     for _ in 0..500 {
-        events = engine.json("/cache/events?from=0").await;
+        events = engine.get_json("/cache/events?from=0").await;
         if events.len() >= 4 {
             break;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let numbers: Vec<u64> = events.iter().filter_map(|e| e["seq"].as_u64()).collect();
-    assert!(numbers.len() >= 4, "events arrive: {events:?}");
+    let sequence_numbers: Vec<u64> = events
+        .iter()
+        .filter_map(|event| event["seq"].as_u64())
+        .collect();
+    assert!(sequence_numbers.len() >= 4, "events arrive: {events:?}");
     assert!(
-        numbers.windows(2).any(|w| w[1] > w[0] + 1),
-        "gaps show as missing sequence numbers: {numbers:?}"
+        sequence_numbers
+            .windows(2)
+            .any(|pair| pair[1] > pair[0] + 1),
+        "a dropped event leaves a gap in the sequence numbers: {sequence_numbers:?}"
     );
 }
 
 #[actix_web::test]
-async fn unknown_models_and_bad_bodies_are_refused() {
+async fn unknown_models_and_invalid_bodies_are_rejected() {
     let engine = Engine::start(EngineSettings::for_test("draftsman"));
     // (case, body, status)
     let cases = [
