--- a/crates/foxwheel-platform-emu/src/lib.rs
+++ b/crates/foxwheel-platform-emu/src/lib.rs
@@ -1,16 +1,16 @@
-//! A stand-in for the platform's object store, for tests and the main job.
+//! An emulator of the platform's object store, for tests and for the main job.
 //!
-//! It keeps objects in memory with a store-wide revision, answers the published calls under
-//! `/api/objects`, counts every call, limits read and write rates, and injects faults:
-//! outages in several ways and for some hosts only, slowness, answers lost after the write
-//! took effect or before it does late, a history that is dropped.
+//! It keeps objects in memory under a store-wide revision, serves the published API under
+//! `/api/objects`, counts all calls, and limits the rates of reads and writes. It injects faults:
+//! outages of several kinds, for all hosts or for some, slow responses, responses that are lost
+//! though the write takes effect before or some time later, and the loss of the change history.
 
 pub mod data_file;
 pub mod server;
 pub mod settings;
 pub mod state;
 
-/// The emulator's parts for `use foxwheel_platform_emu::prelude::*`.
+/// The crate's modules, for `use foxwheel_platform_emu::prelude::*`.
 pub mod prelude {
     pub use crate::{data_file, server, settings, state};
 }
--- a/crates/foxwheel-platform-emu/src/main.rs
+++ b/crates/foxwheel-platform-emu/src/main.rs
@@ -1,4 +1,4 @@
-//! `foxwheel-platform-emu`: the platform object API stand-in.
+//! `foxwheel-platform-emu`: an emulator of the platform's object API.
 
 use foxwheel_core::{cli, shutdown, telemetry};
 use foxwheel_platform_emu::{server, settings::PlatformSettings};
@@ -8,7 +8,7 @@
     telemetry::init_logging();
     let settings: PlatformSettings = cli::load_settings_or_exit(
         "foxwheel-platform-emu",
-        "A stand-in for the platform's object API.",
+        "An emulator of the platform's object API.",
     );
     let cancel = shutdown::cancel_on_signal();
     let (addr, server) = server::start(&settings, cancel)?;
--- a/crates/foxwheel-platform-emu/src/server.rs
+++ b/crates/foxwheel-platform-emu/src/server.rs
@@ -1,4 +1,4 @@
-//! The emulator's HTTP routes.
+//! The HTTP routes of the platform emulator.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -17,16 +17,16 @@
 use crate::settings::PlatformSettings;
 use crate::state::{Metadata, Object, ObjectStore, RateLimit, StoreError};
 
-/// Longest a watch may wait, in milliseconds.
+/// Longest time that a watch waits for changes, in milliseconds.
 const MAX_WATCH_WAIT_MS: u64 = 30_000;
 
-/// Most objects on one page of a list.
-const PAGE_OBJECTS: usize = 500;
+/// Largest number of objects on one page of a list.
+const MAX_PAGE_OBJECTS: usize = 500;
 
-/// The pause between two saves of the data file.
+/// Time between two checks whether the data file has to be saved.
 const SAVE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Which budget a call is charged to.
+/// The kind of a call, which decides its counter and its rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallKind {
     Read,
@@ -34,56 +34,60 @@
     Watch,
 }
 
-struct Inner {
-    data: ObjectStore,
+struct State {
+    store: ObjectStore,
     reads: RateLimit,
     writes: RateLimit,
     counts: CallCounts,
     faults: Faults,
-    writes_seen: u64,
+    write_count: u64,
 }
 
-/// The emulator: its data behind one lock, and a notifier for waiting watches.
+/// The emulator, with its state behind one lock and a notifier that wakes waiting watches.
 pub struct Emulator {
-    inner: Mutex<Inner>,
-    changed: tokio::sync::Notify,
-    started: Instant,
+    state: Mutex<State>,
+    store_changed: tokio::sync::Notify,
+    started_at: Instant,
 }
 
 impl Emulator {
-    /// A store with the limits in `settings`, holding what its data file holds, if any.
+    /// Returns an emulator with the limits of `settings` and the objects of its data file, if any.
+    ///
+    /// Returns an error if the data file can't be read.
     pub fn new(settings: &PlatformSettings) -> std::io::Result<Self> {
         let saved = settings.data_file.as_deref().map(data_file::load);
-        let data = match saved.transpose()?.flatten() {
+        let store = match saved.transpose()?.flatten() {
             Some(saved) => ObjectStore::restore(saved, settings.history_len),
             None => ObjectStore::new(settings.history_len),
         };
         Ok(Self {
-            inner: Mutex::new(Inner {
-                data,
+            state: Mutex::new(State {
+                store,
                 reads: RateLimit::new(settings.read_limit_per_s),
                 writes: RateLimit::new(settings.write_limit_per_s),
                 counts: CallCounts::default(),
                 faults: Faults::default(),
-                writes_seen: 0,
+                write_count: 0,
             }),
-            changed: tokio::sync::Notify::new(),
-            started: Instant::now(),
+            store_changed: tokio::sync::Notify::new(),
+            started_at: Instant::now(),
         })
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Inner> {
-        self.inner.lock().expect("emulator lock")
+    fn lock(&self) -> std::sync::MutexGuard<'_, State> {
+        self.state.lock().expect("emulator lock")
     }
 
-    /// Counts the call, applies the delay fault, and refuses it under an outage or limit.
-    async fn admit(&self, kind: CallKind, request: &HttpRequest) -> Result<(), HttpResponse> {
+    /// Applies the delay fault, counts the call, and refuses it during an outage or over the rate
+    /// limit. The error is the response to the refused call; under [`Refusal::Silent`] this never
+    /// returns.
+    async fn admit_call(&self, kind: CallKind, request: &HttpRequest) -> Result<(), HttpResponse> {
         let caller = request.peer_addr().map(|addr| addr.ip());
         let delay_ms = self.lock().faults.delay_ms;
         if delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
-        let refusal = self.count(kind, caller);
+        let refusal = self.record_call(kind, caller);
         match refusal {
             None => Ok(()),
             Some(Refusal::Busy) => Err(HttpResponse::ServiceUnavailable().body("outage")),
@@ -95,49 +99,50 @@
         }
     }
 
-    /// Counts the call; answers how it is turned away, if it is.
-    fn count(&self, kind: CallKind, caller: Option<IpAddr>) -> Option<Refusal> {
-        let mut inner = self.lock();
+    /// Counts the call and returns how it is refused, `None` if it is not.
+    fn record_call(&self, kind: CallKind, caller: Option<IpAddr>) -> Option<Refusal> {
+        let mut state = self.lock();
         match kind {
-            CallKind::Read => inner.counts.reads += 1,
-            CallKind::Write => inner.counts.writes += 1,
-            CallKind::Watch => inner.counts.watches += 1,
+            CallKind::Read => state.counts.reads += 1,
+            CallKind::Write => state.counts.writes += 1,
+            CallKind::Watch => state.counts.watches += 1,
         }
-        let hosts = &inner.faults.only_hosts;
-        let meant = hosts.is_empty() || caller.is_some_and(|ip| hosts.contains(&ip));
-        let refusal = if inner.faults.outage && meant {
-            Some(inner.faults.refusal)
+        let hosts = &state.faults.only_hosts;
+        let is_affected = hosts.is_empty() || caller.is_some_and(|ip| hosts.contains(&ip));
+        let refusal = if state.faults.outage && is_affected {
+            Some(state.faults.refusal)
         } else {
-            let started = self.started;
-            let allowed = match kind {
-                CallKind::Write => inner.writes.try_acquire(started),
-                CallKind::Read | CallKind::Watch => inner.reads.try_acquire(started),
+            let started_at = self.started_at;
+            let is_allowed = match kind {
+                CallKind::Write => state.writes.try_acquire(started_at),
+                CallKind::Read | CallKind::Watch => state.reads.try_acquire(started_at),
             };
-            (!allowed).then_some(Refusal::RateLimited)
+            (!is_allowed).then_some(Refusal::RateLimited)
         };
-        inner.counts.refused += u64::from(refusal.is_some());
+        state.counts.refused += u64::from(refusal.is_some());
         refusal
     }
 
-    /// If the answer of this write is to be lost: how long before the write is done.
-    fn next_lost_write_delay(&self) -> Option<Duration> {
-        let mut inner = self.lock();
-        inner.writes_seen += 1;
-        let every = inner.faults.lose_reply_every;
-        let lost = every > 0 && inner.writes_seen % every == 0;
-        lost.then(|| Duration::from_millis(inner.faults.late_ms))
+    /// Counts the write. If its response is to be lost, returns the delay after which the write is
+    /// applied.
+    fn lost_response_delay(&self) -> Option<Duration> {
+        let mut state = self.lock();
+        state.write_count += 1;
+        let every = state.faults.lose_reply_every;
+        let is_lost = every > 0 && state.write_count % every == 0;
+        is_lost.then(|| Duration::from_millis(state.faults.late_ms))
     }
 
-    fn apply(&self, change: WriteOperation) -> Result<Object, StoreError> {
-        let result = change.apply(&mut self.lock().data);
+    fn apply_write(&self, write: WriteOperation) -> Result<Object, StoreError> {
+        let result = write.apply_to(&mut self.lock().store);
         if result.is_ok() {
-            self.changed.notify_waiters();
+            self.store_changed.notify_waiters();
         }
         result
     }
 }
 
-/// One write.
+/// A write to the store.
 enum WriteOperation {
     Create {
         kind: String,
@@ -161,12 +166,12 @@
 }
 
 impl WriteOperation {
-    fn apply(self, data: &mut ObjectStore) -> Result<Object, StoreError> {
+    fn apply_to(self, store: &mut ObjectStore) -> Result<Object, StoreError> {
         match self {
-            Self::Create { kind, object } => data.create(&kind, object),
+            Self::Create { kind, object } => store.create(&kind, object),
             Self::Replace { kind, name, body } => {
                 let finalizers = body.metadata.finalizers;
-                data.change(&kind, &name, body.metadata.revision, |object| {
+                store.update(&kind, &name, body.metadata.revision, |object| {
                     object.spec = body.spec;
                     if let Some(finalizers) = finalizers {
                         object.metadata.finalizers = finalizers;
@@ -174,7 +179,7 @@
                 })
             }
             Self::SetStatus { kind, name, body } => {
-                data.change(&kind, &name, body.metadata.revision, |object| {
+                store.update(&kind, &name, body.metadata.revision, |object| {
                     object.status = body.status;
                 })
             }
@@ -182,14 +187,14 @@
                 kind,
                 name,
                 revision,
-            } => data.change(&kind, &name, revision, |object| {
+            } => store.update(&kind, &name, revision, |object| {
                 object.metadata.deleting = true;
             }),
         }
     }
 }
 
-/// The body of a write.
+/// The body of a write request.
 #[derive(Debug, Default, Deserialize)]
 struct ObjectBody {
     #[serde(default)]
@@ -208,15 +213,16 @@
     finalizers: Option<Vec<String>>,
 }
 
-/// An answer that breaks off, so that the connection closes without a whole answer.
+/// Returns a response whose body fails at once, so that the connection closes without a complete
+/// response.
 fn aborted_response() -> HttpResponse {
-    let broken = std::io::Error::from(std::io::ErrorKind::ConnectionReset);
-    let body = futures::stream::once(async move { Err::<web::Bytes, _>(broken) });
+    let reset = std::io::Error::from(std::io::ErrorKind::ConnectionReset);
+    let body = futures::stream::once(async move { Err::<web::Bytes, _>(reset) });
     HttpResponse::Ok().streaming(body)
 }
 
-fn refusal(refused: StoreError) -> HttpResponse {
-    match refused {
+fn error_response(error: StoreError) -> HttpResponse {
+    match error {
         StoreError::NotFound => HttpResponse::NotFound().finish(),
         StoreError::Conflict(object) => HttpResponse::Conflict().json(object),
         StoreError::HistoryExpired => HttpResponse::Gone().finish(),
@@ -224,42 +230,42 @@
     }
 }
 
-async fn write(
-    emu: web::Data<Emulator>,
+async fn serve_write(
+    emulator: web::Data<Emulator>,
     request: HttpRequest,
-    change: WriteOperation,
+    write: WriteOperation,
 ) -> HttpResponse {
-    if let Err(refused) = emu.admit(CallKind::Write, &request).await {
-        return refused;
+    if let Err(response) = emulator.admit_call(CallKind::Write, &request).await {
+        return response;
     }
-    match emu.next_lost_write_delay() {
-        None => match emu.apply(change) {
+    match emulator.lost_response_delay() {
+        None => match emulator.apply_write(write) {
             Ok(object) => HttpResponse::Ok().json(object),
-            Err(refused) => refusal(refused),
+            Err(error) => error_response(error),
         },
-        Some(late) if late.is_zero() => {
-            // Its answer is lost, whatever it is.
-            let _ = emu.apply(change);
+        Some(late_delay) if late_delay.is_zero() => {
+            // The response is lost, whether the write succeeds or not.
+            let _ = emulator.apply_write(write);
             aborted_response()
         }
-        Some(late) => {
+        Some(late_delay) => {
             actix_web::rt::spawn(async move {
-                tokio::time::sleep(late).await;
-                let _ = emu.apply(change);
+                tokio::time::sleep(late_delay).await;
+                let _ = emulator.apply_write(write);
             });
             aborted_response()
         }
     }
 }
 
-async fn create(
-    emu: web::Data<Emulator>,
+async fn serve_create(
+    emulator: web::Data<Emulator>,
     request: HttpRequest,
     kind: web::Path<String>,
     body: web::Json<ObjectBody>,
 ) -> HttpResponse {
     let body = body.into_inner();
-    let change = WriteOperation::Create {
+    let write = WriteOperation::Create {
         kind: kind.into_inner(),
         object: Object {
             metadata: Metadata {
@@ -273,29 +279,39 @@
             status: body.status,
         },
     };
-    write(emu, request, change).await
+    serve_write(emulator, request, write).await
 }
 
-async fn replace(
-    emu: web::Data<Emulator>,
+async fn serve_replace(
+    emulator: web::Data<Emulator>,
     request: HttpRequest,
     path: web::Path<(String, String)>,
     body: web::Json<ObjectBody>,
 ) -> HttpResponse {
     let (kind, name) = path.into_inner();
     let body = body.into_inner();
-    write(emu, request, WriteOperation::Replace { kind, name, body }).await
+    serve_write(
+        emulator,
+        request,
+        WriteOperation::Replace { kind, name, body },
+    )
+    .await
 }
 
-async fn set_status(
-    emu: web::Data<Emulator>,
+async fn serve_set_status(
+    emulator: web::Data<Emulator>,
     request: HttpRequest,
     path: web::Path<(String, String)>,
     body: web::Json<ObjectBody>,
 ) -> HttpResponse {
     let (kind, name) = path.into_inner();
     let body = body.into_inner();
-    write(emu, request, WriteOperation::SetStatus { kind, name, body }).await
+    serve_write(
+        emulator,
+        request,
+        WriteOperation::SetStatus { kind, name, body },
+    )
+    .await
 }
 
 #[derive(Debug, Deserialize)]
@@ -303,34 +319,34 @@
     revision: Option<Version>,
 }
 
-async fn delete(
-    emu: web::Data<Emulator>,
+async fn serve_delete(
+    emulator: web::Data<Emulator>,
     request: HttpRequest,
     path: web::Path<(String, String)>,
     query: web::Query<DeleteQuery>,
 ) -> HttpResponse {
     let (kind, name) = path.into_inner();
-    let change = WriteOperation::Delete {
+    let write = WriteOperation::Delete {
         kind,
         name,
         revision: query.revision,
     };
-    write(emu, request, change).await
+    serve_write(emulator, request, write).await
 }
 
-async fn get_one(
-    emu: web::Data<Emulator>,
+async fn serve_get(
+    emulator: web::Data<Emulator>,
     request: HttpRequest,
     path: web::Path<(String, String)>,
 ) -> HttpResponse {
-    if let Err(refused) = emu.admit(CallKind::Read, &request).await {
-        return refused;
+    if let Err(response) = emulator.admit_call(CallKind::Read, &request).await {
+        return response;
     }
     let (kind, name) = path.into_inner();
-    let found = emu.lock().data.get(&kind, &name);
+    let found = emulator.lock().store.get(&kind, &name);
     match found {
         Ok(object) => HttpResponse::Ok().json(object),
-        Err(refused) => refusal(refused),
+        Err(error) => error_response(error),
     }
 }
 
@@ -343,113 +359,118 @@
     wait_ms: u64,
 }
 
-async fn list_or_watch(
-    emu: web::Data<Emulator>,
+async fn serve_list_or_watch(
+    emulator: web::Data<Emulator>,
     request: HttpRequest,
     kind: web::Path<String>,
     query: web::Query<ListQuery>,
 ) -> HttpResponse {
     if let Some(from) = query.watch {
-        return watch(emu, request, &kind, from, query.wait_ms).await;
+        return serve_watch(emulator, request, &kind, from, query.wait_ms).await;
     }
-    if let Err(refused) = emu.admit(CallKind::Read, &request).await {
-        return refused;
+    if let Err(response) = emulator.admit_call(CallKind::Read, &request).await {
+        return response;
     }
-    let inner = emu.lock();
-    let (items, has_more) = inner.data.list(&kind, &query.after, PAGE_OBJECTS);
-    let as_of = inner.data.revision();
+    let state = emulator.lock();
+    let (items, has_more) = state.store.list(&kind, &query.after, MAX_PAGE_OBJECTS);
+    let as_of = state.store.revision();
     HttpResponse::Ok().json(json!({ "items": items, "has_more": has_more, "as_of": as_of }))
 }
 
-async fn watch(
-    emu: web::Data<Emulator>,
+async fn serve_watch(
+    emulator: web::Data<Emulator>,
     request: HttpRequest,
     kind: &str,
     from: Version,
     wait_ms: u64,
 ) -> HttpResponse {
-    if let Err(refused) = emu.admit(CallKind::Watch, &request).await {
-        return refused;
+    if let Err(response) = emulator.admit_call(CallKind::Watch, &request).await {
+        return response;
     }
     let deadline = Instant::now() + Duration::from_millis(wait_ms.min(MAX_WATCH_WAIT_MS));
     loop {
-        let notified = emu.changed.notified();
+        let notified = emulator.store_changed.notified();
         tokio::pin!(notified);
         notified.as_mut().enable();
         let (events, as_of) = {
-            let inner = emu.lock();
-            match inner.data.changes_since(kind, from) {
-                Ok(events) => (events, inner.data.revision()),
-                Err(refused) => return refusal(refused),
+            let state = emulator.lock();
+            match state.store.changes_since(kind, from) {
+                Ok(events) => (events, state.store.revision()),
+                Err(error) => return error_response(error),
             }
         };
         let now = Instant::now();
         if !events.is_empty() || now >= deadline {
-            let delay_ms = emu.lock().faults.watch_delay_ms;
+            let delay_ms = emulator.lock().faults.watch_delay_ms;
             tokio::time::sleep(Duration::from_millis(delay_ms)).await;
             return HttpResponse::Ok().json(json!({ "events": events, "as_of": as_of }));
         }
-        // The end of the wait is seen above.
+        // A timeout needs no handling: the loop checks the deadline.
         let _ = tokio::time::timeout(deadline - now, notified).await;
     }
 }
 
-async fn stats(emu: web::Data<Emulator>) -> HttpResponse {
-    let inner = emu.lock();
-    let mut counts = inner.counts.clone();
-    (counts.objects, counts.stored_bytes) = inner.data.object_count_and_bytes();
+async fn get_stats(emulator: web::Data<Emulator>) -> HttpResponse {
+    let state = emulator.lock();
+    let mut counts = state.counts.clone();
+    (counts.objects, counts.stored_bytes) = state.store.object_count_and_bytes();
     HttpResponse::Ok().json(counts)
 }
 
-async fn set_faults(emu: web::Data<Emulator>, faults: web::Json<Faults>) -> HttpResponse {
+async fn set_faults(emulator: web::Data<Emulator>, faults: web::Json<Faults>) -> HttpResponse {
     let faults = faults.into_inner();
     log::info!("faults set: {faults:?}");
-    emu.lock().faults = faults;
+    emulator.lock().faults = faults;
     HttpResponse::Ok().json(json!({}))
 }
 
-async fn drop_history(emu: web::Data<Emulator>) -> HttpResponse {
+async fn drop_history(emulator: web::Data<Emulator>) -> HttpResponse {
     log::info!("history dropped");
-    emu.lock().data.drop_history();
-    emu.changed.notify_waiters();
+    emulator.lock().store.drop_history();
+    emulator.store_changed.notify_waiters();
     HttpResponse::Ok().json(json!({}))
 }
 
-/// Registers the emulator's routes.
-pub fn routes(cfg: &mut web::ServiceConfig) {
-    let kind = "/api/objects/{kind}";
-    let one = "/api/objects/{kind}/{name}";
-    cfg.route(kind, web::get().to(list_or_watch))
-        .route(kind, web::post().to(create))
-        .route(one, web::get().to(get_one))
-        .route(one, web::put().to(replace))
-        .route(one, web::delete().to(delete))
+/// Registers the routes of the emulator.
+pub fn configure_routes(cfg: &mut web::ServiceConfig) {
+    let kind_path = "/api/objects/{kind}";
+    let object_path = "/api/objects/{kind}/{name}";
+    cfg.route(kind_path, web::get().to(serve_list_or_watch))
+        .route(kind_path, web::post().to(serve_create))
+        .route(object_path, web::get().to(serve_get))
+        .route(object_path, web::put().to(serve_replace))
+        .route(object_path, web::delete().to(serve_delete))
         .route(
             "/api/objects/{kind}/{name}/status",
-            web::put().to(set_status),
+            web::put().to(serve_set_status),
         )
-        .route("/stats", web::get().to(stats))
+        .route("/stats", web::get().to(get_stats))
         .route("/faults", web::post().to(set_faults))
         .route("/drop-history", web::post().to(drop_history));
 }
 
-/// Saves the objects whenever they changed, until `cancel` fires and once more then.
-async fn save_periodically(emu: web::Data<Emulator>, path: PathBuf, cancel: CancellationToken) {
+/// Saves the objects after changes, at most once per [`SAVE_INTERVAL`], and a last time when
+/// `cancel` is cancelled.
+async fn save_periodically(
+    emulator: web::Data<Emulator>,
+    path: PathBuf,
+    cancel: CancellationToken,
+) {
     let mut saved_revision = 0;
     loop {
-        let stopping = cancel.is_cancelled();
+        let is_stopping = cancel.is_cancelled();
         let snapshot = {
-            let inner = emu.lock();
-            let changed = inner.data.revision() != saved_revision;
-            changed.then(|| inner.data.snapshot())
+            let state = emulator.lock();
+            let has_changed = state.store.revision() != saved_revision;
+            has_changed.then(|| state.store.snapshot())
         };
         if let Some(snapshot) = snapshot {
             match data_file::save(&path, &snapshot) {
                 Ok(()) => saved_revision = snapshot.revision,
-                Err(e) => log::warn!("{} not written: {e}", path.display()),
+                Err(error) => log::warn!("cannot write the data file {}: {error}", path.display()),
             }
         }
-        if stopping {
+        if is_stopping {
             return;
         }
         tokio::select! {
@@ -459,23 +480,26 @@
     }
 }
 
-/// Starts the emulator; it stops gracefully when `cancel` fires. Returns the bound address.
+/// Starts the emulator and returns the address that it listens on and its server. The emulator
+/// stops gracefully when `cancel` is cancelled.
+///
+/// Returns an error if the data file can't be read or the address of the settings can't be bound.
 pub fn start(
     settings: &PlatformSettings,
     cancel: CancellationToken,
 ) -> std::io::Result<(SocketAddr, actix_web::dev::Server)> {
-    let emu = web::Data::from(Arc::new(Emulator::new(settings)?));
+    let emulator = web::Data::from(Arc::new(Emulator::new(settings)?));
     if let Some(path) = settings.data_file.clone() {
-        actix_web::rt::spawn(save_periodically(emu.clone(), path, cancel.clone()));
+        actix_web::rt::spawn(save_periodically(emulator.clone(), path, cancel.clone()));
     }
-    let shape = ServerOptions {
+    let options = ServerOptions {
         shutdown_timeout: Duration::from_secs(5),
         ..ServerOptions::default()
     };
-    http::serve(&settings.listen_addr, shape, cancel, move || {
+    http::serve(&settings.listen_addr, options, cancel, move || {
         actix_web::App::new()
-            .app_data(emu.clone())
+            .app_data(emulator.clone())
             .app_data(web::JsonConfig::default().limit(2 * 1024 * 1024))
-            .configure(routes)
+            .configure(configure_routes)
     })
 }
--- a/crates/foxwheel-platform-emu/src/state.rs
+++ b/crates/foxwheel-platform-emu/src/state.rs
@@ -1,5 +1,5 @@
-//! The emulator's data: objects by kind and name, the revision, the change history and the
-//! rate limits.
+//! The state of the emulated store: objects by kind and name, the store's revision, the change
+//! history, and the rate limits.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -8,23 +8,24 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Why a call was refused by the data layer.
+/// Why the store refuses a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreError {
-    /// The object is not there.
+    /// The object does not exist.
     NotFound,
-    /// The object exists already, or a conditional write found another revision.
+    /// The object to create exists already, or it has another revision than a conditional write
+    /// names. Carries the stored object.
     Conflict(Box<Object>),
-    /// The watch asked for history no longer kept.
+    /// The watch starts before the oldest change that is kept.
     HistoryExpired,
     /// The value is larger than 1 MiB.
     TooLarge,
 }
 
-/// Largest value stored, in bytes of JSON.
+/// Largest size of an object's spec and status together, in bytes of JSON.
 pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
-/// A per-second rate limit, counted in whole seconds since start.
+/// A limit of calls per second, counted in whole seconds since the start of the emulator.
 #[derive(Debug)]
 pub struct RateLimit {
     limit_per_s: u64,
@@ -33,7 +34,7 @@
 }
 
 impl RateLimit {
-    /// Allows `limit_per_s` calls in each second.
+    /// Returns a limit of `limit_per_s` calls in each second.
     pub fn new(limit_per_s: u64) -> Self {
         Self {
             limit_per_s,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Takes one call's allowance; `false` when this second's is spent.
+    /// Counts one call. Returns false if the calls of the current second are used up.
     pub fn try_acquire(&mut self, started: Instant) -> bool {
         let second = started.elapsed().as_secs();
         if second != self.second {
@@ -57,21 +58,21 @@
     }
 }
 
-/// What the store says of an object beside its content.
+/// The metadata of an object.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Metadata {
-    /// Its name within its kind.
+    /// The name of the object, unique within its kind.
     pub name: String,
-    /// The revision of its last change; never zero.
+    /// The revision of the last change of the object. A stored object never has revision 0.
     #[serde(default)]
     pub revision: Version,
-    /// The revision at which it was created.
+    /// The revision at which the object was created.
     #[serde(default)]
     pub created: Version,
-    /// Names that must be taken off before a deleted object goes.
+    /// Names that must all be removed before a deleted object is removed from the store.
     #[serde(default)]
     pub finalizers: Vec<String>,
-    /// It is deleted but for its finalizers.
+    /// Whether the object is deleted and waits for the removal of its finalizers.
     #[serde(default)]
     pub deleting: bool,
 }
@@ -79,38 +80,38 @@
 /// A stored object.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Object {
-    /// Name and revision.
+    /// The metadata of the object.
     pub metadata: Metadata,
-    /// What its writer stored.
+    /// The content that its writer stores.
     #[serde(default)]
     pub spec: Value,
-    /// What is reported on it.
+    /// The status that is reported about the object.
     #[serde(default)]
     pub status: Value,
 }
 
-/// One change.
+/// One change of an object.
 #[derive(Debug, Clone, Serialize)]
 pub struct ChangeEvent {
     /// The kind of the object.
     #[serde(skip)]
     pub kind: String,
-    /// The object as it is, or last was.
+    /// The object after the change; for a removal, its last state.
     pub object: Object,
-    /// It was removed.
+    /// Whether the object was removed.
     pub tombstone: bool,
 }
 
-/// Everything that is kept over a restart.
+/// The content of the store that survives a restart.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct StoreSnapshot {
-    /// The store's revision.
+    /// The revision of the store.
     pub revision: Version,
-    /// Kinds and their objects, sorted by kind and name.
+    /// The objects with their kinds, sorted by kind and name.
     pub objects: Vec<(String, Object)>,
 }
 
-/// All objects and their history.
+/// All objects and the history of their changes.
 ///
 /// Invariant: `revision` is the largest revision of any object or event, and every event in
 /// `history` is newer than `history_start`.
@@ -126,7 +127,7 @@
 }
 
 impl ObjectStore {
-    /// Empty, keeping `history_len` changes for watches.
+    /// Returns an empty store that keeps the last `history_len` changes for watches.
     pub fn new(history_len: usize) -> Self {
         Self {
             objects: Vec::new(),
@@ -138,10 +139,14 @@
         }
     }
 
-    /// The objects of `saved` at its revision. Watches from before it must list again, as
-    /// the changes that led to it are not kept.
+    /// Returns a store with the objects and the revision of `saved`. Watches that start before this
+    /// revision must list again, because a snapshot does not contain the history.
     pub fn restore(saved: StoreSnapshot, history_len: usize) -> Self {
-        let stored_bytes = saved.objects.iter().map(|(_, o)| value_bytes(o)).sum();
+        let stored_bytes = saved
+            .objects
+            .iter()
+            .map(|(_, object)| value_bytes(object))
+            .sum();
         Self {
             objects: saved.objects,
             revision: saved.revision,
@@ -151,7 +156,7 @@
         }
     }
 
-    /// What is kept over a restart.
+    /// Returns the content that survives a restart.
     pub fn snapshot(&self) -> StoreSnapshot {
         StoreSnapshot {
             revision: self.revision,
@@ -159,28 +164,32 @@
         }
     }
 
-    /// The current revision.
+    /// Returns the current revision.
     pub fn revision(&self) -> Version {
         self.revision
     }
 
-    /// Counts of objects and bytes.
+    /// Returns the number of objects and the sum of their sizes in bytes.
     pub fn object_count_and_bytes(&self) -> (u64, u64) {
         (self.objects.len() as u64, self.stored_bytes)
     }
 
-    /// One object.
+    /// Returns an object, or [`StoreError::NotFound`].
     pub fn get(&self, kind: &str, name: &str) -> Result<Object, StoreError> {
-        let at = self.position(kind, name);
-        at.map(|at| self.objects[at].1.clone())
+        let index = self.find_index(kind, name);
+        index
+            .map(|index| self.objects[index].1.clone())
             .map_err(|_| StoreError::NotFound)
     }
 
-    /// At most `limit` objects of a kind whose names come after `after`, and whether there
+    /// Returns the first `limit` objects of a kind whose names sort after `after`, and whether there
     /// are more.
     pub fn list(&self, kind: &str, after: &str, limit: usize) -> (Vec<Object>, bool) {
-        let of_kind = self.objects.iter().filter(|(k, _)| k == kind);
-        let mut objects: Vec<Object> = of_kind
+        let kind_objects = self
+            .objects
+            .iter()
+            .filter(|(object_kind, _)| object_kind == kind);
+        let mut objects: Vec<Object> = kind_objects
             .filter(|(_, object)| object.metadata.name.as_str() > after)
             .map(|(_, object)| object.clone())
             .take(limit + 1)
@@ -190,10 +199,13 @@
         (objects, has_more)
     }
 
-    /// Creates an object.
+    /// Creates an object and returns it as stored.
+    ///
+    /// Returns [`StoreError::Conflict`] if it exists, and [`StoreError::TooLarge`] if it is larger
+    /// than [`MAX_VALUE_BYTES`].
     pub fn create(&mut self, kind: &str, object: Object) -> Result<Object, StoreError> {
         self.check_size(&object)?;
-        let Err(at) = self.position(kind, &object.metadata.name) else {
+        let Err(index) = self.find_index(kind, &object.metadata.name) else {
             let current = self.get(kind, &object.metadata.name)?;
             return Err(StoreError::Conflict(Box::new(current)));
         };
@@ -203,29 +215,34 @@
         created.metadata.created = self.revision;
         created.metadata.deleting = false;
         self.stored_bytes += value_bytes(&created);
-        self.objects.insert(at, (kind.to_owned(), created.clone()));
-        self.record(kind, created.clone(), false);
+        self.objects
+            .insert(index, (kind.to_owned(), created.clone()));
+        self.append_history(kind, created.clone(), false);
         Ok(created)
     }
 
-    /// Changes an object, if it has `revision` where one is given. A change that alters
-    /// nothing makes no event. A deleted object goes with its last finalizer.
-    pub fn change(
+    /// Updates an object and returns it as stored. An update that changes nothing creates no event.
+    /// A deleted object is removed together with its last finalizer.
+    ///
+    /// Returns [`StoreError::Conflict`] if `revision` is given and is not that of the object,
+    /// [`StoreError::NotFound`] if the object does not exist, and [`StoreError::TooLarge`] if it
+    /// would be larger than [`MAX_VALUE_BYTES`].
+    pub fn update(
         &mut self,
         kind: &str,
         name: &str,
         revision: Option<Version>,
-        alter: impl FnOnce(&mut Object),
+        apply_update: impl FnOnce(&mut Object),
     ) -> Result<Object, StoreError> {
-        let at = self
-            .position(kind, name)
+        let index = self
+            .find_index(kind, name)
             .map_err(|_| StoreError::NotFound)?;
-        let current = self.objects[at].1.clone();
+        let current = self.objects[index].1.clone();
         if revision.is_some_and(|revision| revision != current.metadata.revision) {
             return Err(StoreError::Conflict(Box::new(current)));
         }
         let mut changed = current.clone();
-        alter(&mut changed);
+        apply_update(&mut changed);
         if changed == current {
             return Ok(current);
         }
@@ -234,28 +251,29 @@
         changed.metadata.revision = self.revision;
         self.stored_bytes += value_bytes(&changed);
         self.stored_bytes -= value_bytes(&current);
-        let goes = changed.metadata.deleting && changed.metadata.finalizers.is_empty();
-        if goes {
+        let is_removed = changed.metadata.deleting && changed.metadata.finalizers.is_empty();
+        if is_removed {
             self.stored_bytes -= value_bytes(&changed);
-            self.objects.remove(at);
+            self.objects.remove(index);
         } else {
-            self.objects[at].1 = changed.clone();
+            self.objects[index].1 = changed.clone();
         }
-        self.record(kind, changed.clone(), goes);
+        self.append_history(kind, changed.clone(), is_removed);
         Ok(changed)
     }
 
-    /// Changes of `kind` after `from`, or `HistoryExpired` when they are no longer all kept.
+    /// Returns the changes of `kind` after the revision `from`, or [`StoreError::HistoryExpired`] if
+    /// they are no longer all kept.
     pub fn changes_since(&self, kind: &str, from: Version) -> Result<Vec<ChangeEvent>, StoreError> {
         if from < self.history_start {
             return Err(StoreError::HistoryExpired);
         }
-        let newer =
+        let is_newer =
             |event: &&ChangeEvent| event.object.metadata.revision > from && event.kind == kind;
-        Ok(self.history.iter().filter(newer).cloned().collect())
+        Ok(self.history.iter().filter(is_newer).cloned().collect())
     }
 
-    /// Forgets the whole history.
+    /// Drops the whole change history.
     pub fn drop_history(&mut self) {
         self.history.clear();
         self.history_start = self.revision;
@@ -268,13 +286,13 @@
         Ok(())
     }
 
-    fn position(&self, kind: &str, name: &str) -> Result<usize, usize> {
-        self.objects.binary_search_by(|(k, object)| {
-            (k.as_str(), object.metadata.name.as_str()).cmp(&(kind, name))
+    fn find_index(&self, kind: &str, name: &str) -> Result<usize, usize> {
+        self.objects.binary_search_by(|(object_kind, object)| {
+            (object_kind.as_str(), object.metadata.name.as_str()).cmp(&(kind, name))
         })
     }
 
-    fn record(&mut self, kind: &str, object: Object, tombstone: bool) {
+    fn append_history(&mut self, kind: &str, object: Object, tombstone: bool) {
         self.history.push_back(ChangeEvent {
             kind: kind.to_owned(),
             object,
