--- a/crates/foxwheel-platform-emu/tests/reflector_contract.rs
+++ b/crates/foxwheel-platform-emu/tests/reflector_contract.rs
@@ -1,5 +1,5 @@
-//! The reflector against the store stand-in: it follows every change, and a busy prefix does
-//! not cost a watch call per change.
+//! Checks the reflector against the store emulator: it receives all changes, and a prefix that
+//! changes often does not cost one watch call per change.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use tokio_util::sync::CancellationToken;
 
 #[actix_web::test]
-async fn many_changes_come_in_few_watch_calls() {
+async fn one_watch_call_returns_several_changes() {
     let cancel = CancellationToken::new();
     let (addr, server) =
         server::start(&PlatformSettings::for_test(), cancel.clone()).expect("store starts");
@@ -22,7 +22,7 @@
         store.put(&key, &n, None).await.expect("write");
     }
     for _ in 0..500 {
-        if reflector.read(|s| s.revision) == 60 {
+        if reflector.read(|state| state.revision) == 60 {
             break;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -30,7 +30,11 @@
     let values: Vec<(u64, _)> = reflector.snapshot().decode_all("test");
     let mut values: Vec<u64> = values.into_iter().map(|(value, _)| value).collect();
     values.sort_unstable();
-    assert_eq!(values, (40..60).collect::<Vec<u64>>(), "the last of each");
+    assert_eq!(
+        values,
+        (40..60).collect::<Vec<u64>>(),
+        "the last value of each key"
+    );
     let watches = store.stats().await.expect("stats").watches;
     assert!(watches <= 30, "{watches} watch calls for 60 changes");
     cancel.cancel();
--- a/crates/foxwheel-platform-emu/tests/store_contract.rs
+++ b/crates/foxwheel-platform-emu/tests/store_contract.rs
@@ -1,5 +1,5 @@
-//! Contract of the platform object API, as the stand-in serves it and foxwheel's client
-//! reads it, with its fault cases in a table.
+//! Checks the platform's object API as the emulator serves it and foxwheel's clients use it, with
+//! its faults.
 
 use std::time::Duration;
 
@@ -23,62 +23,74 @@
     (StoreClient::new(format!("http://{addr}")), cancel)
 }
 
-/// What a case expects of its last call.
+/// The expected outcome of a call.
 #[derive(Debug)]
-enum Expect {
+enum ExpectedOutcome {
     Ok,
     NotFound,
     Conflict,
     Unavailable,
 }
 
-fn judge<T: std::fmt::Debug>(name: &str, result: Result<T, StoreError>, expect: &Expect) {
+fn assert_outcome<T: std::fmt::Debug>(
+    case: &str,
+    result: Result<T, StoreError>,
+    expected: &ExpectedOutcome,
+) {
     let ok = matches!(
-        (&result, expect),
-        (Ok(_), Expect::Ok)
-            | (Err(StoreError::NotFound), Expect::NotFound)
-            | (Err(StoreError::Conflict { .. }), Expect::Conflict)
-            | (Err(StoreError::Unavailable { .. }), Expect::Unavailable)
+        (&result, expected),
+        (Ok(_), ExpectedOutcome::Ok)
+            | (Err(StoreError::NotFound), ExpectedOutcome::NotFound)
+            | (Err(StoreError::Conflict { .. }), ExpectedOutcome::Conflict)
+            | (
+                Err(StoreError::Unavailable { .. }),
+                ExpectedOutcome::Unavailable
+            )
     );
-    assert!(ok, "case '{name}': expected {expect:?}, got {result:?}");
+    assert!(ok, "case '{case}': expected {expected:?}, got {result:?}");
 }
 
 #[actix_web::test]
-async fn conditional_updates_follow_the_contract() {
+async fn conditional_updates_check_the_version() {
     let (store, _cancel) = start(&settings(100));
     let value = serde_json::json!({"a": 1});
     let first = store.put("k/1", &value, Some(0)).await.expect("create");
-    // (case, key, if_version, expected)
-    let cases: &[(&str, &str, Option<u64>, Expect)] = &[
+    // (case, key, expected version, expected outcome)
+    let cases: &[(&str, &str, Option<u64>, ExpectedOutcome)] = &[
         (
             "create again when present",
             "k/1",
             Some(0),
-            Expect::Conflict,
+            ExpectedOutcome::Conflict,
         ),
         (
             "update at a stale version",
             "k/1",
             Some(first.version + 100),
-            Expect::Conflict,
+            ExpectedOutcome::Conflict,
         ),
         (
             "update at the current version",
             "k/1",
             Some(first.version),
-            Expect::Ok,
+            ExpectedOutcome::Ok,
+        ),
+        ("unconditional write", "k/1", None, ExpectedOutcome::Ok),
+        ("create when absent", "k/2", Some(0), ExpectedOutcome::Ok),
+        (
+            "update of an absent key",
+            "k/3",
+            Some(5),
+            ExpectedOutcome::Conflict,
         ),
-        ("unconditional write", "k/1", None, Expect::Ok),
-        ("create when absent", "k/2", Some(0), Expect::Ok),
-        ("update of an absent key", "k/3", Some(5), Expect::Conflict),
     ];
-    for (name, key, if_version, expect) in cases {
-        judge(name, store.put(key, &value, *if_version).await, expect);
+    for (case, key, if_version, expected) in cases {
+        assert_outcome(case, store.put(key, &value, *if_version).await, expected);
     }
-    judge(
+    assert_outcome(
         "get of an absent key",
         store.get("k/none").await,
-        &Expect::NotFound,
+        &ExpectedOutcome::NotFound,
     );
     let listed = store.list("k/").await.expect("list");
     assert_eq!(listed.objects.len(), 2);
@@ -86,19 +98,19 @@
 }
 
 #[actix_web::test]
-async fn faults_follow_the_contract() {
+async fn faults_decide_outcome_and_effect_of_a_write() {
     let (store, _cancel) = start(&settings(100));
     let value = serde_json::json!({"v": 1});
-    // (case, faults, expected of a put, whether the write takes effect)
-    let cases: &[(&str, Faults, Expect, bool)] = &[
-        ("no fault", Faults::default(), Expect::Ok, true),
+    // (case, faults, expected outcome of a put, whether the write takes effect)
+    let cases: &[(&str, Faults, ExpectedOutcome, bool)] = &[
+        ("no fault", Faults::default(), ExpectedOutcome::Ok, true),
         (
             "outage",
             Faults {
                 outage: true,
                 ..Faults::default()
             },
-            Expect::Unavailable,
+            ExpectedOutcome::Unavailable,
             false,
         ),
         (
@@ -107,7 +119,7 @@
                 delay_ms: 200,
                 ..Faults::default()
             },
-            Expect::Ok,
+            ExpectedOutcome::Ok,
             true,
         ),
         (
@@ -116,25 +128,25 @@
                 lose_reply_every: 1,
                 ..Faults::default()
             },
-            Expect::Unavailable,
+            ExpectedOutcome::Unavailable,
             true,
         ),
     ];
-    for (i, (name, faults, expect, takes_effect)) in cases.iter().enumerate() {
+    for (index, (case, faults, expected, takes_effect)) in cases.iter().enumerate() {
         store.set_faults(faults).await.expect("faults set");
-        let key = format!("f/{i}");
-        judge(name, store.put(&key, &value, Some(0)).await, expect);
+        let key = format!("f/{index}");
+        assert_outcome(case, store.put(&key, &value, Some(0)).await, expected);
         store
             .set_faults(&Faults::default())
             .await
             .expect("faults cleared");
         let found = store.get(&key).await.is_ok();
-        assert_eq!(found, *takes_effect, "case '{name}': write took effect");
+        assert_eq!(found, *takes_effect, "case '{case}': write took effect");
     }
 }
 
 #[actix_web::test]
-async fn watch_sees_every_change_after_its_version() {
+async fn watch_returns_all_changes_after_its_version() {
     let (store, _cancel) = start(&settings(100));
     let from = store.list("w/").await.expect("list").revision;
     let writer = store.clone();
@@ -144,54 +156,54 @@
         writer.put("other/x", &1, None).await.expect("write x");
         writer.delete("w/a", None).await.expect("delete a");
     });
-    let mut seen = Vec::new();
+    let mut events = Vec::new();
     let mut revision = from;
-    while seen.len() < 2 {
-        let answer = store
+    while events.len() < 2 {
+        let response = store
             .watch("w/", revision, Duration::from_secs(5))
             .await
             .expect("watch");
-        revision = answer.revision;
-        seen.extend(answer.events);
+        revision = response.revision;
+        events.extend(response.events);
     }
-    assert_eq!(seen[0].key, "w/a");
-    assert!(seen[0].value.is_some());
+    assert_eq!(events[0].key, "w/a");
+    assert!(events[0].value.is_some());
     assert!(
-        seen[1].value.is_none(),
-        "the delete is seen as an event without value"
+        events[1].value.is_none(),
+        "a delete is an event without a value"
     );
-    assert!(seen[0].version < seen[1].version);
+    assert!(events[0].version < events[1].version);
 }
 
 #[actix_web::test]
-async fn watch_from_a_version_no_longer_kept_is_gone() {
+async fn watch_from_a_dropped_version_is_refused() {
     let (store, _cancel) = start(&settings(2));
-    for i in 0..5 {
-        store.put("g/k", &i, None).await.expect("write");
+    for index in 0..5 {
+        store.put("g/k", &index, None).await.expect("write");
     }
-    let answer = store.watch("g/", 1, Duration::from_millis(10)).await;
+    let response = store.watch("g/", 1, Duration::from_millis(10)).await;
     assert!(
-        matches!(answer, Err(StoreError::HistoryExpired)),
-        "got {answer:?}"
+        matches!(response, Err(StoreError::HistoryExpired)),
+        "got {response:?}"
     );
 }
 
 #[actix_web::test]
-async fn rate_limit_refuses_writes_over_budget() {
-    let mut limited = settings(100);
-    limited.write_limit_per_s = 3;
-    let (store, _cancel) = start(&limited);
-    let mut refused = 0;
-    for i in 0..10 {
-        match store.put(&format!("r/{i}"), &i, Some(0)).await {
+async fn rate_limit_refuses_excess_writes() {
+    let mut limited_settings = settings(100);
+    limited_settings.write_limit_per_s = 3;
+    let (store, _cancel) = start(&limited_settings);
+    let mut refused_count = 0;
+    for index in 0..10 {
+        match store.put(&format!("r/{index}"), &index, Some(0)).await {
             Ok(_) => {}
-            Err(StoreError::RateLimited { .. }) => refused += 1,
-            Err(e) => panic!("a refusal by the rate limit took no effect and says so: {e}"),
+            Err(StoreError::RateLimited { .. }) => refused_count += 1,
+            Err(error) => panic!("writes over the rate limit return RateLimited, got: {error}"),
         }
     }
     assert!(
-        refused >= 4,
-        "refused {refused} of 10 writes over a budget of 3 a second"
+        refused_count >= 4,
+        "refused {refused_count} of 10 writes over a limit of 3 per second"
     );
     let counts = store.stats().await.expect("stats");
     assert_eq!(counts.writes, 10);
@@ -199,9 +211,9 @@
 
 #[actix_web::test]
 async fn objects_and_versions_survive_a_restart() {
-    let folder = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("restart");
-    std::fs::create_dir_all(&folder).expect("folder");
-    let data_file = folder.join("objects.json");
+    let directory = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("restart");
+    std::fs::create_dir_all(&directory).expect("directory");
+    let data_file = directory.join("objects.json");
     let _ = std::fs::remove_file(&data_file);
     let settings = PlatformSettings {
         data_file: Some(data_file),
@@ -219,21 +231,27 @@
         cancel.cancel();
         (addr, server)
     };
-    server.await.expect("stopped").expect("stopped well");
+    server
+        .await
+        .expect("stopped")
+        .expect("stopped without error");
     let (store, _cancel) = start(&PlatformSettings {
         listen_addr: addr.to_string(),
         ..settings
     });
-    let stored = store.stats().await.expect("stats").objects;
-    assert_eq!(stored, 1, "no object of any kind comes back");
+    let object_count = store.stats().await.expect("stats").objects;
+    assert_eq!(
+        object_count, 1,
+        "only the object that was not deleted is restored"
+    );
     let listed = store.list("k/").await.expect("list");
-    assert_eq!(listed.revision, 4, "versions go on from where they were");
+    assert_eq!(listed.revision, 4, "versions continue after the restart");
     assert_eq!(listed.objects.len(), 1);
     assert_eq!(listed.objects[0].version, 2);
-    judge(
-        "a stale version is still refused",
+    assert_outcome(
+        "update at a stale version",
         store.put("k/1", &9, Some(1)).await,
-        &Expect::Conflict,
+        &ExpectedOutcome::Conflict,
     );
     assert!(
         matches!(
@@ -244,10 +262,10 @@
     );
 }
 
-/// How the stand-in turns calls away, and what the client makes of it: a call that was
-/// certainly not done may be made again without a look.
+/// Checks which kinds of refusal tell the client that the write was not done, so that it can be
+/// repeated without reading the object first.
 #[actix_web::test]
-async fn every_kind_of_refusal_says_what_is_known() {
+async fn client_knows_which_refused_writes_are_not_done() {
     let (client, _cancel) = start(&settings(100));
     let addr = client.base_url().rsplit('/').next().expect("an address");
     let store = Store::new(addr.parse().expect("an address"));
@@ -256,7 +274,7 @@
         name: name.to_owned(),
         spec: "1".to_owned(),
     };
-    // (refusal, whether the client knows that nothing was done)
+    // (refusal, whether the client knows that the write was not done)
     let cases = [
         (Refusal::Busy, true),
         (Refusal::RateLimited, true),
@@ -270,7 +288,7 @@
             ..Faults::default()
         };
         client.set_faults(&faults).await.expect("faults set");
-        let error = store.write(&create("x")).await.expect_err("turned away");
+        let error = store.write(&create("x")).await.expect_err("refused");
         assert_eq!(error.is_not_done(), not_done, "{refusal:?}: {error}");
     }
     client
@@ -280,9 +298,10 @@
     assert_eq!(store.get("k", "x").await.expect("read"), None);
 }
 
-/// Only some hosts are turned away; the others and the operator are served.
+/// Checks that an outage limited to some hosts refuses their calls, while other hosts and changes of
+/// the faults are served.
 #[actix_web::test]
-async fn an_outage_may_concern_some_hosts_only() {
+async fn outage_can_be_limited_to_some_hosts() {
     let (client, _cancel) = start(&settings(100));
     let faults = |host: &str| Faults {
         outage: true,
@@ -301,12 +320,17 @@
         .set_faults(&faults("127.0.0.1"))
         .await
         .expect("faults set");
-    judge("own host", client.get("k/1").await, &Expect::Unavailable);
+    assert_outcome(
+        "own host",
+        client.get("k/1").await,
+        &ExpectedOutcome::Unavailable,
+    );
 }
 
-/// A write whose answer is lost may be done seconds later, if its condition still holds.
+/// Checks that a write whose response was lost can still be applied after a delay, and that it is
+/// not applied if another write changed the object in the meantime.
 #[actix_web::test]
-async fn a_late_write_is_done_only_if_its_condition_still_holds() {
+async fn delayed_write_is_applied_only_if_its_condition_still_holds() {
     let (client, _cancel) = start(&settings(100));
     client.put("k/1", &1, Some(0)).await.expect("create");
     client.put("k/2", &1, Some(0)).await.expect("create");
@@ -316,15 +340,15 @@
         ..Faults::default()
     };
     client.set_faults(&faults).await.expect("faults set");
-    judge(
-        "late write",
+    assert_outcome(
+        "delayed write",
         client.put("k/1", &2, Some(1)).await,
-        &Expect::Unavailable,
+        &ExpectedOutcome::Unavailable,
     );
-    judge(
-        "late write",
+    assert_outcome(
+        "delayed write",
         client.put("k/2", &2, Some(2)).await,
-        &Expect::Unavailable,
+        &ExpectedOutcome::Unavailable,
     );
     client
         .set_faults(&Faults::default())
@@ -333,38 +357,41 @@
     client
         .put("k/2", &3, Some(2))
         .await
-        .expect("overtakes the late write");
-    let mut late = 1;
+        .expect("a write before the delayed write");
+    let mut delayed_value = 1;
     for _ in 0..200 {
-        late = client
+        delayed_value = client
             .get_value("k/1")
             .await
             .expect("read")
             .map_or(0, |(value, _)| value);
-        if late == 2 {
+        if delayed_value == 2 {
             break;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    assert_eq!(late, 2, "its condition held");
-    let (overtaken, _) = client
+    assert_eq!(delayed_value, 2, "the condition of the delayed write holds");
+    let (kept_value, _) = client
         .get_value::<u64>("k/2")
         .await
         .expect("read")
         .expect("there");
-    assert_eq!(overtaken, 3, "its condition did not hold any more");
+    assert_eq!(
+        kept_value, 3,
+        "the condition of the delayed write does not hold any more"
+    );
 }
 
-/// Lists come in pages, writes that alter nothing make no event, and a status is written
-/// apart from the rest.
+/// Checks that lists are read in pages, that a write without a change creates no event, and that a
+/// status is written without the spec.
 #[actix_web::test]
-async fn lists_statuses_and_events_follow_the_protocol() {
+async fn lists_are_paged_and_unchanged_status_creates_no_event() {
     let (client, _cancel) = start(&settings(10_000));
     let addr = client.base_url().rsplit('/').next().expect("an address");
     let store = Store::new(addr.parse().expect("an address"));
-    for at in 0..1_200 {
+    for index in 0..1_200 {
         client
-            .put(&format!("k/{at:05}"), &at, Some(0))
+            .put(&format!("k/{index:05}"), &index, Some(0))
             .await
             .expect("create");
     }
@@ -391,7 +418,11 @@
     let Ok(WatchOutcome::Changes { changes, revision }) = watched else {
         panic!("{watched:?}");
     };
-    assert_eq!(changes.len(), 1, "the repeat altered nothing");
+    assert_eq!(
+        changes.len(),
+        1,
+        "the repeated write changes nothing and creates no event"
+    );
     assert_eq!(changes[0].object.spec, 7);
     assert_eq!(changes[0].object.status["state"], "running");
     assert_eq!(revision, listing.revision + 1);
