--- a/crates/foxwheel-agent/src/settings.rs
+++ b/crates/foxwheel-agent/src/settings.rs
@@ -1,4 +1,4 @@
-//! The agent's settings file.
+//! Settings file of the agent.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -13,51 +13,57 @@
 pub struct AgentSettings {
     /// Address to listen on, e.g. `127.0.0.1:7400`.
     pub listen_addr: String,
-    /// Address gateways use to reach this agent; defaults to the bound address.
+    /// Address at which gateways reach this agent; the bound address when absent.
     #[serde(default)]
     pub advertise_addr: Option<String>,
-    /// Address of the control channel gateways poll; the IP of `listen_addr` with an
+    /// Address of the control channel that gateways poll; the IP of `listen_addr` with an
     /// ephemeral port when absent.
     #[serde(default)]
     pub control_addr: Option<String>,
-    /// This host's name.
+    /// Name of this host.
     pub host: HostId,
-    /// This host's zone.
+    /// Availability zone of this host.
     pub zone: Zone,
-    /// The deployment the backend serves.
+    /// Deployment that the backend belongs to.
     pub deployment: DeploymentName,
-    /// Model engine or plain service.
+    /// Kind of the backend: a model engine or a plain service.
     pub backend: BackendKind,
-    /// The backend's base URL, e.g. `http://127.0.0.1:7300`.
+    /// Base URL of the backend, e.g. `http://127.0.0.1:7300`.
     pub backend_url: String,
-    /// The platform store's base URL.
+    /// Base URL of the platform store.
     pub store_url: String,
-    /// Requests on the backend at once, all classes.
+    /// Maximum number of requests, online and batch together, that run on the backend at the same
+    /// time.
     #[serde(default = "default_max_running")]
     pub max_running: u32,
-    /// Batch requests on the backend at once, at most; batch only fills spare capacity.
+    /// Maximum number of batch requests that run on the backend at the same time. Batch requests
+    /// only use capacity that online requests leave free.
     #[serde(default = "default_max_batch_running")]
     pub max_batch_running: u32,
-    /// Online requests waiting for a slot, at most; more are refused at once, not run.
+    /// Maximum number of online requests that wait for a slot; further ones are refused immediately
+    /// without being run.
     #[serde(default = "default_max_waiting")]
     pub max_waiting_online: u32,
-    /// Batch requests waiting for spare capacity, at most.
+    /// Maximum number of batch requests that wait for a slot; further ones are refused immediately
+    /// without being run.
     #[serde(default = "default_max_waiting")]
     pub max_waiting_batch: u32,
-    /// How often the membership lease is renewed, in milliseconds. Each renewal is a write to
-    /// the store, so it is rare: gateways learn of a dead host from the control channel.
+    /// Interval between renewals of the membership lease, in milliseconds. Each renewal is a write
+    /// to the store, so the interval is long; gateways detect a dead host over the control channel.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// How long a lease lasts unless renewed, in milliseconds; more than `heartbeat_ms`.
+    /// Time after which the membership lease expires unless it is renewed, in milliseconds; must
+    /// exceed `heartbeat_ms`.
     #[serde(default = "default_lease_ttl_ms")]
     pub lease_ttl_ms: u64,
-    /// How long a draining agent keeps serving after announcing it, in milliseconds.
+    /// Time for which a stopping agent keeps serving after it has announced that it drains, in
+    /// milliseconds.
     #[serde(default = "default_drain_grace_ms")]
     pub drain_grace_ms: u64,
-    /// How long one forwarded request may take, in milliseconds.
+    /// Timeout of one forwarded request, in milliseconds.
     #[serde(default = "default_request_timeout_ms")]
     pub request_timeout_ms: u64,
-    /// statsd address for counters; none drops them.
+    /// Address that counters are sent to in the statsd protocol; they are not sent when absent.
     #[serde(default)]
     pub statsd_addr: Option<String>,
 }
@@ -85,7 +91,8 @@
 }
 
 impl AgentSettings {
-    /// Settings for tests: ephemeral ports in suwon-hall, few slots, fast leases.
+    /// Returns settings for tests: ephemeral ports, the zone `suwon-hall`, few slots and a short
+    /// lease.
     pub fn for_test(
         deployment: &str,
         backend: BackendKind,
