--- a/crates/foxwheel-agent/tests/agent_contract.rs
+++ b/crates/foxwheel-agent/tests/agent_contract.rs
@@ -1,5 +1,5 @@
-//! Contract of the agent towards gateways, with its fault cases in a table: what it answers
-//! while its backend is well, gone, full, or it is draining.
+//! Tests of the agent's contract with gateways: how it responds while its backend works, cannot be
+//! reached or closes connections, while its queue is full and while it is draining.
 
 mod common;
 
@@ -11,53 +11,53 @@
     fault: BackendFault,
     class: &'static str,
     status: u16,
-    /// The run-state header a refusal must carry, if any.
+    /// Expected value of the run state header; `None` if the header must be absent.
     run_state: Option<&'static str>,
-    retry_after: bool,
+    has_retry_after: bool,
 }
 
 #[actix_web::test]
-async fn requests_follow_the_contract_under_faults() {
+async fn responses_have_the_expected_status_and_run_state_under_each_fault() {
     let cases = [
         Case {
-            name: "online, all well",
+            name: "online request, no fault",
             fault: BackendFault::None,
             class: "online",
             status: 200,
             run_state: None,
-            retry_after: false,
+            has_retry_after: false,
         },
         Case {
-            name: "batch, all well",
+            name: "batch request, no fault",
             fault: BackendFault::None,
             class: "batch",
             status: 200,
             run_state: None,
-            retry_after: false,
+            has_retry_after: false,
         },
         Case {
-            name: "engine gone: nothing received it, so another host may run it",
-            fault: BackendFault::Gone,
+            name: "engine unreachable: the request has not run and may be sent to another host",
+            fault: BackendFault::Unreachable,
             class: "online",
             status: 503,
             run_state: Some("not_run"),
-            retry_after: true,
+            has_retry_after: true,
         },
         Case {
-            name: "engine gone, batch",
-            fault: BackendFault::Gone,
+            name: "engine unreachable, batch request",
+            fault: BackendFault::Unreachable,
             class: "batch",
             status: 503,
             run_state: Some("not_run"),
-            retry_after: true,
+            has_retry_after: true,
         },
         Case {
-            name: "engine closes the connection after reading the request: may have run",
-            fault: BackendFault::HangsUp,
+            name: "engine closes the connection after reading the request: it may have run",
+            fault: BackendFault::ClosesConnection,
             class: "online",
             status: 502,
             run_state: Some("unknown"),
-            retry_after: false,
+            has_retry_after: false,
         },
         Case {
             name: "draining",
@@ -65,15 +65,15 @@
             class: "online",
             status: 503,
             run_state: Some("not_run"),
-            retry_after: true,
+            has_retry_after: true,
         },
         Case {
-            name: "online queue full: refused at once, nothing waits for its deadline",
+            name: "online queue full: refused immediately instead of waiting until the deadline",
             fault: BackendFault::QueueFull,
             class: "online",
             status: 429,
             run_state: Some("not_run"),
-            retry_after: true,
+            has_retry_after: true,
         },
         Case {
             name: "batch queue full",
@@ -81,7 +81,7 @@
             class: "batch",
             status: 429,
             run_state: Some("not_run"),
-            retry_after: true,
+            has_retry_after: true,
         },
     ];
     for case in cases {
@@ -95,7 +95,7 @@
             )
             .await
             .unwrap_or_else(|e| panic!("case '{}': {e}", case.name));
-        let header = |name: &str| {
+        let header_value = |name: &str| {
             response
                 .headers()
                 .get(name)
@@ -104,14 +104,14 @@
         };
         assert_eq!(response.status(), case.status, "case '{}'", case.name);
         assert_eq!(
-            header(RUN_STATE_HEADER).as_deref(),
+            header_value(RUN_STATE_HEADER).as_deref(),
             case.run_state,
             "case '{}': run state",
             case.name
         );
         assert_eq!(
-            header("retry-after").is_some(),
-            case.retry_after,
+            header_value("retry-after").is_some(),
+            case.has_retry_after,
             "case '{}': Retry-After",
             case.name
         );
@@ -119,9 +119,9 @@
 }
 
 #[actix_web::test]
-async fn drain_is_told_over_the_control_channel_and_in_the_member_record() {
+async fn draining_is_reported_over_the_control_channel_and_in_the_membership_record() {
     let agent = Agent::start(BackendFault::None).await;
-    let member = agent.wait_for_member("ready").await;
+    let member = agent.wait_for_member_state("ready").await;
     let control_addr = member["control_addr"].as_str().expect("control address");
     let control = foxwheel_control::client::ControlClient::connect(
         control_addr,
@@ -137,43 +137,44 @@
         .await
         .expect("drain");
     assert!(control.load().await.expect("poll").draining);
-    agent.wait_for_member("draining").await;
+    agent.wait_for_member_state("draining").await;
 }
 
 #[actix_web::test]
-async fn a_preempted_batch_request_leaves_the_engine_and_goes_on_where_it_stopped() {
+async fn a_preempted_batch_request_is_cancelled_at_the_engine_and_resumes_where_it_stopped() {
     let agent = Agent::start(BackendFault::None).await;
-    let ask = |class: &'static str, prompt: &'static str, tokens: usize| {
-        let sent = agent
+    let spawn_request = |class: &'static str, prompt: &'static str, max_tokens: usize| {
+        let pending = agent
             .http
             .post(format!("{}/v1/completions", agent.url))
             .insert_header((CLASS_HEADER, class))
             .send_json(
-                &serde_json::json!({"model": "draftsman", "prompt": prompt, "max_tokens": tokens}),
+                &serde_json::json!({"model": "draftsman", "prompt": prompt, "max_tokens": max_tokens}),
             );
         actix_web::rt::spawn(async move {
-            let mut response = sent.await.expect("answer");
+            let mut response = pending.await.expect("response");
             response.json::<serde_json::Value>().await.expect("json")
         })
     };
-    let batch = ask("batch", "renewal letter", 600);
+    let batch_request = spawn_request("batch", "renewal letter", 600);
     agent.wait_until_engine_generated(100).await;
-    // The one slot is the batch request's: each online request preempts it.
+    // The batch request holds the only slot, so each online request preempts it.
     for _ in 0..3 {
-        let online = ask("online", "permit?", 5).await.expect("online");
-        let answer = foxwheel_engine_emu::openai::extract_text(&online);
+        let online_response = spawn_request("online", "permit?", 5).await.expect("online");
+        let text = foxwheel_engine_emu::openai::extract_text(&online_response);
         assert_eq!(
-            answer,
+            text,
             Some(foxwheel_engine_emu::text::response_text("permit?", 5).as_str())
         );
     }
-    let batch = batch.await.expect("batch");
-    let whole = foxwheel_engine_emu::text::response_text("renewal letter", 600);
-    let answer = foxwheel_engine_emu::openai::extract_text(&batch);
-    assert_eq!(answer, Some(whole.as_str()));
-    assert_eq!(batch["object"], "text_completion");
-    assert_eq!(batch["usage"]["completion_tokens"], 600);
-    // It was cancelled at the engine and not begun again: few tokens came twice.
+    let batch_response = batch_request.await.expect("batch");
+    let expected_text = foxwheel_engine_emu::text::response_text("renewal letter", 600);
+    let text = foxwheel_engine_emu::openai::extract_text(&batch_response);
+    assert_eq!(text, Some(expected_text.as_str()));
+    assert_eq!(batch_response["object"], "text_completion");
+    assert_eq!(batch_response["usage"]["completion_tokens"], 600);
+    // The batch request was cancelled at the engine and not started over, so only few tokens were
+    // generated twice.
     let stats = agent.engine_stats().await;
     assert!(stats.cancelled_total >= 1, "{stats:?}");
     assert!(stats.tokens_total < 600 + 15 + 100, "{stats:?}");
--- a/crates/foxwheel-agent/tests/common/mod.rs
+++ b/crates/foxwheel-agent/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! One agent with a store stand-in and a backend under a chosen fault.
+//! Runs one agent with an emulated platform store and a backend with a given fault.
 
 use std::time::Duration;
 
@@ -14,27 +14,27 @@
 use tokio::io::AsyncReadExt;
 use tokio_util::sync::CancellationToken;
 
-/// What is wrong with the backend or the agent.
+/// Fault of the backend, or state of the agent in which it refuses requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackendFault {
-    /// Nothing.
+    /// The backend works and the agent accepts requests.
     None,
-    /// Nothing listens at its address.
-    Gone,
-    /// It reads the request, then closes the connection.
-    HangsUp,
-    /// The agent drains.
+    /// No process listens at the address of the backend.
+    Unreachable,
+    /// The backend reads the request, then closes the connection without a response.
+    ClosesConnection,
+    /// The agent is draining.
     Draining,
-    /// Every slot and every place in the queue is taken.
+    /// All slots are taken and the maximum number of requests is waiting.
     QueueFull,
 }
 
-/// A running agent.
+/// A running agent. Dropping it stops the agent, its backend and its store.
 pub struct Agent {
     pub url: String,
     pub store: StoreClient,
     pub http: awc::Client,
-    backend: String,
+    backend_url: String,
     cancel: CancellationToken,
 }
 
@@ -46,11 +46,11 @@
 
 async fn start_backend(fault: BackendFault, cancel: &CancellationToken) -> String {
     match fault {
-        BackendFault::Gone => {
-            let unused = std::net::TcpListener::bind("127.0.0.1:0").expect("port");
-            unused.local_addr().expect("address").to_string()
+        BackendFault::Unreachable => {
+            let closed_listener = std::net::TcpListener::bind("127.0.0.1:0").expect("port");
+            closed_listener.local_addr().expect("address").to_string()
         }
-        BackendFault::HangsUp => {
+        BackendFault::ClosesConnection => {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
                 .await
                 .expect("port");
@@ -76,7 +76,7 @@
 }
 
 impl Agent {
-    /// Starts an agent with one slot and one place in each queue.
+    /// Starts an agent with one slot and room for one waiting request of each class.
     pub async fn start(fault: BackendFault) -> Self {
         let cancel = CancellationToken::new();
         let platform = PlatformSettings::for_test();
@@ -84,7 +84,7 @@
             foxwheel_platform_emu::server::start(&platform, cancel.clone()).expect("store");
         actix_web::rt::spawn(server);
         let store_url = format!("http://{store_addr}");
-        let backend = start_backend(fault, &cancel).await;
+        let backend_addr = start_backend(fault, &cancel).await;
         let settings = AgentSettings {
             max_running: 1,
             max_batch_running: 1,
@@ -93,7 +93,7 @@
             ..AgentSettings::for_test(
                 "draftsman",
                 BackendKind::Model,
-                &format!("http://{backend}"),
+                &format!("http://{backend_addr}"),
                 &store_url,
             )
         };
@@ -106,33 +106,33 @@
             http: awc::Client::builder()
                 .timeout(Duration::from_secs(30))
                 .finish(),
-            backend: format!("http://{backend}"),
+            backend_url: format!("http://{backend_addr}"),
             cancel,
         };
         match fault {
             BackendFault::Draining => {
-                let drained = agent.http.post(format!("{}/drain", agent.url)).send().await;
-                assert!(drained.expect("drain").status().is_success());
+                let drain_response = agent.http.post(format!("{}/drain", agent.url)).send().await;
+                assert!(drain_response.expect("drain").status().is_success());
             }
-            BackendFault::QueueFull => agent.fill().await,
+            BackendFault::QueueFull => agent.fill_queue().await,
             _ => {}
         }
         agent
     }
 
-    /// Takes the slot and every waiting place with requests that run long.
-    async fn fill(&self) {
+    /// Fills the slot and the queue with long requests, and waits until the agent reports them.
+    async fn fill_queue(&self) {
         let body = serde_json::json!({"model": "draftsman", "prompt": "long", "max_tokens": 1_000_000, "stream": true});
         for class in ["online", "online", "batch"] {
-            let send = self
+            let pending = self
                 .http
                 .post(format!("{}/v1/completions", self.url))
                 .insert_header((CLASS_HEADER, class))
                 .timeout(Duration::from_secs(600))
                 .send_json(&body);
             actix_web::rt::spawn(async move {
-                // Held open until the agent stops.
-                let Ok(_response) = send.await else { return };
+                // Keeps the request running until the agent stops.
+                let Ok(_response) = pending.await else { return };
                 std::future::pending::<()>().await;
             });
         }
@@ -152,17 +152,17 @@
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("the agent never filled up");
+        panic!("the agent's queue did not become full");
     }
 
-    /// The engine's counters.
+    /// Returns the engine's counters.
     pub async fn engine_stats(&self) -> EngineStats {
-        let url = format!("{}/stats", self.backend);
+        let url = format!("{}/stats", self.backend_url);
         let mut response = self.http.get(url).send().await.expect("stats");
         response.json().await.expect("json")
     }
 
-    /// Waits (bounded) until the engine has generated `tokens`.
+    /// Waits until the engine has generated `tokens` tokens in total. Panics after 1,000 polls.
     pub async fn wait_until_engine_generated(&self, tokens: u64) {
         for _ in 0..1_000 {
             if self.engine_stats().await.tokens_total >= tokens {
@@ -170,11 +170,11 @@
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        panic!("the engine never generated {tokens} tokens");
+        panic!("the engine did not generate {tokens} tokens in time");
     }
 
-    /// Waits (bounded) until the member record is in `state`.
-    pub async fn wait_for_member(&self, state: &str) -> serde_json::Value {
+    /// Waits until the membership record is in `state` and returns it. Panics after 500 polls.
+    pub async fn wait_for_member_state(&self, state: &str) -> serde_json::Value {
         let prefix = keys::MEMBERS_PREFIX;
         for _ in 0..500 {
             let listed = self.store.list(prefix).await.expect("members");
@@ -183,6 +183,6 @@
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("the member record never became {state}");
+        panic!("the membership record did not become {state} in time");
     }
 }
