--- a/crates/foxwheel-agent/src/gate.rs
+++ b/crates/foxwheel-agent/src/gate.rs
@@ -1,8 +1,10 @@
-//! The batch gate: whether batch work may start beside online work, from several signals.
+//! The batch gate: decides from several load signals whether batch requests may start beside
+//! online requests.
 //!
-//! Gateways push the deployment's gate; a controller reads the engine's load report, keeps
-//! the recent online times to first token, and tells the queue which workspaces' batch work
-//! may start. Without a gate nothing is read and a free slot is all that batch work needs.
+//! Gateways send the deployment's gate over the control channel. A controller polls the engine's
+//! load, combines it with the times to first token of recent online requests, and tells the queue
+//! which workspaces' batch requests may start. Without a configured gate nothing is polled, and
+//! batch requests only need a free slot.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
@@ -15,128 +17,142 @@
 use serde::Deserialize;
 use tokio_util::sync::CancellationToken;
 
-use crate::admits::{Admits, Signals};
+use crate::batch_admission::{BatchAdmission, Signals};
 use crate::queue::Queue;
 
-/// The pause between two readings of the signals.
-const READ_INTERVAL: Duration = Duration::from_millis(200);
-/// How long the engine may take to report its load.
-const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Online requests older than this do not count as recent.
-const RECENT: Duration = Duration::from_secs(5);
-/// Online requests kept, at most.
-const RECENT_REQUESTS: usize = 256;
+/// Delay between two polls of the signals.
+const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout of a request for the engine's load.
+const ENGINE_LOAD_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum age of the times to first token that count towards the 95th percentile.
+const TTFT_WINDOW: Duration = Duration::from_secs(5);
+/// Maximum number of times to first token kept; the oldest is dropped first.
+const MAX_TTFT_SAMPLES: usize = 256;
 
-/// The load an engine reports; other fields are ignored.
+/// The part of the engine's `/load` response that the gate uses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
-pub struct EngineReport {
-    /// Sequences waiting for a slot.
+pub struct EngineLoad {
+    /// Number of sequences that wait for a slot in the engine.
     pub waiting: u64,
-    /// Prefix cache tokens held.
+    /// Number of tokens held in the prefix cache.
     pub cache_used_tokens: u64,
-    /// Prefix cache capacity in tokens.
+    /// Capacity of the prefix cache, in tokens.
     pub cache_capacity_tokens: u64,
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct GateState {
     config: AgentConfig,
-    /// Recent online requests: when their first token came, and after how long.
-    ttfts: VecDeque<(Instant, Duration)>,
+    /// For each recent online request, when its first token arrived and its time to first token.
+    ttft_samples: VecDeque<(Instant, Duration)>,
 }
 
-/// The gate's configuration and measurements, shared by the agent's threads.
+/// Configuration of the batch gate and the times to first token it has recorded. Clones share the
+/// same state.
 #[derive(Debug, Clone, Default)]
 pub struct Gate {
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<GateState>>,
 }
 
 impl Gate {
-    fn lock(&self) -> std::sync::MutexGuard<'_, State> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, GateState> {
         self.state.lock().expect("gate lock")
     }
 
-    /// Puts `config` in force if it is newer; answers the revision in force afterwards.
+    /// Applies `config` if its revision is higher than the current one. Returns the revision in
+    /// effect afterwards.
     pub fn configure(&self, config: AgentConfig) -> Version {
         let mut state = self.lock();
         if config.revision > state.config.revision {
             if config.batch_gate != state.config.batch_gate {
-                log::info!("batch gate in force: {:?}", config.batch_gate);
+                log::info!("batch gate applied: {:?}", config.batch_gate);
             }
             state.config = config;
         }
         state.config.revision
     }
 
-    /// The configuration revision in force.
-    pub fn revision(&self) -> Version {
+    /// Returns the revision of the configuration in effect.
+    pub fn config_revision(&self) -> Version {
         self.lock().config.revision
     }
 
-    /// Records an online request's time to first token.
+    /// Records the time to first token of an online request.
     pub fn record_ttft(&self, ttft: Duration) {
         let mut state = self.lock();
-        if state.ttfts.len() == RECENT_REQUESTS {
-            state.ttfts.pop_front();
+        if state.ttft_samples.len() == MAX_TTFT_SAMPLES {
+            state.ttft_samples.pop_front();
         }
-        state.ttfts.push_back((Instant::now(), ttft));
+        state.ttft_samples.push_back((Instant::now(), ttft));
     }
 
-    /// Whether a batch request of `workspace` is refused on arrival; `draw` is uniform in
-    /// [0, 1).
-    pub fn rejects(&self, workspace: &str, draw: f64) -> bool {
+    /// Returns whether a batch request of `workspace` is refused on arrival because a rule rejects
+    /// a share of its requests. `random_fraction` is a uniform random number in [0, 1).
+    pub fn should_reject(&self, workspace: &str, random_fraction: f64) -> bool {
         let state = self.lock();
-        let gate = state.config.batch_gate.as_ref();
-        let rule = gate.and_then(|gate| gate.rule_for(workspace, time::unix_ms()));
+        let batch_gate = state.config.batch_gate.as_ref();
+        let rule = batch_gate.and_then(|gate| gate.rule_for(workspace, time::unix_ms()));
         match rule.map(|rule| &rule.effect) {
-            Some(GateEffect::RejectPercent(percent)) => draw * 100.0 < f64::from(*percent),
+            Some(GateEffect::RejectPercent(percent)) => {
+                random_fraction * 100.0 < f64::from(*percent)
+            }
             _ => false,
         }
     }
 
     fn online_ttft_p95_ms(&self, now: Instant) -> u64 {
         let state = self.lock();
-        let recent = state.ttfts.iter();
-        let mut ttfts: Vec<Duration> = recent
-            .filter(|(at, _)| now.saturating_duration_since(*at) < RECENT)
+        let samples = state.ttft_samples.iter();
+        let mut ttfts: Vec<Duration> = samples
+            .filter(|(recorded_at, _)| now.saturating_duration_since(*recorded_at) < TTFT_WINDOW)
             .map(|(_, ttft)| *ttft)
             .collect();
         ttfts.sort_unstable();
-        let p95 = (ttfts.len() * 95).div_ceil(100).max(1) - 1;
-        ttfts.get(p95).map_or(0, |ttft| ttft.as_millis() as u64)
+        let p95_index = (ttfts.len() * 95).div_ceil(100).max(1) - 1;
+        ttfts
+            .get(p95_index)
+            .map_or(0, |ttft| ttft.as_millis() as u64)
     }
 }
 
-/// Reads the signals and tells `queue` what the gate admits, until `cancel` fires.
-pub async fn run(gate: Gate, queue: Queue, engine_url: String, cancel: CancellationToken) {
-    let http = awc::Client::builder().timeout(REPORT_TIMEOUT).finish();
-    let mut report = EngineReport::default();
+/// Polls the signals and sets in `queue` which workspaces' batch requests may start, until `cancel`
+/// is cancelled. `engine_url` is the base URL of the engine.
+pub async fn run_controller(
+    gate: Gate,
+    queue: Queue,
+    engine_url: String,
+    cancel: CancellationToken,
+) {
+    let http = awc::Client::builder().timeout(ENGINE_LOAD_TIMEOUT).finish();
+    let mut engine_load = EngineLoad::default();
     while !cancel.is_cancelled() {
-        let configured = gate.lock().config.batch_gate.clone();
-        let admits = match &configured {
-            None => Admits::default(),
-            Some(configured) => {
-                // An engine that does not answer is judged by its last report.
-                report = read_report(&http, &engine_url).await.unwrap_or(report);
+        let batch_gate = gate.lock().config.batch_gate.clone();
+        let admission = match &batch_gate {
+            None => BatchAdmission::default(),
+            Some(batch_gate) => {
+                // If the engine does not respond, its last reported load is used.
+                engine_load = fetch_engine_load(&http, &engine_url)
+                    .await
+                    .unwrap_or(engine_load);
                 let signals = Signals {
-                    engine_waiting: report.waiting,
-                    cache_used_percent: (report.cache_used_tokens * 100)
-                        .checked_div(report.cache_capacity_tokens)
+                    engine_waiting: engine_load.waiting,
+                    cache_used_percent: (engine_load.cache_used_tokens * 100)
+                        .checked_div(engine_load.cache_capacity_tokens)
                         .unwrap_or(0),
                     online_ttft_p95_ms: gate.online_ttft_p95_ms(Instant::now()),
                 };
-                Admits::judge(configured, &signals, time::unix_ms())
+                BatchAdmission::evaluate(batch_gate, &signals, time::unix_ms())
             }
         };
-        queue.set_admits(admits);
+        queue.set_batch_admission(admission);
         tokio::select! {
             () = cancel.cancelled() => {}
-            () = tokio::time::sleep(READ_INTERVAL) => {}
+            () = tokio::time::sleep(SIGNAL_POLL_INTERVAL) => {}
         }
     }
 }
 
-async fn read_report(http: &awc::Client, engine_url: &str) -> Option<EngineReport> {
+async fn fetch_engine_load(http: &awc::Client, engine_url: &str) -> Option<EngineLoad> {
     let mut response = http.get(format!("{engine_url}/load")).send().await.ok()?;
     response.json().await.ok()
 }
--- a/crates/foxwheel-agent/src/lib.rs
+++ b/crates/foxwheel-agent/src/lib.rs
@@ -1,11 +1,11 @@
-//! The agent: the one small foxwheel process beside each backend server.
+//! The agent: a sidecar process that runs beside each backend server.
 //!
-//! It keeps the local queue in front of its engine or service ([`queue`]), holds the
-//! host's membership lease in the platform store ([`membership`]), forwards requests
-//! ([`proxy`]) and drains when its host is leaving. Gateways reach it over HTTP.
+//! It queues requests for its engine or service ([`queue`]), renews the host's membership lease in
+//! the platform store ([`membership`]), forwards requests to the backend ([`proxy`]) and drains
+//! before its host shuts down. Gateways send requests to it over HTTP.
 
-pub mod admits;
-pub mod batch_answer;
+pub mod batch_admission;
+pub mod batch_response;
 pub mod gate;
 pub mod membership;
 pub mod proxy;
@@ -14,9 +14,9 @@
 pub mod settings;
 pub mod state;
 
-/// The agent's parts for `use foxwheel_agent::prelude::*`.
+/// Re-exports the agent's modules for `use foxwheel_agent::prelude::*`.
 pub mod prelude {
     pub use crate::{
-        admits, batch_answer, gate, membership, proxy, queue, server, settings, state,
+        batch_admission, batch_response, gate, membership, proxy, queue, server, settings, state,
     };
 }
--- a/crates/foxwheel-agent/src/main.rs
+++ b/crates/foxwheel-agent/src/main.rs
@@ -1,4 +1,4 @@
-//! `foxwheel-agent`: the small process beside each backend server.
+//! `foxwheel-agent`: the sidecar process that runs beside each backend server.
 
 use foxwheel_agent::{server, settings::AgentSettings};
 use foxwheel_core::{cli, shutdown, telemetry};
@@ -11,9 +11,9 @@
         "The foxwheel agent beside one backend server: local queue, membership, drain.",
     );
     let cancel = shutdown::cancel_on_signal();
-    let host = settings.host.clone();
+    let host_id = settings.host.clone();
     let agent = server::start(settings, cancel).await?;
-    log::info!("agent for {host} listening on {}", agent.addr);
+    log::info!("agent for host {host_id} listening on {}", agent.addr);
     let _ = agent.stopped.await;
     Ok(())
 }
--- a/crates/foxwheel-agent/src/membership.rs
+++ b/crates/foxwheel-agent/src/membership.rs
@@ -1,9 +1,10 @@
-//! The membership lease: the agent's record under `members/<deployment>/<host>` in the
-//! platform store, renewed rarely and marked draining when the host is leaving.
+//! The agent's membership lease: its record under `members/<deployment>/<host>` in the platform
+//! store, renewed at long intervals and marked as draining before the host shuts down.
 //!
-//! Gateways watch `members/` to learn which agents exist, and poll each over the control
-//! channel to learn which are alive and taking work. So a renewal only says that the record
-//! is not garbage, and losing the store neither adds nor removes hosts.
+//! Gateways watch `members/` to learn which agents exist, and poll each agent over the control
+//! channel to learn whether it is alive and accepts requests. A renewal therefore only shows that
+//! the record is not left over from a dead agent, and an outage of the store neither adds nor
+//! removes hosts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,45 +18,47 @@
 use crate::queue::Queue;
 use crate::settings::AgentSettings;
 
-/// The pause after a failed write, at most; a state change must not wait for a heartbeat.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// Tries of the delete at the end of a graceful stop.
-const LEAVE_TRIES: u32 = 3;
+/// Maximum delay before a failed write is retried. Waiting for the next heartbeat would publish a
+/// change of the drain state too late.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Maximum number of attempts to delete the record at the end of a graceful stop.
+const MAX_REMOVE_ATTEMPTS: u32 = 3;
 
-/// Where this agent is reached.
+/// Addresses that the membership record gives to gateways.
 #[derive(Debug, Clone)]
-pub struct Advertised {
-    /// The data path, `ip:port`.
+pub struct AdvertisedAddrs {
+    /// Address for requests, as `ip:port`.
     pub agent_addr: String,
-    /// The control channel, `ip:port`.
+    /// Address of the control channel, as `ip:port`.
     pub control_addr: String,
 }
 
-/// Keeps this agent's membership lease.
+/// Writes, renews and removes this agent's membership record.
 #[derive(Clone)]
 pub struct Membership {
     store: StoreClient,
     key: String,
     record: Member,
-    heartbeat: Duration,
+    renewal_interval: Duration,
     queue: Queue,
-    changed: Arc<Notify>,
+    renewal_requested: Arc<Notify>,
 }
 
 impl Membership {
-    /// The lease of the agent described by `settings`, reachable at `advertised`.
-    /// `changed` asks for an immediate write, e.g. after the agent started draining.
+    /// Creates the lease of the agent that is described by `settings` and reachable at `addrs`,
+    /// without writing it. Notifying `renewal_requested` makes [`Self::run`] write the record
+    /// immediately, e.g. after the agent has started draining.
     pub fn new(
         settings: &AgentSettings,
-        advertised: Advertised,
+        addrs: AdvertisedAddrs,
         queue: Queue,
-        changed: Arc<Notify>,
+        renewal_requested: Arc<Notify>,
     ) -> Self {
         let record = Member {
             host: settings.host.clone(),
             deployment: settings.deployment.clone(),
-            agent_addr: advertised.agent_addr,
-            control_addr: advertised.control_addr,
+            agent_addr: addrs.agent_addr,
+            control_addr: addrs.control_addr,
             zone: settings.zone.clone(),
             state: MemberState::Ready,
             lease_ttl_ms: settings.lease_ttl_ms,
@@ -65,18 +68,19 @@
             store: StoreClient::new(&settings.store_url),
             key: keys::member(&settings.deployment, &settings.host),
             record,
-            heartbeat: Duration::from_millis(settings.heartbeat_ms),
+            renewal_interval: Duration::from_millis(settings.heartbeat_ms),
             queue,
-            changed,
+            renewal_requested,
         }
     }
 
-    /// Asks for an immediate write.
-    pub fn nudge(&self) {
-        self.changed.notify_one();
+    /// Makes [`Self::run`] write the record immediately.
+    pub fn request_renewal(&self) {
+        self.renewal_requested.notify_one();
     }
 
-    /// Writes the record once, with the queue's current drain state.
+    /// Writes the record once, with the current drain state of the queue. Returns an error if the
+    /// store cannot be reached or refuses the write.
     pub async fn renew(&mut self) -> Result<(), StoreError> {
         self.record.state = if self.queue.is_draining() {
             MemberState::Draining
@@ -90,37 +94,43 @@
             .map(|_| ())
     }
 
-    /// Renews the lease every heartbeat until `cancel` fires. A failed write is tried again
-    /// after [`RETRY_PAUSE`]; a change of state is logged once.
+    /// Renews the lease at every heartbeat interval, and when a renewal is requested, until
+    /// `cancel` is cancelled. A failed write is retried after at most [`MAX_RETRY_DELAY`]. Only the
+    /// first of several failures in a row and the first success after them are logged.
     pub async fn run(mut self, cancel: CancellationToken) {
-        let mut healthy = true;
+        let mut last_succeeded = true;
         while !cancel.is_cancelled() {
-            let renewed = self.renew().await;
-            match &renewed {
-                Ok(()) if !healthy => log::info!("membership lease renewed again"),
-                Err(e) if healthy => log::warn!("membership lease not renewed: {e}"),
+            let renewal = self.renew().await;
+            match &renewal {
+                Ok(()) if !last_succeeded => log::info!("membership lease renewed after a failure"),
+                Err(e) if last_succeeded => {
+                    log::warn!("membership lease not renewed, retrying: {e}")
+                }
                 _ => {}
             }
-            healthy = renewed.is_ok();
-            let pause = if healthy {
-                self.heartbeat
+            last_succeeded = renewal.is_ok();
+            let delay = if last_succeeded {
+                self.renewal_interval
             } else {
-                self.heartbeat.min(RETRY_PAUSE)
+                self.renewal_interval.min(MAX_RETRY_DELAY)
             };
             tokio::select! {
                 () = cancel.cancelled() => {}
-                () = self.changed.notified() => {}
-                () = tokio::time::sleep(pause) => {}
+                () = self.renewal_requested.notified() => {}
+                () = tokio::time::sleep(delay) => {}
             }
         }
     }
 
-    /// Removes the record at the end of a graceful stop.
-    pub async fn leave(&self) {
-        for _ in 0..LEAVE_TRIES {
+    /// Removes the record at the end of a graceful stop. If all attempts fail, the record stays
+    /// until its lease expires.
+    pub async fn remove_record(&self) {
+        for _ in 0..MAX_REMOVE_ATTEMPTS {
             match self.store.delete(&self.key, None).await {
                 Ok(()) => return,
-                Err(e) => log::warn!("membership record not removed (its lease runs out): {e}"),
+                Err(e) => {
+                    log::warn!("membership record not removed (it expires with its lease): {e}")
+                }
             }
         }
     }
--- a/crates/foxwheel-agent/src/proxy.rs
+++ b/crates/foxwheel-agent/src/proxy.rs
@@ -1,5 +1,6 @@
-//! Forwarding to the backend: online requests stream through holding their slot; batch
-//! requests hold it until online work takes it, and go on later where they stopped.
+//! Forwards requests to the backend. An online request holds its slot until its response has been
+//! streamed to the caller. A batch request gives up its slot when an online request needs it, and
+//! later resumes where it stopped.
 
 use std::time::{Duration, Instant};
 
@@ -14,17 +15,18 @@
 use foxwheel_core::protocol::{RESUME_FROM_HEADER, WORKSPACE_HEADER};
 use foxwheel_core::telemetry::Counters;
 
-use crate::batch_answer::{self, BatchAnswer};
+use crate::batch_response::{self, BatchResponse};
 use crate::queue::{Permit, QueueError};
 use crate::state::AgentState;
 
-/// Largest whole batch answer read, in bytes.
-const MAX_BATCH_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum size of a batch response that is relayed without being streamed.
+const MAX_BATCH_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Told in `Retry-After` when every waiting place is taken or the backend is gone.
+/// Value of the `Retry-After` header when the queue is full, the batch gate rejects the request or
+/// the backend cannot be reached.
 const RETRY_AFTER_S: u64 = 1;
 
-fn not_queued(counters: &Counters, error: QueueError) -> HttpResponse {
+fn queue_error_response(counters: &Counters, error: QueueError) -> HttpResponse {
     let (status, code, retry_after_s) = match error {
         QueueError::Draining => (StatusCode::SERVICE_UNAVAILABLE, "draining", 0),
         QueueError::Full => (StatusCode::TOO_MANY_REQUESTS, "queue_full", RETRY_AFTER_S),
@@ -36,7 +38,7 @@
     http::not_run_response(status, code, error.to_string(), Some(retry_after_s))
 }
 
-fn rejected_by_gate(counters: &Counters, workspace: &str) -> HttpResponse {
+fn gate_rejection_response(counters: &Counters, workspace: &str) -> HttpResponse {
     counters.incr("refused.batch_gate");
     http::not_run_response(
         StatusCode::TOO_MANY_REQUESTS,
@@ -46,15 +48,17 @@
     )
 }
 
-/// A header's value, empty when absent or unreadable.
-fn header<'a>(req: &'a HttpRequest, name: &str) -> &'a str {
+/// Returns the value of a request header, or an empty string if it is absent or not valid text.
+fn header_value<'a>(req: &'a HttpRequest, name: &str) -> &'a str {
     let value = req.headers().get(name).and_then(|v| v.to_str().ok());
     value.unwrap_or_default()
 }
 
-fn not_answered(state: &AgentState, error: &AttemptError) -> HttpResponse {
+/// Returns the response to a request for which the backend gave no complete response. It says that
+/// the request has not run only if the backend could not be reached.
+fn backend_error_response(state: &AgentState, error: &BackendError) -> HttpResponse {
     let message = format!("forward to backend {}: {error}", state.backend.base_url);
-    if error.never_reached() {
+    if error.is_connect_failure() {
         state.counters.incr("backend.gone");
         return http::not_run_response(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -67,98 +71,100 @@
     http::unknown_run_state_response(StatusCode::BAD_GATEWAY, "backend_failed", message)
 }
 
-/// Why one try on the backend gave no whole answer.
+/// Reason why the backend gave no complete response to a request.
 #[derive(Debug, thiserror::Error)]
-enum AttemptError {
+enum BackendError {
     #[error("send: {0}")]
     Send(#[from] awc::error::SendRequestError),
-    #[error("read answer: {0}")]
+    #[error("read response: {0}")]
     Read(#[from] awc::error::PayloadError),
-    #[error("read answer: not an event stream of JSON: {0}")]
+    #[error("read response: not an event stream of JSON: {0}")]
     Event(#[from] serde_json::Error),
-    #[error("read answer: the stream ended before its last event")]
-    CutShort,
+    #[error("read response: the stream ended before its last event")]
+    StreamCutOff,
 }
 
-impl AttemptError {
-    /// Whether no byte of the request reached the backend.
-    fn never_reached(&self) -> bool {
+impl BackendError {
+    /// Returns whether no byte of the request reached the backend.
+    fn is_connect_failure(&self) -> bool {
         matches!(self, Self::Send(e) if http::is_connect_failure(e))
     }
 }
 
-/// Runs one request on the backend under the queue's rules and answers it.
-pub async fn handle(
+/// Waits in the queue for a slot of `class`, forwards the request to the backend and returns the
+/// response. Returns an error response if the batch gate or the queue refuses the request or the
+/// backend fails.
+pub async fn forward_request(
     state: &AgentState,
     client: &awc::Client,
     req: &HttpRequest,
     body: Bytes,
     class: PriorityClass,
 ) -> HttpResponse {
-    let arrived = Instant::now();
-    let workspace = header(req, WORKSPACE_HEADER);
-    if class == PriorityClass::Batch && state.gate.rejects(workspace, rand::random()) {
-        return rejected_by_gate(&state.counters, workspace);
+    let arrived_at = Instant::now();
+    let workspace = header_value(req, WORKSPACE_HEADER);
+    if class == PriorityClass::Batch && state.gate.should_reject(workspace, rand::random()) {
+        return gate_rejection_response(&state.counters, workspace);
     }
     let permit = match state.queue.acquire(class, workspace).await {
         Ok(permit) => permit,
-        Err(e) => return not_queued(&state.counters, e),
+        Err(e) => return queue_error_response(&state.counters, e),
     };
-    let attempt = Attempt {
+    let backend_request = BackendRequest {
         client,
         req,
-        url: format!("{}{}", state.backend.base_url, path_and_query(req)),
+        url: format!("{}{}", state.backend.base_url, backend_path_and_query(req)),
         body,
         timeout: state.backend.timeout,
     };
     match class {
         PriorityClass::Online => {
             state.counters.incr("granted.online");
-            match attempt.send().await {
+            match backend_request.send_unchanged().await {
                 Ok(response) => {
                     let gate = state.gate.clone();
                     http::relay_with_first_chunk_callback(response, permit, move || {
-                        gate.record_ttft(arrived.elapsed());
+                        gate.record_ttft(arrived_at.elapsed());
                     })
                 }
-                Err(e) => not_answered(state, &e.into()),
+                Err(e) => backend_error_response(state, &e.into()),
             }
         }
         PriorityClass::Batch => {
             state.counters.incr("granted.batch");
-            run_batch(state, &attempt, permit, workspace).await
+            run_batch_request(state, &backend_request, permit, workspace).await
         }
     }
 }
 
-/// Runs a batch request to its end. Each time online work takes its slot it stops its
-/// stream and waits; then it goes on after the tokens it has.
-async fn run_batch(
+/// Runs a batch request until it ends. Each time an online request preempts it, it closes its
+/// stream and waits for a slot; then it resumes after the tokens it has received.
+async fn run_batch_request(
     state: &AgentState,
-    attempt: &Attempt<'_>,
+    backend_request: &BackendRequest<'_>,
     mut permit: Permit,
     workspace: &str,
 ) -> HttpResponse {
-    let mut answer = BatchAnswer::default();
+    let mut response = BatchResponse::default();
     loop {
         tokio::select! {
-            reply = attempt.batch_reply(&mut answer) => {
-                return reply.unwrap_or_else(|e| not_answered(state, &e));
+            result = backend_request.fetch_batch_response(&mut response) => {
+                return result.unwrap_or_else(|e| backend_error_response(state, &e));
             }
             () = permit.preempted().cancelled() => {
                 drop(permit);
                 state.counters.incr("preempted");
                 permit = match state.queue.acquire_after_preemption(workspace).await {
                     Ok(permit) => permit,
-                    Err(e) => return not_queued(&state.counters, e),
+                    Err(e) => return queue_error_response(&state.counters, e),
                 };
             }
         }
     }
 }
 
-/// One request as it is sent to the backend.
-struct Attempt<'a> {
+/// A request as it is sent to the backend.
+struct BackendRequest<'a> {
     client: &'a awc::Client,
     req: &'a HttpRequest,
     url: String,
@@ -166,8 +172,8 @@
     timeout: Duration,
 }
 
-impl Attempt<'_> {
-    fn send(&self) -> awc::SendClientRequest {
+impl BackendRequest<'_> {
+    fn send_unchanged(&self) -> awc::SendClientRequest {
         self.send_with(self.req.headers(), self.body.clone())
     }
 
@@ -176,46 +182,52 @@
         http::forward_request(self.client, method, &self.url, headers, body, self.timeout)
     }
 
-    /// Streams the rest of a batch answer into `answer`, and gives it whole. A request that
-    /// cannot be streamed, and an answer that is no stream, are passed on as they are.
-    async fn batch_reply(&self, answer: &mut BatchAnswer) -> Result<HttpResponse, AttemptError> {
-        let Some(body) = batch_answer::streaming_request(&self.body) else {
-            return passed_on(self.send().await?).await;
+    /// Streams the rest of a batch response into `received` and returns the complete response. A
+    /// request that cannot be streamed is forwarded unchanged, and a response that is not a success
+    /// is relayed unchanged.
+    async fn fetch_batch_response(
+        &self,
+        received: &mut BatchResponse,
+    ) -> Result<HttpResponse, BackendError> {
+        let Some(body) = batch_response::to_streaming_request(&self.body) else {
+            return relay_full_response(self.send_unchanged().await?).await;
         };
         let mut headers = self.req.headers().clone();
         headers.insert(
             HeaderName::from_static(RESUME_FROM_HEADER),
-            HeaderValue::from(answer.tokens()),
+            HeaderValue::from(received.token_count()),
         );
-        let sent = self.send_with(&headers, body.into());
-        let mut response = sent.await?;
+        let pending = self.send_with(&headers, body.into());
+        let mut response = pending.await?;
         if !response.status().is_success() {
-            return passed_on(response).await;
+            return relay_full_response(response).await;
         }
-        answer.start_stream();
-        while !answer.is_whole() {
-            let part = response.next().await.ok_or(AttemptError::CutShort)??;
-            answer.feed(&part)?;
+        received.begin_stream();
+        while !received.is_complete() {
+            let bytes = response.next().await.ok_or(BackendError::StreamCutOff)??;
+            received.apply_bytes(&bytes)?;
         }
-        Ok(HttpResponse::Ok().json(std::mem::take(answer).into_json()))
+        Ok(HttpResponse::Ok().json(std::mem::take(received).into_json()))
     }
 }
 
-/// A whole answer of the backend, as it is.
-async fn passed_on(mut response: BackendResponse) -> Result<HttpResponse, AttemptError> {
-    let body = response.body().limit(MAX_BATCH_ANSWER_BYTES).await?;
+/// Reads the complete response of the backend and returns it unchanged. Returns an error if it is
+/// larger than [`MAX_BATCH_RESPONSE_BYTES`] or cut off.
+async fn relay_full_response(mut response: BackendResponse) -> Result<HttpResponse, BackendError> {
+    let body = response.body().limit(MAX_BATCH_RESPONSE_BYTES).await?;
     Ok(http::relayed_response_builder(&response).body(body))
 }
 
-/// The request's path and query as sent to the backend; `/services/<name>` is cut off.
-pub fn path_and_query(req: &HttpRequest) -> String {
+/// Returns the path and query that are sent to the backend: those of the request, without the
+/// prefix `/services/<name>`.
+pub fn backend_path_and_query(req: &HttpRequest) -> String {
     let path = req.path();
     let path = match path.strip_prefix("/services/") {
-        Some(rest) => rest.find('/').map(|at| &rest[at..]).unwrap_or("/"),
+        Some(rest) => rest.find('/').map(|index| &rest[index..]).unwrap_or("/"),
         None => path,
     };
     match req.query_string() {
         "" => path.to_owned(),
-        q => format!("{path}?{q}"),
+        query => format!("{path}?{query}"),
     }
 }
--- a/crates/foxwheel-agent/src/server.rs
+++ b/crates/foxwheel-agent/src/server.rs
@@ -1,12 +1,12 @@
-//! The agent's routes and its life cycle: start, serve, drain, stop.
+//! HTTP routes of the agent and its life cycle: start, serve, drain and stop.
 //!
 //! Routes:
-//! - `POST /v1/chat/completions`, `POST /v1/completions`: queued by the `x-foxwheel-class`
-//!   header (online when absent) and forwarded to the engine.
-//! - `/services/{service}/{path}`: forwarded to the plain service as online work.
-//! - `GET /load`: the queue's [`LoadReport`](foxwheel_core::protocol::LoadReport).
-//! - `GET /counters`: totals since start, as a JSON object.
-//! - `POST /drain`: stop taking new work and announce it in the membership record.
+//! - `POST /v1/chat/completions`, `POST /v1/completions`: queued with the priority class of the
+//!   `x-foxwheel-class` header (online when absent) and forwarded to the engine.
+//! - `/services/{service}/{path}`: queued as an online request and forwarded to the plain service.
+//! - `GET /load`: returns the current [`LoadReport`](foxwheel_core::protocol::LoadReport).
+//! - `GET /counters`: returns the counters since the start of the process, as a JSON object.
+//! - `POST /drain`: refuses new requests from now on and announces this in the membership record.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,13 +23,13 @@
 use foxwheel_core::telemetry::Counters;
 
 use crate::gate::{self, Gate};
-use crate::membership::{Advertised, Membership};
+use crate::membership::{AdvertisedAddrs, Membership};
 use crate::proxy;
 use crate::queue::{Limits, Queue};
 use crate::settings::AgentSettings;
 use crate::state::{AgentState, Backend};
 
-fn class_of(req: &HttpRequest) -> PriorityClass {
+fn read_priority_class(req: &HttpRequest) -> PriorityClass {
     req.headers()
         .get(CLASS_HEADER)
         .and_then(|v| v.to_str().ok())
@@ -37,56 +37,60 @@
         .unwrap_or(PriorityClass::Online)
 }
 
-async fn complete(
+async fn handle_completion(
     state: web::Data<AgentState>,
     client: web::Data<awc::Client>,
     req: HttpRequest,
     body: Bytes,
 ) -> HttpResponse {
-    let class = class_of(&req);
-    proxy::handle(&state, &client, &req, body, class).await
+    let class = read_priority_class(&req);
+    proxy::forward_request(&state, &client, &req, body, class).await
 }
 
-async fn service_call(
+async fn handle_service_call(
     state: web::Data<AgentState>,
     client: web::Data<awc::Client>,
     req: HttpRequest,
     body: Bytes,
 ) -> HttpResponse {
     let class = PriorityClass::Online;
-    proxy::handle(&state, &client, &req, body, class).await
+    proxy::forward_request(&state, &client, &req, body, class).await
 }
 
-async fn load(state: web::Data<AgentState>) -> HttpResponse {
+async fn get_load(state: web::Data<AgentState>) -> HttpResponse {
     HttpResponse::Ok().json(state.load())
 }
 
-async fn counters(state: web::Data<AgentState>) -> HttpResponse {
+async fn get_counters(state: web::Data<AgentState>) -> HttpResponse {
     HttpResponse::Ok().json(state.counters.to_json())
 }
 
-async fn drain(state: web::Data<AgentState>) -> HttpResponse {
+async fn start_draining(state: web::Data<AgentState>) -> HttpResponse {
     if !state.queue.is_draining() {
-        log::info!("draining: taking no new work");
+        log::info!("draining: new requests are refused");
     }
-    state.queue.drain();
-    state.membership_nudge.notify_one();
-    HttpResponse::Ok().json(state.queue.report())
+    state.queue.start_draining();
+    state.renewal_requested.notify_one();
+    HttpResponse::Ok().json(state.queue.load_report())
 }
 
-/// A running agent.
+/// Addresses and task of a running agent.
 pub struct RunningAgent {
-    /// The bound data-path address.
+    /// Bound address of the HTTP server.
     pub addr: SocketAddr,
-    /// The bound control channel address.
+    /// Bound address of the control channel.
     pub control_addr: SocketAddr,
-    /// Resolves when the agent has stopped.
+    /// Task that ends when the agent has stopped.
     pub stopped: tokio::task::JoinHandle<()>,
 }
 
-/// Starts the agent: membership lease, queue, server. When `cancel` fires it drains
-/// (announces it, waits `drain_grace_ms` for gateways to notice), stops accepting, lets
-/// requests in flight finish, and removes its membership record.
+/// Starts the agent: its queue, HTTP server, control channel, batch gate and membership lease.
+///
+/// When `cancel` is cancelled, the agent announces that it is draining and keeps serving for
+/// `drain_grace_ms`, so that gateways learn of it. Then it stops accepting connections, completes
+/// the requests in flight and removes its membership record.
+///
+/// Returns an error if an address cannot be bound or the statsd client cannot be set up.
 pub async fn start(
     settings: AgentSettings,
     cancel: CancellationToken,
@@ -97,7 +101,7 @@
         max_waiting_online: settings.max_waiting_online,
         max_waiting_batch: settings.max_waiting_batch,
     });
-    let nudge = Arc::new(tokio::sync::Notify::new());
+    let renewal_requested = Arc::new(tokio::sync::Notify::new());
     let state = Arc::new(AgentState {
         queue: queue.clone(),
         gate: Gate::default(),
@@ -105,69 +109,74 @@
             base_url: settings.backend_url.trim_end_matches('/').to_owned(),
             timeout: Duration::from_millis(settings.request_timeout_ms),
         },
-        membership_nudge: nudge.clone(),
+        renewal_requested: renewal_requested.clone(),
         counters: Counters::new("agent", settings.statsd_addr.as_deref())?,
     });
     let server_cancel = CancellationToken::new();
     let control_cancel = CancellationToken::new();
-    let served_state = web::Data::from(state.clone());
-    let shape = http::ServerOptions::default();
+    let handler_state = web::Data::from(state.clone());
+    let server_options = http::ServerOptions::default();
     let (addr, server) = http::serve(
         &settings.listen_addr,
-        shape,
+        server_options,
         server_cancel.clone(),
         move || {
             actix_web::App::new()
-                .app_data(served_state.clone())
+                .app_data(handler_state.clone())
                 .app_data(web::Data::new(
                     awc::Client::builder().disable_timeout().finish(),
                 ))
-                .route("/v1/chat/completions", web::post().to(complete))
-                .route("/v1/completions", web::post().to(complete))
-                .route("/services/{tail:.*}", web::route().to(service_call))
-                .route("/load", web::get().to(load))
-                .route("/counters", web::get().to(counters))
-                .route("/drain", web::post().to(drain))
+                .route("/v1/chat/completions", web::post().to(handle_completion))
+                .route("/v1/completions", web::post().to(handle_completion))
+                .route("/services/{tail:.*}", web::route().to(handle_service_call))
+                .route("/load", web::get().to(get_load))
+                .route("/counters", web::get().to(get_counters))
+                .route("/drain", web::post().to(start_draining))
         },
     )?;
-    let control_listen = settings
+    let control_listen_addr = settings
         .control_addr
         .clone()
         .unwrap_or_else(|| SocketAddr::new(addr.ip(), 0).to_string());
     let control_addr =
-        control::serve(&control_listen, state.clone(), control_cancel.clone()).await?;
-    let advertised = Advertised {
+        control::serve(&control_listen_addr, state.clone(), control_cancel.clone()).await?;
+    let advertised_addrs = AdvertisedAddrs {
         agent_addr: settings
             .advertise_addr
             .clone()
             .unwrap_or_else(|| addr.to_string()),
         control_addr: control_addr.to_string(),
     };
-    let membership = Membership::new(&settings, advertised, queue.clone(), nudge);
+    let membership = Membership::new(
+        &settings,
+        advertised_addrs,
+        queue.clone(),
+        renewal_requested,
+    );
     if settings.backend == BackendKind::Model {
         let engine_url = state.backend.base_url.clone();
-        let gate = gate::run(
+        let gate_controller = gate::run_controller(
             state.gate.clone(),
             queue.clone(),
             engine_url,
             control_cancel.clone(),
         );
-        actix_web::rt::spawn(gate);
+        actix_web::rt::spawn(gate_controller);
     }
-    let heartbeat_cancel = CancellationToken::new();
-    actix_web::rt::spawn(membership.clone().run(heartbeat_cancel.clone()));
-    let grace = Duration::from_millis(settings.drain_grace_ms);
+    let renewal_cancel = CancellationToken::new();
+    actix_web::rt::spawn(membership.clone().run(renewal_cancel.clone()));
+    let drain_grace = Duration::from_millis(settings.drain_grace_ms);
     let stopped = actix_web::rt::spawn(async move {
         let server_task = actix_web::rt::spawn(server);
         cancel.cancelled().await;
-        log::info!("stopping: draining for {} ms", grace.as_millis());
-        queue.drain();
-        membership.nudge();
-        tokio::time::sleep(grace).await;
+        log::info!("stopping: draining for {} ms", drain_grace.as_millis());
+        queue.start_draining();
+        membership.request_renewal();
+        tokio::time::sleep(drain_grace).await;
         server_cancel.cancel();
         let _ = server_task.await;
-        heartbeat_cancel.cancel();
-        membership.leave().await;
+        renewal_cancel.cancel();
+        membership.remove_record().await;
         control_cancel.cancel();
         log::info!("stopped");
     });
--- a/crates/foxwheel-agent/src/state.rs
+++ b/crates/foxwheel-agent/src/state.rs
@@ -1,4 +1,4 @@
-//! What the agent's request handlers and its control channel share.
+//! State shared by the agent's request handlers and its control channel.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,34 +11,34 @@
 use crate::gate::Gate;
 use crate::queue::Queue;
 
-/// The backend this agent fronts.
+/// The backend server that this agent forwards requests to.
 #[derive(Clone)]
 pub struct Backend {
-    /// Its base URL.
+    /// Base URL of the backend, without a trailing slash.
     pub base_url: String,
-    /// How long one request may take.
+    /// Timeout of one forwarded request.
     pub timeout: Duration,
 }
 
-/// What every request handler shares.
+/// State shared by all request handlers of the agent.
 pub struct AgentState {
-    /// The local queue.
+    /// Queue of requests for the backend.
     pub queue: Queue,
-    /// The batch gate.
+    /// Batch gate, configured by gateways over the control channel.
     pub gate: Gate,
-    /// The backend.
+    /// Backend that requests are forwarded to.
     pub backend: Backend,
-    /// Asks the membership lease for an immediate write when the agent starts draining.
-    pub membership_nudge: Arc<tokio::sync::Notify>,
-    /// This process's counters.
+    /// Requests an immediate renewal of the membership lease when the agent starts draining.
+    pub renewal_requested: Arc<tokio::sync::Notify>,
+    /// Counters of this process.
     pub counters: Counters,
 }
 
 impl AgentHandle for AgentState {
     fn load(&self) -> LoadReport {
         LoadReport {
-            config_revision: self.gate.revision(),
-            ..self.queue.report()
+            config_revision: self.gate.config_revision(),
+            ..self.queue.load_report()
         }
     }
 
--- a/crates/foxwheel-agent/tests/queue_randomised.rs
+++ b/crates/foxwheel-agent/tests/queue_randomised.rs
@@ -1,7 +1,8 @@
-//! The agent's queue under long randomised runs: online work never waits behind batch
-//! work. The queue asserts its own invariants after every change (debug builds); this
-//! test drives it with seeded random arrivals, completions and preemptions and asserts
-//! the promise as seen from outside.
+//! Property tests of the agent's queue: online requests never wait behind batch requests.
+//!
+//! The test drives the queue with seeded random arrivals, completions and cancellations, and checks
+//! its public state after each step. In debug builds the queue also asserts its own invariants
+//! after every change.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,27 +11,31 @@
 use foxwheel_agent::queue::{Limits, Permit, Queue, QueueError};
 use foxwheel_core::declarations::PriorityClass;
 
-type Waiting = Pin<Box<dyn Future<Output = Result<Permit, QueueError>>>>;
+type PendingPermit = Pin<Box<dyn Future<Output = Result<Permit, QueueError>>>>;
 
-/// Seeds run in CI: fixed, so every run gives the same verdict. The upper half of an
-/// arbtest seed is the input size.
-const SEEDS: u64 = 300;
-const SIZE: u64 = 2_000;
+/// Number of seeds. The seeds are fixed, so that every run of the test has the same result.
+const SEED_COUNT: u64 = 300;
+/// Size of the random input of each seed, in bytes. arbtest reads it from the upper 32 bits of the
+/// seed.
+const INPUT_SIZE_BYTES: u64 = 2_000;
 
-fn poll_all(waiting: &mut Vec<(PriorityClass, Waiting)>, held: &mut Vec<Permit>) {
+fn poll_waiting_requests(
+    waiting: &mut Vec<(PriorityClass, PendingPermit)>,
+    held_permits: &mut Vec<Permit>,
+) {
     let waker = futures::task::noop_waker();
     let mut cx = Context::from_waker(&waker);
-    waiting.retain_mut(|(_, fut)| match fut.as_mut().poll(&mut cx) {
+    waiting.retain_mut(|(_, pending)| match pending.as_mut().poll(&mut cx) {
         Poll::Ready(Ok(permit)) => {
-            held.push(permit);
+            held_permits.push(permit);
             false
         }
-        Poll::Ready(Err(e)) => panic!("queue refused while not draining: {e}"),
+        Poll::Ready(Err(e)) => panic!("the queue refused a request while not draining: {e}"),
         Poll::Pending => true,
     });
 }
 
-fn property(u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()> {
+fn check_random_operations(u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()> {
     let max_running = u.int_in_range(1..=8)?;
     let max_batch_running = u.int_in_range(0..=max_running)?;
     let queue = Queue::new(Limits {
@@ -39,58 +44,64 @@
         max_waiting_online: u32::MAX,
         max_waiting_batch: u32::MAX,
     });
-    let mut waiting: Vec<(PriorityClass, Waiting)> = Vec::new();
-    let mut held: Vec<Permit> = Vec::new();
+    let mut waiting: Vec<(PriorityClass, PendingPermit)> = Vec::new();
+    let mut held_permits: Vec<Permit> = Vec::new();
     while !u.is_empty() {
         match u.int_in_range(0..=3)? {
             0 => {
-                let q = queue.clone();
+                let queue = queue.clone();
                 waiting.push((
                     PriorityClass::Online,
-                    Box::pin(async move { q.acquire(PriorityClass::Online, "").await }),
+                    Box::pin(async move { queue.acquire(PriorityClass::Online, "").await }),
                 ));
             }
             1 => {
-                let q = queue.clone();
+                let queue = queue.clone();
                 waiting.push((
                     PriorityClass::Batch,
-                    Box::pin(async move { q.acquire(PriorityClass::Batch, "").await }),
+                    Box::pin(async move { queue.acquire(PriorityClass::Batch, "").await }),
                 ));
             }
-            2 if !held.is_empty() => {
-                let at = u.choose_index(held.len())?;
-                drop(held.swap_remove(at));
+            2 if !held_permits.is_empty() => {
+                let index = u.choose_index(held_permits.len())?;
+                drop(held_permits.swap_remove(index));
             }
             3 if !waiting.is_empty() => {
-                let at = u.choose_index(waiting.len())?;
-                drop(waiting.swap_remove(at));
+                let index = u.choose_index(waiting.len())?;
+                drop(waiting.swap_remove(index));
             }
             _ => {}
         }
-        poll_all(&mut waiting, &mut held);
-        // A preempted batch request stops at once, as the agent's proxy does.
-        held.retain(|p| !(p.class() == PriorityClass::Batch && p.preempted().is_cancelled()));
-        poll_all(&mut waiting, &mut held);
-        let report = queue.report();
-        let online_waiting = waiting.iter().any(|(c, _)| *c == PriorityClass::Online);
+        poll_waiting_requests(&mut waiting, &mut held_permits);
+        // Preempted batch requests release their permits immediately, as in the agent's proxy.
+        held_permits.retain(|permit| {
+            !(permit.class() == PriorityClass::Batch && permit.preempted().is_cancelled())
+        });
+        poll_waiting_requests(&mut waiting, &mut held_permits);
+        let report = queue.load_report();
+        let is_online_waiting = waiting
+            .iter()
+            .any(|(class, _)| *class == PriorityClass::Online);
         assert!(
-            !online_waiting || report.running_batch == 0,
-            "online work waits while {} batch requests run: {report:?}",
+            !is_online_waiting || report.running_batch == 0,
+            "online requests wait while {} batch requests run: {report:?}",
             report.running_batch
         );
         assert!(report.running_batch <= max_batch_running);
         assert!(report.running_online + report.running_batch <= max_running);
-        let batch_waiting = waiting.iter().any(|(c, _)| *c == PriorityClass::Batch);
-        let room = report.running_online + report.running_batch < max_running
+        let is_batch_waiting = waiting
+            .iter()
+            .any(|(class, _)| *class == PriorityClass::Batch);
+        let has_room_for_batch = report.running_online + report.running_batch < max_running
             && report.running_batch < max_batch_running;
         assert!(
-            !(batch_waiting && !online_waiting && room),
-            "batch work waits although there is spare capacity: {report:?}"
+            !(is_batch_waiting && !is_online_waiting && has_room_for_batch),
+            "batch requests wait although there is spare capacity: {report:?}"
         );
     }
     drop(waiting);
-    drop(held);
-    let report = queue.report();
+    drop(held_permits);
+    let report = queue.load_report();
     assert_eq!(
         report.running_online + report.running_batch,
         0,
@@ -100,21 +111,23 @@
 }
 
 #[test]
-fn online_never_waits_behind_batch_and_spare_capacity_is_used() {
-    for i in 0..SEEDS {
-        arbtest::arbtest(property).seed((SIZE << 32) | i).run();
+fn online_requests_never_wait_behind_batch_and_batch_uses_spare_capacity() {
+    for seed in 0..SEED_COUNT {
+        arbtest::arbtest(check_random_operations)
+            .seed((INPUT_SIZE_BYTES << 32) | seed)
+            .run();
     }
 }
 
 #[test]
-fn a_draining_queue_takes_no_new_work() {
+fn a_draining_queue_refuses_new_requests() {
     let queue = Queue::new(Limits {
         max_running: 2,
         max_batch_running: 1,
         max_waiting_online: 8,
         max_waiting_batch: 8,
     });
-    queue.drain();
+    queue.start_draining();
     let refused = futures::executor::block_on(queue.acquire(PriorityClass::Online, ""));
     assert!(matches!(refused, Err(QueueError::Draining)));
 }
