--- a/crates/foxwheel-engine-emu/src/cache.rs
+++ b/crates/foxwheel-engine-emu/src/cache.rs
@@ -40,18 +40,20 @@
 #[derive(Debug)]
 pub struct PrefixCache {
     capacity_tokens: usize,
+    /// The time of the last use of each block, as a value of `access_counter`, by block hash.
     blocks: HashMap<u64, u64>,
+    /// The block hashes by the time of their last use, for the eviction.
     blocks_by_last_use: BTreeMap<u64, u64>,
     access_counter: u64,
     events: VecDeque<(Instant, CacheEvent)>,
     next_seq: u64,
-    gap_every: u64,
+    event_drop_interval: u64,
 }
 
 impl PrefixCache {
-    /// Returns an empty cache for `capacity_tokens` tokens. Every `gap_every`-th event is dropped,
-    /// none if it is 0.
-    pub fn new(capacity_tokens: usize, gap_every: u64) -> Self {
+    /// Returns an empty cache for `capacity_tokens` tokens. Every `event_drop_interval`-th event is
+    /// dropped, none if it is 0.
+    pub fn new(capacity_tokens: usize, event_drop_interval: u64) -> Self {
         Self {
             capacity_tokens,
             blocks: HashMap::new(),
@@ -59,7 +61,7 @@
             access_counter: 0,
             events: VecDeque::new(),
             next_seq: 0,
-            gap_every,
+            event_drop_interval,
         }
     }
 
@@ -118,7 +120,9 @@
     fn log_event(&mut self, kind: CacheEventKind, block_hash: u64) {
         let seq = self.next_seq;
         self.next_seq += 1;
-        if self.gap_every > 0 && seq % self.gap_every == self.gap_every - 1 {
+        if self.event_drop_interval > 0
+            && seq % self.event_drop_interval == self.event_drop_interval - 1
+        {
             return;
         }
         self.events.push_back((
--- a/crates/foxwheel-engine-emu/src/server.rs
+++ b/crates/foxwheel-engine-emu/src/server.rs
@@ -140,7 +140,7 @@
         tokio::time::sleep(self.prefill_time(&prompt, resume_from)).await;
         for index in resume_from..max_tokens {
             tokio::time::sleep(self.decode_step_time()).await;
-            let piece = text::token(hash, index);
+            let piece = text::response_token(hash, index);
             let is_last = index + 1 == max_tokens;
             let stream_chunk = openai::stream_chunk(&id, &request, &piece, is_last).to_string();
             if chunk_sender.send(stream_chunk).await.is_err() {
--- a/crates/foxwheel-engine-emu/src/text.rs
+++ b/crates/foxwheel-engine-emu/src/text.rs
@@ -36,18 +36,20 @@
 
 /// Returns the token at `index` of the response to the prompt with hash `hash`, with a trailing
 /// space.
-pub fn token(hash: u64, index: usize) -> String {
-    let scrambled = hash
+pub fn response_token(hash: u64, index: usize) -> String {
+    let mixed_hash = hash
         .wrapping_add(index as u64)
         .wrapping_mul(0x9E37_79B9_7F4A_7C15)
         .rotate_left(17);
-    format!("{} ", WORDS[(scrambled % WORDS.len() as u64) as usize])
+    format!("{} ", WORDS[(mixed_hash % WORDS.len() as u64) as usize])
 }
 
 /// Returns the complete response of `max_tokens` tokens to `prompt`.
 pub fn response_text(prompt: &str, max_tokens: usize) -> String {
     let hash = prompt_hash(prompt);
-    (0..max_tokens).map(|index| token(hash, index)).collect()
+    (0..max_tokens)
+        .map(|index| response_token(hash, index))
+        .collect()
 }
 
 /// Returns the number of tokens in a prompt: its words separated by whitespace, at least 1.
--- a/crates/foxwheel-engine-emu/tests/engine_contract.rs
+++ b/crates/foxwheel-engine-emu/tests/engine_contract.rs
@@ -9,13 +9,13 @@
 use foxwheel_engine_emu::text;
 use tokio_util::sync::CancellationToken;
 
-struct Engine {
+struct TestEngine {
     url: String,
     http: awc::Client,
     cancel: CancellationToken,
 }
 
-impl Engine {
+impl TestEngine {
     /// Waits up to 5 s until a stream is cancelled and returns the number of cancelled streams.
     ///
     /// The wait is needed because a stream on a delayed thread can begin, and be cancelled, after a
@@ -69,10 +69,10 @@
     async fn stream_completion(
         &self,
         prompt: &str,
-        tokens: usize,
+        max_tokens: usize,
         resume_from: usize,
     ) -> (String, bool) {
-        let body = serde_json::json!({"model": "draftsman", "prompt": prompt, "max_tokens": tokens, "stream": true});
+        let body = serde_json::json!({"model": "draftsman", "prompt": prompt, "max_tokens": max_tokens, "stream": true});
         let mut response = self
             .http
             .post(format!("{}/v1/completions", self.url))
@@ -82,23 +82,23 @@
             .expect("stream");
         let bytes = response.body().await.expect("complete stream");
         let mut response_text = String::new();
-        let mut done = false;
-        for data in String::from_utf8_lossy(&bytes)
+        let mut has_done_marker = false;
+        for event in String::from_utf8_lossy(&bytes)
             .lines()
             .filter_map(|line| line.strip_prefix("data: "))
         {
-            match serde_json::from_str::<serde_json::Value>(data) {
+            match serde_json::from_str::<serde_json::Value>(event) {
                 Ok(chunk) => {
                     response_text.push_str(openai::extract_text(&chunk).unwrap_or_default())
                 }
-                Err(_) => done = data == "[DONE]",
+                Err(_) => has_done_marker = event == "[DONE]",
             }
         }
-        (response_text, done)
+        (response_text, has_done_marker)
     }
 }
 
-impl Drop for Engine {
+impl Drop for TestEngine {
     fn drop(&mut self) {
         self.cancel.cancel();
     }
@@ -106,21 +106,23 @@
 
 #[actix_web::test]
 async fn resumed_stream_continues_after_delivered_tokens() {
-    let engine = Engine::start(EngineSettings::for_test("draftsman"));
+    let engine = TestEngine::start(EngineSettings::for_test("draftsman"));
     let hash = text::prompt_hash("cut sheet");
-    for delivered in [0, 1, 4, 8, 9] {
-        let delivered_text: String = (0..delivered)
-            .map(|index| text::token(hash, index))
+    for delivered_count in [0, 1, 4, 8, 9] {
+        let delivered_text: String = (0..delivered_count)
+            .map(|index| text::response_token(hash, index))
             .collect();
-        let (resumed_text, done) = engine.stream_completion("cut sheet", 9, delivered).await;
+        let (resumed_text, has_done_marker) = engine
+            .stream_completion("cut sheet", 9, delivered_count)
+            .await;
         assert_eq!(
             format!("{delivered_text}{resumed_text}"),
             text::response_text("cut sheet", 9),
-            "resumed after {delivered} tokens"
+            "resumed after {delivered_count} tokens"
         );
         assert!(
-            done,
-            "resumed after {delivered} tokens: the stream ends with [DONE]"
+            has_done_marker,
+            "resumed after {delivered_count} tokens: the stream ends with [DONE]"
         );
     }
 }
@@ -139,7 +141,7 @@
         ("ignores fencing numbers", FencingMode::Ignore, 200, true),
     ];
     for (case, fencing_mode, stale_status, stale_served) in cases {
-        let engine = Engine::start(EngineSettings {
+        let engine = TestEngine::start(EngineSettings {
             fencing_mode,
             ..EngineSettings::for_test("draftsman")
         });
@@ -155,8 +157,8 @@
         );
         let stale = engine.send_command(6, load_command("draftsman-v1")).await;
         assert_eq!(stale, stale_status, "{case}");
-        let role: serde_json::Value = engine.get_json("/v1/models").await;
-        let models: Vec<&str> = role["models"]
+        let serving_state: serde_json::Value = engine.get_json("/v1/models").await;
+        let models: Vec<&str> = serving_state["models"]
             .as_array()
             .expect("models")
             .iter()
@@ -169,7 +171,7 @@
 
 #[actix_web::test]
 async fn disconnected_stream_is_cancelled_and_frees_its_slot() {
-    let engine = Engine::start(EngineSettings {
+    let engine = TestEngine::start(EngineSettings {
         max_batch: 1,
         ..EngineSettings::for_test("draftsman")
     });
@@ -181,26 +183,26 @@
         .await
         .expect("stream");
     drop(response);
-    let (response_text, done) = engine.stream_completion("short", 3, 0).await;
+    let (response_text, has_done_marker) = engine.stream_completion("short", 3, 0).await;
     assert_eq!(response_text, text::response_text("short", 3));
-    assert!(done, "the only slot is free again");
+    assert!(has_done_marker, "the only slot is free again");
     assert_eq!(engine.wait_for_cancelled_count().await, 1);
 }
 
 #[actix_web::test]
 async fn prefix_cache_stays_within_capacity_and_publishes_events_with_gaps() {
-    let engine = Engine::start(EngineSettings {
+    let engine = TestEngine::start(EngineSettings {
         cache_capacity_tokens: 64,
         cache_event_gap_every: 3,
         ..EngineSettings::for_test("draftsman")
     });
-    for i in 0..12 {
-        let prompt = format!("{i} ").repeat(40);
+    for index in 0..12 {
+        let prompt = format!("{index} ").repeat(40);
         engine.stream_completion(&prompt, 1, 0).await;
     }
-    let load: EngineLoad = engine.get_json("/load").await;
+    let reported_load: EngineLoad = engine.get_json("/load").await;
     assert!(
-        load.cache_used_tokens <= 64,
+        reported_load.cache_used_tokens <= 64,
         "the cache stays within its capacity"
     );
     // Events are published with a lag, so wait up to 5 s for them.
@@ -227,7 +229,7 @@
 
 #[actix_web::test]
 async fn unknown_models_and_invalid_bodies_are_rejected() {
-    let engine = Engine::start(EngineSettings::for_test("draftsman"));
+    let engine = TestEngine::start(EngineSettings::for_test("draftsman"));
     // (case, body, status)
     let cases = [
         (
--- a/crates/foxwheel-platform-emu/src/state.rs
+++ b/crates/foxwheel-platform-emu/src/state.rs
@@ -29,8 +29,8 @@
 #[derive(Debug)]
 pub struct RateLimit {
     limit_per_s: u64,
-    second: u64,
-    used: u64,
+    current_second: u64,
+    used_calls: u64,
 }
 
 impl RateLimit {
@@ -38,22 +38,22 @@
     pub fn new(limit_per_s: u64) -> Self {
         Self {
             limit_per_s,
-            second: 0,
-            used: 0,
+            current_second: 0,
+            used_calls: 0,
         }
     }
 
     /// Counts one call. Returns false if the calls of the current second are used up.
-    pub fn try_acquire(&mut self, started: Instant) -> bool {
-        let second = started.elapsed().as_secs();
-        if second != self.second {
-            self.second = second;
-            self.used = 0;
+    pub fn try_acquire(&mut self, started_at: Instant) -> bool {
+        let current_second = started_at.elapsed().as_secs();
+        if current_second != self.current_second {
+            self.current_second = current_second;
+            self.used_calls = 0;
         }
-        if self.used >= self.limit_per_s {
+        if self.used_calls >= self.limit_per_s {
             return false;
         }
-        self.used += 1;
+        self.used_calls += 1;
         true
     }
 }
@@ -121,19 +121,19 @@
     objects: Vec<(String, Object)>,
     revision: Version,
     history: VecDeque<ChangeEvent>,
-    history_len: usize,
+    max_history_len: usize,
     history_start: Version,
     stored_bytes: u64,
 }
 
 impl ObjectStore {
-    /// Returns an empty store that keeps the last `history_len` changes for watches.
-    pub fn new(history_len: usize) -> Self {
+    /// Returns an empty store that keeps the last `max_history_len` changes for watches.
+    pub fn new(max_history_len: usize) -> Self {
         Self {
             objects: Vec::new(),
             revision: 0,
             history: VecDeque::new(),
-            history_len,
+            max_history_len,
             history_start: 0,
             stored_bytes: 0,
         }
@@ -141,7 +141,7 @@
 
     /// Returns a store with the objects and the revision of `saved`. Watches that start before this
     /// revision must list again, because a snapshot does not contain the history.
-    pub fn restore(saved: StoreSnapshot, history_len: usize) -> Self {
+    pub fn restore(saved: StoreSnapshot, max_history_len: usize) -> Self {
         let stored_bytes = saved
             .objects
             .iter()
@@ -152,7 +152,7 @@
             revision: saved.revision,
             history_start: saved.revision,
             stored_bytes,
-            ..Self::new(history_len)
+            ..Self::new(max_history_len)
         }
     }
 
@@ -182,8 +182,8 @@
             .map_err(|_| StoreError::NotFound)
     }
 
-    /// Returns the first `limit` objects of a kind whose names sort after `after`, and whether there
-    /// are more.
+    /// Returns the first `limit` objects of a kind whose names sort after `after`, and whether
+    /// there are more.
     pub fn list(&self, kind: &str, after: &str, limit: usize) -> (Vec<Object>, bool) {
         let kind_objects = self
             .objects
@@ -262,8 +262,8 @@
         Ok(changed)
     }
 
-    /// Returns the changes of `kind` after the revision `from`, or [`StoreError::HistoryExpired`] if
-    /// they are no longer all kept.
+    /// Returns the changes of `kind` after the revision `from`, or
+    /// [`StoreError::HistoryExpired`] if they are no longer all kept.
     pub fn changes_since(&self, kind: &str, from: Version) -> Result<Vec<ChangeEvent>, StoreError> {
         if from < self.history_start {
             return Err(StoreError::HistoryExpired);
@@ -298,9 +298,9 @@
             object,
             tombstone,
         });
-        while self.history.len() > self.history_len {
-            if let Some(dropped) = self.history.pop_front() {
-                self.history_start = dropped.object.metadata.revision;
+        while self.history.len() > self.max_history_len {
+            if let Some(oldest_event) = self.history.pop_front() {
+                self.history_start = oldest_event.object.metadata.revision;
             }
         }
     }
--- a/crates/foxwheel-platform-emu/tests/store_contract.rs
+++ b/crates/foxwheel-platform-emu/tests/store_contract.rs
@@ -9,14 +9,14 @@
 use foxwheel_store::client::{StoreClient, StoreError};
 use tokio_util::sync::CancellationToken;
 
-fn settings(history_len: usize) -> PlatformSettings {
+fn test_settings(history_len: usize) -> PlatformSettings {
     PlatformSettings {
         history_len,
         ..PlatformSettings::for_test()
     }
 }
 
-fn start(settings: &PlatformSettings) -> (StoreClient, CancellationToken) {
+fn start_store(settings: &PlatformSettings) -> (StoreClient, CancellationToken) {
     let cancel = CancellationToken::new();
     let (addr, server) = server::start(settings, cancel.clone()).expect("store starts");
     actix_web::rt::spawn(server);
@@ -37,7 +37,7 @@
     result: Result<T, StoreError>,
     expected: &ExpectedOutcome,
 ) {
-    let ok = matches!(
+    let is_expected = matches!(
         (&result, expected),
         (Ok(_), ExpectedOutcome::Ok)
             | (Err(StoreError::NotFound), ExpectedOutcome::NotFound)
@@ -47,14 +47,17 @@
                 ExpectedOutcome::Unavailable
             )
     );
-    assert!(ok, "case '{case}': expected {expected:?}, got {result:?}");
+    assert!(
+        is_expected,
+        "case '{case}': expected {expected:?}, got {result:?}"
+    );
 }
 
 #[actix_web::test]
 async fn conditional_updates_check_the_version() {
-    let (store, _cancel) = start(&settings(100));
+    let (store, _cancel) = start_store(&test_settings(100));
     let value = serde_json::json!({"a": 1});
-    let first = store.put("k/1", &value, Some(0)).await.expect("create");
+    let created = store.put("k/1", &value, Some(0)).await.expect("create");
     // (case, key, expected version, expected outcome)
     let cases: &[(&str, &str, Option<u64>, ExpectedOutcome)] = &[
         (
@@ -66,13 +69,13 @@
         (
             "update at a stale version",
             "k/1",
-            Some(first.version + 100),
+            Some(created.version + 100),
             ExpectedOutcome::Conflict,
         ),
         (
             "update at the current version",
             "k/1",
-            Some(first.version),
+            Some(created.version),
             ExpectedOutcome::Ok,
         ),
         ("unconditional write", "k/1", None, ExpectedOutcome::Ok),
@@ -99,7 +102,7 @@
 
 #[actix_web::test]
 async fn faults_decide_outcome_and_effect_of_a_write() {
-    let (store, _cancel) = start(&settings(100));
+    let (store, _cancel) = start_store(&test_settings(100));
     let value = serde_json::json!({"v": 1});
     // (case, faults, expected outcome of a put, whether the write takes effect)
     let cases: &[(&str, Faults, ExpectedOutcome, bool)] = &[
@@ -140,21 +143,24 @@
             .set_faults(&Faults::default())
             .await
             .expect("faults cleared");
-        let found = store.get(&key).await.is_ok();
-        assert_eq!(found, *takes_effect, "case '{case}': write took effect");
+        let is_found = store.get(&key).await.is_ok();
+        assert_eq!(is_found, *takes_effect, "case '{case}': write took effect");
     }
 }
 
 #[actix_web::test]
 async fn watch_returns_all_changes_after_its_version() {
-    let (store, _cancel) = start(&settings(100));
+    let (store, _cancel) = start_store(&test_settings(100));
     let from = store.list("w/").await.expect("list").revision;
-    let writer = store.clone();
+    let other_client = store.clone();
     actix_web::rt::spawn(async move {
         tokio::time::sleep(Duration::from_millis(50)).await;
-        writer.put("w/a", &1, None).await.expect("write a");
-        writer.put("other/x", &1, None).await.expect("write x");
-        writer.delete("w/a", None).await.expect("delete a");
+        other_client.put("w/a", &1, None).await.expect("write a");
+        other_client
+            .put("other/x", &1, None)
+            .await
+            .expect("write x");
+        other_client.delete("w/a", None).await.expect("delete a");
     });
     let mut events = Vec::new();
     let mut revision = from;
@@ -177,7 +183,7 @@
 
 #[actix_web::test]
 async fn watch_from_a_dropped_version_is_refused() {
-    let (store, _cancel) = start(&settings(2));
+    let (store, _cancel) = start_store(&test_settings(2));
     for index in 0..5 {
         store.put("g/k", &index, None).await.expect("write");
     }
@@ -190,9 +196,9 @@
 
 #[actix_web::test]
 async fn rate_limit_refuses_excess_writes() {
-    let mut limited_settings = settings(100);
+    let mut limited_settings = test_settings(100);
     limited_settings.write_limit_per_s = 3;
-    let (store, _cancel) = start(&limited_settings);
+    let (store, _cancel) = start_store(&limited_settings);
     let mut refused_count = 0;
     for index in 0..10 {
         match store.put(&format!("r/{index}"), &index, Some(0)).await {
@@ -217,7 +223,7 @@
     let _ = std::fs::remove_file(&data_file);
     let settings = PlatformSettings {
         data_file: Some(data_file),
-        ..settings(100)
+        ..test_settings(100)
     };
     let (addr, server) = {
         let cancel = CancellationToken::new();
@@ -235,7 +241,7 @@
         .await
         .expect("stopped")
         .expect("stopped without error");
-    let (store, _cancel) = start(&PlatformSettings {
+    let (store, _cancel) = start_store(&PlatformSettings {
         listen_addr: addr.to_string(),
         ..settings
     });
@@ -266,7 +272,7 @@
 /// repeated without reading the object first.
 #[actix_web::test]
 async fn client_knows_which_refused_writes_are_not_done() {
-    let (client, _cancel) = start(&settings(100));
+    let (client, _cancel) = start_store(&test_settings(100));
     let addr = client.base_url().rsplit('/').next().expect("an address");
     let store = Store::new(addr.parse().expect("an address"));
     let create = |name: &str| Write::Create {
@@ -298,11 +304,11 @@
     assert_eq!(store.get("k", "x").await.expect("read"), None);
 }
 
-/// Checks that an outage limited to some hosts refuses their calls, while other hosts and changes of
-/// the faults are served.
+/// Checks that an outage limited to some hosts refuses their calls, while calls of other hosts and
+/// requests to change the faults are served.
 #[actix_web::test]
 async fn outage_can_be_limited_to_some_hosts() {
-    let (client, _cancel) = start(&settings(100));
+    let (client, _cancel) = start_store(&test_settings(100));
     let faults = |host: &str| Faults {
         outage: true,
         only_hosts: vec![host.parse().expect("an address")],
@@ -331,7 +337,7 @@
 /// not applied if another write changed the object in the meantime.
 #[actix_web::test]
 async fn delayed_write_is_applied_only_if_its_condition_still_holds() {
-    let (client, _cancel) = start(&settings(100));
+    let (client, _cancel) = start_store(&test_settings(100));
     client.put("k/1", &1, Some(0)).await.expect("create");
     client.put("k/2", &1, Some(0)).await.expect("create");
     let faults = Faults {
@@ -386,7 +392,7 @@
 /// status is written without the spec.
 #[actix_web::test]
 async fn lists_are_paged_and_unchanged_status_creates_no_event() {
-    let (client, _cancel) = start(&settings(10_000));
+    let (client, _cancel) = start_store(&test_settings(10_000));
     let addr = client.base_url().rsplit('/').next().expect("an address");
     let store = Store::new(addr.parse().expect("an address"));
     for index in 0..1_200 {
