--- a/crates/foxwheel-core/src/declarations.rs
+++ b/crates/foxwheel-core/src/declarations.rs
@@ -295,7 +295,7 @@
     /// Deployments, each with a unique name.
     #[serde(default)]
     pub deployments: Vec<Deployment>,
-    /// Ordered rules. Applying the manifest replaces all rules at once, so that the orders of old and
+    /// Ordered rules. Applying the manifest replaces all rules together, so that the orders of old and
     /// new rules are never mixed.
     #[serde(default)]
     pub rules: Vec<Rule>,
--- a/crates/foxwheel-core/src/protocol.rs
+++ b/crates/foxwheel-core/src/protocol.rs
@@ -105,7 +105,7 @@
 /// The load of an agent, returned by `GET /load` and by control polls.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Number of requests that the backend runs at once; 0 before the agent was polled.
+    /// Number of requests that the backend runs concurrently; 0 before the agent was polled.
     #[serde(default)]
     pub slots: u32,
     /// Online requests running on the backend.
--- a/crates/foxwheel-node/src/attempt.rs
+++ b/crates/foxwheel-node/src/attempt.rs
@@ -119,8 +119,8 @@
     let sent_at = Instant::now();
     let mut is_new = true;
     let exchange = async {
-        let mut lease = node.pool.acquire(server, addr).await?;
-        is_new = lease.is_new;
+        let mut pooled = node.pool.acquire(server, addr).await?;
+        is_new = pooled.is_new;
         if is_new {
             node.metrics.incr(Counter::ServerConnection);
         }
@@ -128,8 +128,8 @@
         if node.usable_addr(server, Instant::now()).is_none() {
             return Ok(None);
         }
-        let response = lease.connection.send(request).await?;
-        Ok::<_, ExchangeError>(Some((lease.connection, response)))
+        let response = pooled.connection.send(request).await?;
+        Ok::<_, ExchangeError>(Some((pooled.connection, response)))
     };
     let wait_until = target
         .head_deadline
--- a/crates/foxwheel-node/src/batch_front.rs
+++ b/crates/foxwheel-node/src/batch_front.rs
@@ -177,7 +177,7 @@
         };
         match self.change_ledger(change, deadline).await? {
             LedgerResponse::Admission(admission) => Ok(admission),
-            LedgerResponse::Standing(_) => Err(JobStoreError::Contended),
+            LedgerResponse::Status(_) => Err(JobStoreError::Contended),
         }
     }
 
@@ -252,7 +252,7 @@
                 log::warn!(request_id = job; "read of a job that does not exist");
                 responses::empty(StatusCode::NOT_FOUND)
             }
-            ResultsResponse::Unsure | ResultsResponse::Elsewhere(_) => {
+            ResultsResponse::Undetermined | ResultsResponse::OwnedBy(_) => {
                 log::warn!(request_id = job; "job cannot be read at present");
                 responses::not_run(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER)
             }
@@ -280,7 +280,7 @@
                 response
             }
             ItemBodyResponse::NoSuchItem => responses::empty(StatusCode::NOT_FOUND),
-            ItemBodyResponse::Unsure | ItemBodyResponse::Elsewhere(_) => {
+            ItemBodyResponse::Undetermined | ItemBodyResponse::OwnedBy(_) => {
                 log::warn!(request_id = item, job; "item cannot be read at present");
                 responses::not_run(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER)
             }
@@ -298,7 +298,7 @@
             now_unix,
         };
         match self.change_ledger(change, deadline).await {
-            Ok(LedgerResponse::Standing(JobStatus::Closed)) => {
+            Ok(LedgerResponse::Status(JobStatus::Closed)) => {
                 log::info!(request_id = job; "job ended by its caller");
                 self.notify_workers_of_end(&job);
                 responses::empty(StatusCode::OK)
@@ -369,7 +369,7 @@
             Ok(None) => ResultsResponse::NoSuchJob,
             Err(e) => {
                 log::info!(request_id = job, error:% = e; "could not read the job from the store");
-                ResultsResponse::Unsure
+                ResultsResponse::Undetermined
             }
         }
     }
@@ -384,7 +384,7 @@
                 }),
             Err(e) => {
                 log::info!(request_id = item, error:% = e; "could not read the item from the store");
-                ItemBodyResponse::Unsure
+                ItemBodyResponse::Undetermined
             }
         }
     }
--- a/crates/foxwheel-node/src/heartbeat.rs
+++ b/crates/foxwheel-node/src/heartbeat.rs
@@ -102,7 +102,7 @@
             zone_representative::apply_cross_zone_loads(datagrams, node, report, now).await
         }
         PeerMessage::Summary(summary) => {
-            request_crash_sync_if_different(node, summary.quarantine);
+            request_crash_sync_if_different(node, summary.quarantine_digest);
             let age = Duration::ZERO;
             let received = AgedSummary { age, summary };
             node.peers
@@ -136,7 +136,7 @@
     if heartbeat.is_watching_store && heartbeat.state_version.is_newer_than(node.state_version()) {
         node.newer_state_reported.notify_one();
     }
-    request_crash_sync_if_different(node, heartbeat.quarantine);
+    request_crash_sync_if_different(node, heartbeat.quarantine_digest);
     if node.peers.apply_heartbeat(heartbeat, own_addr, now) {
         log::info!(peer = host, incarnation, leaving; "peer is alive");
     }
@@ -172,7 +172,7 @@
 enum HeartbeatTrigger {
     /// The heartbeat interval has passed.
     Interval,
-    /// The process's state changed in a way that others must learn at once.
+    /// The process's state changed in a way that others must learn immediately.
     UrgentUpdate,
 }
 
@@ -334,7 +334,7 @@
     sequence.fetch_add(1, Ordering::Relaxed) + 1
 }
 
-/// Waits until `at`. Returns at once if it is None.
+/// Waits until `at`. Returns immediately if it is None.
 async fn wait_until(at: Option<Instant>) {
     if let Some(at) = at {
         tokio::time::sleep_until(at.into()).await;
@@ -354,7 +354,7 @@
         is_watching_store: node.is_watching_store(now),
         time_since_store_response: node.store.time_since_response(now),
         state_version: node.state_version(),
-        quarantine: node.quarantine_digest(),
+        quarantine_digest: node.quarantine_digest(),
         representatives: node.representatives(),
         loads: node.loads.snapshot(),
         dead_instances: node.dead_instances(now),
--- a/crates/foxwheel-node/src/ledger_writer.rs
+++ b/crates/foxwheel-node/src/ledger_writer.rs
@@ -3,7 +3,7 @@
 //! Load pattern: bursts of submissions arrive at all fronts, also while the store takes a
 //! quarter of a second for each call. If each process changed the ledger by itself, the
 //! writes would conflict and be repeated. The ledger writer knows the newest ledger and
-//! writes all waiting changes at once. It only saves calls and time: any process may change
+//! writes all waiting changes in one call. It only saves calls and time: any process may change
 //! the ledger, as each write replaces it only at the revision at which it was read.
 
 use std::sync::{Arc, Mutex};
@@ -74,7 +74,7 @@
         Ok(results) => {
             for ((_, sender), result) in batch.into_iter().zip(results) {
                 // The receiver is dropped if the caller gave up.
-                let _ = sender.send(RelayedResult::Settled(result));
+                let _ = sender.send(RelayedResult::Done(result));
             }
         }
         Err(e) => {
@@ -119,7 +119,7 @@
         }
         _ => None,
     };
-    if let Some(RelayedResult::Settled(result)) = written {
+    if let Some(RelayedResult::Done(result)) = written {
         return Ok(result);
     }
     store
--- a/crates/foxwheel-node/src/node.rs
+++ b/crates/foxwheel-node/src/node.rs
@@ -59,7 +59,7 @@
     pub loads: Arc<LoadTable>,
     /// Hold times of slots by service.
     pub hold_times: ServiceHoldTimes,
-    /// Notified to send a heartbeat at once.
+    /// Notified to send a heartbeat immediately.
     pub urgent_heartbeat: Notify,
     /// What is known of the other processes.
     pub peers: Peers,
@@ -97,7 +97,7 @@
     waiting_items: AtomicU32,
     /// Cancelled when the process is told to stop. It accepts no new work from then on.
     pub leaving: CancellationToken,
-    /// Cancelled when the operator asks for this host to be drained.
+    /// Cancelled when the operator asks for this host to be retired.
     pub retiring: CancellationToken,
 }
 
@@ -156,7 +156,7 @@
     }
 
     /// Returns whether the process accepts no new work, because it was told to stop or because its
-    /// host is being drained.
+    /// host is being retired.
     pub fn is_leaving(&self) -> bool {
         self.leaving.is_cancelled() || self.retiring.is_cancelled()
     }
@@ -277,7 +277,7 @@
             batch_in_flight: load.batch,
             own_batch_in_flight: own_load.batch,
             entry_expired: entry.grace_until.is_some(),
-            suspect: own_load.is_suspected,
+            is_suspected: own_load.is_suspected,
             failure_rate: own_load.failure_rate,
             is_slot_manager: false,
         }
@@ -337,7 +337,7 @@
         }
     }
 
-    /// Selects the zone's representatives anew from the processes that are live at `now`.
+    /// Selects the zone's representatives from the processes that are live at `now`.
     pub fn select_representatives(&self, now: Instant) {
         let mut processes: Vec<ZoneProcess> = self
             .peers
@@ -485,6 +485,6 @@
         let claims = self.claims.lock().expect("claims lock");
         claims
             .iter()
-            .any(|claim| claim.standing == ClaimStatus::Held)
+            .any(|claim| claim.status == ClaimStatus::Owned)
     }
 }
--- a/crates/foxwheel-node/src/other_zones.rs
+++ b/crates/foxwheel-node/src/other_zones.rs
@@ -121,17 +121,17 @@
             .sum()
     }
 
-    /// Returns the state of the crash records, and the address for calls, of each
+    /// Returns the digest of the crash records, and the address for calls, of each
     /// representative that sent its summary directly to this process. Crash records of zones
     /// with forwarded summaries reach this zone through its own representatives.
-    pub fn quarantine_states(
+    pub fn quarantine_digests(
         &self,
         now: Instant,
     ) -> impl Iterator<Item = (SocketAddr, QuarantineDigest)> + '_ {
         let direct = self
             .live_zones(now)
             .filter(|other| other.source == SummarySource::Direct);
-        direct.map(|other| (other.summary.addr, other.summary.quarantine))
+        direct.map(|other| (other.summary.addr, other.summary.quarantine_digest))
     }
 
     /// Returns the live workers of the other zones with their zones.
--- a/crates/foxwheel-node/src/peer_calls.rs
+++ b/crates/foxwheel-node/src/peer_calls.rs
@@ -91,11 +91,13 @@
         results: Vec<ItemResult>,
     },
     /// The worker at this address owns the job.
-    Elsewhere(SocketAddr),
+    #[serde(rename = "Elsewhere")]
+    OwnedBy(SocketAddr),
     /// No job with this id was ever accepted.
     NoSuchJob,
     /// The process that was asked does not know at present.
-    Unsure,
+    #[serde(rename = "Unsure")]
+    Undetermined,
 }
 
 /// A worker's response to a read of an item's body.
@@ -104,11 +106,13 @@
     /// The body.
     Body(Vec<u8>),
     /// The worker at this address owns the job.
-    Elsewhere(SocketAddr),
+    #[serde(rename = "Elsewhere")]
+    OwnedBy(SocketAddr),
     /// There is no such job or item.
     NoSuchItem,
     /// The process that was asked does not know at present.
-    Unsure,
+    #[serde(rename = "Unsure")]
+    Undetermined,
 }
 
 /// The process to ask next after a worker's response.
@@ -127,8 +131,8 @@
     pub fn next_peer(&self) -> NextPeer {
         match self {
             Self::Results { .. } | Self::NoSuchJob => NextPeer::Nobody,
-            Self::Elsewhere(owner) => NextPeer::Worker(*owner),
-            Self::Unsure => NextPeer::Others,
+            Self::OwnedBy(owner) => NextPeer::Worker(*owner),
+            Self::Undetermined => NextPeer::Others,
         }
     }
 }
@@ -138,8 +142,8 @@
     pub fn next_peer(&self) -> NextPeer {
         match self {
             Self::Body(_) | Self::NoSuchItem => NextPeer::Nobody,
-            Self::Elsewhere(owner) => NextPeer::Worker(*owner),
-            Self::Unsure => NextPeer::Others,
+            Self::OwnedBy(owner) => NextPeer::Worker(*owner),
+            Self::Undetermined => NextPeer::Others,
         }
     }
 }
@@ -148,7 +152,8 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum RelayedResult<T> {
     /// The store responded.
-    Settled(T),
+    #[serde(rename = "Settled")]
+    Done(T),
     /// The store did not execute the call, for this reason.
     NotDone(String),
     /// The store may have executed the call. The text is the error.
--- a/crates/foxwheel-node/src/peer_messages.rs
+++ b/crates/foxwheel-node/src/peer_messages.rs
@@ -46,7 +46,8 @@
     #[serde(rename = "knows")]
     pub state_version: StoreStateVersion,
     /// Identifies the set of server crashes that the sender knows.
-    pub quarantine: QuarantineDigest,
+    #[serde(rename = "quarantine")]
+    pub quarantine_digest: QuarantineDigest,
     /// The processes that the sender selected as representatives of its zone, primary first.
     #[serde(rename = "speakers")]
     pub representatives: Vec<NodeId>,
@@ -107,7 +108,8 @@
     /// The address at which the sender receives calls and heartbeats.
     pub addr: SocketAddr,
     /// Identifies the set of server crashes that the sender knows.
-    pub quarantine: QuarantineDigest,
+    #[serde(rename = "quarantine")]
+    pub quarantine_digest: QuarantineDigest,
     /// When the sender started, in milliseconds since the Unix epoch.
     pub incarnation: Incarnation,
     /// Increases with each message within an incarnation.
--- a/crates/foxwheel-node/src/peer_server.rs
+++ b/crates/foxwheel-node/src/peer_server.rs
@@ -58,20 +58,20 @@
     async fn read(self, _: context::Context, job: JobId, read: ResultsQuery) -> ResultsResponse {
         match &self.jobs {
             Some(jobs) => match jobs.remote_owner(&job) {
-                Some(owner) => ResultsResponse::Elsewhere(owner),
+                Some(owner) => ResultsResponse::OwnedBy(owner),
                 None => jobs.read_results(&job, read).await,
             },
-            None => ResultsResponse::Unsure,
+            None => ResultsResponse::Undetermined,
         }
     }
 
     async fn body(self, _: context::Context, job: JobId, item: ItemId) -> ItemBodyResponse {
         match &self.jobs {
             Some(jobs) => match jobs.remote_owner(&job) {
-                Some(owner) => ItemBodyResponse::Elsewhere(owner),
+                Some(owner) => ItemBodyResponse::OwnedBy(owner),
                 None => jobs.read_item_body(&job, &item).await,
             },
-            None => ItemBodyResponse::Unsure,
+            None => ItemBodyResponse::Undetermined,
         }
     }
 
@@ -107,7 +107,7 @@
 
 fn to_relayed<T>(result: Result<T, StoreError>) -> RelayedResult<T> {
     match result {
-        Ok(response) => RelayedResult::Settled(response),
+        Ok(response) => RelayedResult::Done(response),
         Err(e) if e.is_not_done() => RelayedResult::NotDone(e.to_string()),
         Err(e) => RelayedResult::Unknown(e.to_string()),
     }
--- a/crates/foxwheel-node/src/peers/views.rs
+++ b/crates/foxwheel-node/src/peers/views.rs
@@ -111,14 +111,14 @@
         watchers.collect()
     }
 
-    /// Returns the state of the crash records, and the address for calls, of the processes whose
+    /// Returns the digest of the crash records, and the address for calls, of the processes whose
     /// heartbeats or direct summaries are received.
-    pub fn quarantine_states(&self, now: Instant) -> Vec<(SocketAddr, QuarantineDigest)> {
+    pub fn quarantine_digests(&self, now: Instant) -> Vec<(SocketAddr, QuarantineDigest)> {
         let state = self.lock();
         let live = state
             .live_heartbeats(now)
-            .map(|heartbeat| (heartbeat.addr, heartbeat.quarantine));
-        live.chain(state.other_zones.quarantine_states(now))
+            .map(|heartbeat| (heartbeat.addr, heartbeat.quarantine_digest));
+        live.chain(state.other_zones.quarantine_digests(now))
             .collect()
     }
 
--- a/crates/foxwheel-node/src/request_quarantine.rs
+++ b/crates/foxwheel-node/src/request_quarantine.rs
@@ -117,7 +117,7 @@
             node.other_crashes_reported.notified(),
         )
         .await;
-        for (addr, digest) in node.peers.quarantine_states(Instant::now()) {
+        for (addr, digest) in node.peers.quarantine_digests(Instant::now()) {
             let index = fetched.partition_point(|(peer, _)| *peer < addr);
             let is_fetched = fetched.get(index) == Some(&(addr, digest));
             if digest == 0 || digest == node.quarantine_digest() || is_fetched {
--- a/crates/foxwheel-node/src/service_hold_times.rs
+++ b/crates/foxwheel-node/src/service_hold_times.rs
@@ -25,9 +25,9 @@
 }
 
 impl ServiceHoldTimes {
-    /// Records that a request of `service` was served and held its slot for `held`.
-    pub fn record_hold_time(&self, service: &ServiceName, held: Duration) {
-        self.with_entry(service, |entry| entry.hold_time.push_duration(held));
+    /// Records that a request of `service` was served and held its slot for `hold_time`.
+    pub fn record_hold_time(&self, service: &ServiceName, hold_time: Duration) {
+        self.with_entry(service, |entry| entry.hold_time.push_duration(hold_time));
     }
 
     /// Returns the moving average of how long a request of `service` holds its slot.
--- a/crates/foxwheel-node/src/state_sync.rs
+++ b/crates/foxwheel-node/src/state_sync.rs
@@ -11,7 +11,7 @@
 use crate::settings::Role;
 
 /// Interval at which the state versions of the zone's store watchers are checked. Their
-/// heartbeats trigger the check at once; the interval covers a missed notification.
+/// heartbeats trigger the check immediately; the interval covers a missed notification.
 const SYNC_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Minimum delay between two requests, because changes often come several at a time.
--- a/crates/foxwheel-node/src/store_relay.rs
+++ b/crates/foxwheel-node/src/store_relay.rs
@@ -121,7 +121,7 @@
 ) -> Result<T, StoreError> {
     let origin = || Origin::new("call the store through a peer", addr.to_string());
     match relayed {
-        Ok(RelayedResult::Settled(response)) => Ok(response),
+        Ok(RelayedResult::Done(response)) => Ok(response),
         Ok(RelayedResult::NotDone(reason)) => Err(StoreError::NotDone {
             origin: origin(),
             reason,
--- a/crates/foxwheel-node/src/store_watch.rs
+++ b/crates/foxwheel-node/src/store_watch.rs
@@ -95,7 +95,7 @@
         if revision.is_some() {
             tokio::time::sleep_until(first_watch_at.into()).await;
         }
-        // A process that has no list yet asks for one at once. A process whose calls fail
+        // A process that has no list yet asks for one immediately. A process whose calls fail
         // continues until the store responds, so that it knows whether it is still rejected.
         let must_continue = failing || !W::was_listed(node);
         node.select_representatives(Instant::now());
@@ -227,7 +227,7 @@
 
 #[derive(Default)]
 struct ServerWatcher {
-    /// Unreadable entries and the revisions at which they were logged, sorted by name.
+    /// Corrupted entries and the revisions at which they were logged, sorted by name.
     logged_entries: Mutex<Vec<(ServerId, Version)>>,
 }
 
@@ -257,19 +257,19 @@
     }
 
     fn apply_list(&self, node: &Node, objects: Vec<Object>, revision: u64) {
-        let (mut listed, mut unreadable) = (Vec::new(), Vec::new());
+        let (mut listed, mut corrupted) = (Vec::new(), Vec::new());
         for object in &objects {
             match self.decode(object) {
                 Some(server) => listed.push(server),
-                None => unreadable.push(&object.name),
+                None => corrupted.push(&object.name),
             }
         }
-        self.retain_logged(&unreadable);
-        let (servers, spoiled_entries) = (listed.len(), unreadable.len());
+        self.retain_logged(&corrupted);
+        let (servers, spoiled_entries) = (listed.len(), corrupted.len());
         let mut directory = node.directory.lock().expect("directory lock");
         let taken = directory.apply_list(listed, revision, Instant::now());
-        for id in unreadable.into_iter().filter(|_| taken) {
-            directory.refuse_entry(id);
+        for id in corrupted.into_iter().filter(|_| taken) {
+            directory.record_corrupted_entry(id);
         }
         log::info!(servers, spoiled_entries, revision, taken; "backend servers listed");
     }
@@ -291,7 +291,7 @@
             log::info!(server = id, incarnation = server.incarnation, revision, state:? = server.state, service = server.service; "backend server changed");
             ServerChange::Listed(server)
         } else {
-            ServerChange::Refused(id)
+            ServerChange::Corrupted(id)
         };
         let mut directory = node.directory.lock().expect("directory lock");
         directory.apply_change(change, revision, Instant::now());
@@ -299,8 +299,8 @@
 }
 
 impl ServerWatcher {
-    /// Decodes a server's entry. Returns None if the entry is unreadable, and logs each version
-    /// of an unreadable entry once, however often it is read.
+    /// Decodes a server's entry. Returns None if the entry is corrupted, and logs each version
+    /// of a corrupted entry once, however often it is read.
     fn decode(&self, object: &Object) -> Option<BackendServer> {
         let error = match servers::decode(&object.name, &object.spec) {
             Ok(server) => return Some(server),
@@ -317,10 +317,10 @@
         None
     }
 
-    /// Drops the log records of all entries except the `unreadable` ones of a complete list.
-    fn retain_logged(&self, unreadable: &[&ServerId]) {
+    /// Drops the log records of all entries except the `corrupted` ones of a complete list.
+    fn retain_logged(&self, corrupted: &[&ServerId]) {
         let mut logged = self.logged_entries.lock().expect("logged entries lock");
-        logged.retain(|(name, _)| unreadable.contains(&name));
+        logged.retain(|(name, _)| corrupted.contains(&name));
     }
 }
 
--- a/crates/foxwheel-node/src/worker/checkpointing.rs
+++ b/crates/foxwheel-node/src/worker/checkpointing.rs
@@ -102,7 +102,7 @@
             item.id.hash(&mut hasher);
             item.failures.hash(&mut hasher);
             item.output.last_event_id.hash(&mut hasher);
-            item.ending.is_some().hash(&mut hasher);
+            item.outcome.is_some().hash(&mut hasher);
         }
     }
     hasher.finish()
--- a/crates/foxwheel-node/src/worker/mod.rs
+++ b/crates/foxwheel-node/src/worker/mod.rs
@@ -151,7 +151,7 @@
             let progress = &mut entry.progress;
             progress.record_run_end(ended.item, ended.end, output, max_failures, now);
             let item = &progress.items[ended.item];
-            if matches!(&item.state, ItemState::Finished(result) if result.ending == ItemOutcome::GivenUp) {
+            if matches!(&item.state, ItemState::Finished(result) if result.outcome == ItemOutcome::GivenUp) {
                 let id = &progress.spec.items[ended.item].id;
                 log::warn!(request_id = id, job = ended.job, reason:? = ended.end, failures = item.failures, max_failures; "item given up");
             }
@@ -240,7 +240,7 @@
     /// Performs the next step of leaving if the process is leaving. Returns whether all jobs
     /// have been handed over and the process must stop.
     ///
-    /// All jobs are handed over at once rather than as their runs end, because waiting items
+    /// All jobs are handed over immediately rather than as their runs end, because waiting items
     /// would make no progress while other items run on for seconds.
     fn advance_leaving(&mut self) -> bool {
         if !self.node.is_leaving() {
@@ -289,7 +289,7 @@
 }
 
 /// Returns when the results of a job are due, since the Unix epoch. Without a route they are
-/// due at once.
+/// due immediately.
 fn due_unix(entry: &JobEntry, config: &Config) -> Duration {
     let spec = &entry.progress.spec;
     let target = batch_route(config, &spec.host, &spec.path).map(|route| route.completion_target);
--- a/crates/foxwheel-node/src/worker/scheduling.rs
+++ b/crates/foxwheel-node/src/worker/scheduling.rs
@@ -43,7 +43,7 @@
                 continue;
             };
             let service = route.pick_service(rand::random());
-            let slot = slots.take_slot(self, service, now);
+            let slot = slots.reserve_slot(self, service, now);
             let Some(slot) = slot else {
                 without_slot += 1;
                 continue;
@@ -144,8 +144,8 @@
 struct BatchSlots(Vec<(ServiceName, Vec<Candidate>)>);
 
 impl BatchSlots {
-    /// Takes a slot at a server of `service`, or returns `None` if none is free.
-    fn take_slot(
+    /// Reserves a slot at a server of `service`, or returns `None` if none is free.
+    fn reserve_slot(
         &mut self,
         worker: &Worker,
         service: &ServiceName,
--- a/crates/foxwheel-node/src/worker_jobs.rs
+++ b/crates/foxwheel-node/src/worker_jobs.rs
@@ -303,13 +303,13 @@
                 Ok(false) => return ResultsResponse::NoSuchJob,
                 Err(e) => {
                     log::warn!(job = id, error:% = e; "could not read the job for a caller");
-                    return ResultsResponse::Unsure;
+                    return ResultsResponse::Undetermined;
                 }
             }
             let Some((response, new_results)) =
                 self.with_entry(id, |entry| entry.read_results(query))
             else {
-                return ResultsResponse::Unsure;
+                return ResultsResponse::Undetermined;
             };
             let now = Instant::now();
             let is_empty =
@@ -331,7 +331,7 @@
             Ok(false) => return ItemBodyResponse::NoSuchItem,
             Err(e) => {
                 log::warn!(job = id, request_id = item, error:% = e; "could not read the item for a caller");
-                return ItemBodyResponse::Unsure;
+                return ItemBodyResponse::Undetermined;
             }
         }
         let found = self.with_entry(id, |entry| {
@@ -445,8 +445,8 @@
     /// Returns what this worker reports of the job to other processes, or `None` if it neither
     /// owns the job nor closed it recently.
     fn current_claim(&self, now: Instant) -> Option<JobClaim> {
-        let standing = if self.owned {
-            ClaimStatus::Held
+        let status = if self.owned {
+            ClaimStatus::Owned
         } else {
             let closed_at = self.closed_at?;
             let is_recent = now.duration_since(closed_at) < REPORT_CLOSED_DURATION;
@@ -454,8 +454,8 @@
         };
         Some(JobClaim {
             job: self.progress.spec.id.clone(),
-            parts: self.progress.stored_parts,
-            standing,
+            stored_parts: self.progress.stored_parts,
+            status,
         })
     }
 
--- a/crates/foxwheel-node/src/zone_representative.rs
+++ b/crates/foxwheel-node/src/zone_representative.rs
@@ -128,7 +128,7 @@
         zone: settings.availability_zone.clone(),
         host: settings.host.clone(),
         addr: own_addr,
-        quarantine: node.quarantine_digest(),
+        quarantine_digest: node.quarantine_digest(),
         incarnation: node.incarnation,
         sequence,
         representatives,
--- a/crates/foxwheel-node/tests/batch_contract.rs
+++ b/crates/foxwheel-node/tests/batch_contract.rs
@@ -252,7 +252,7 @@
     fleet.cancel.cancel();
 }
 
-/// The store loses responses (and performs the writes at once or late), is slow, or is
+/// The store loses responses (and performs the writes immediately or late), is slow, or is
 /// unavailable for a while. Accepted jobs are completed, with each result listed once.
 #[actix_web::test]
 async fn accepted_jobs_survive_store_faults() {
--- a/crates/foxwheel-node/tests/checkpoints.rs
+++ b/crates/foxwheel-node/tests/checkpoints.rs
@@ -21,7 +21,7 @@
 
 /// Number of servers of the batch items. Batch items leave half of a server's 8 slots free
 /// while no worker manages its slots, so at least 3 servers are needed to run the 9 items of a
-/// test at once.
+/// test concurrently.
 const SERVER_COUNT: u32 = 3;
 
 /// Starts a fleet in which a separate service, `letters`, runs the batch items.
@@ -96,7 +96,7 @@
     fleet.cancel.cancel();
 }
 
-/// All processes are killed and restarted at once. The first checkpoint of a restarted worker
+/// All processes are killed and restarted together. The first checkpoint of a restarted worker
 /// must not replace the checkpoints that its host saved before.
 #[actix_web::test]
 async fn items_resume_after_all_processes_were_killed() {
@@ -107,7 +107,7 @@
     tokio::time::sleep(RUN_TIME_BEFORE_KILL).await;
     fleet.restart_all_processes().await;
     fleet.wait_until_serving(fleet.fronts[0]).await;
-    // Gives the restarted workers new work, so that they save checkpoints at once.
+    // Gives the restarted workers new work, so that they save checkpoints immediately.
     submit_job(fleet.fronts[0], "b", 2)
         .await
         .expect("a response");
@@ -115,10 +115,10 @@
     fleet.cancel.cancel();
 }
 
-/// A worker that is told to stop saves the progress of its items and hands its jobs over at
-/// once. No item waits for other items to end, and no item starts over.
+/// A worker that is told to stop saves the progress of its items and hands its jobs over
+/// immediately. No item waits for other items to end, and no item starts over.
 #[actix_web::test]
-async fn items_of_a_leaving_worker_resume_elsewhere_at_once() {
+async fn items_of_a_leaving_worker_resume_elsewhere_immediately() {
     let fleet = start_fleet(2).await;
     let jobs = ["a", "b", "c"];
     for job in jobs {
--- a/crates/foxwheel-node/tests/membership_contract.rs
+++ b/crates/foxwheel-node/tests/membership_contract.rs
@@ -217,7 +217,7 @@
     .await
 }
 
-/// A front that is told to stop reports not ready at once, completes its requests and exits in
+/// A front that is told to stop reports not ready immediately, completes its requests and exits in
 /// time. A request sent meanwhile is either served or refused as not run, but never cut off.
 #[actix_web::test]
 async fn a_stopping_front_cuts_off_no_request() {
--- a/crates/foxwheel-node/tests/peers.rs
+++ b/crates/foxwheel-node/tests/peers.rs
@@ -48,7 +48,7 @@
         is_watching_store: false,
         time_since_store_response: Duration::ZERO,
         state_version: StoreStateVersion::default(),
-        quarantine: 0,
+        quarantine_digest: 0,
         representatives: Vec::new(),
         loads: vec![ServerLoad {
             server: server(1),
@@ -273,7 +273,7 @@
         zone: "yard".to_owned(),
         host: format!("host-{host}"),
         addr: addr(host),
-        quarantine: 0,
+        quarantine_digest: 0,
         incarnation,
         sequence,
         representatives: vec![addr(host)],
--- a/crates/foxwheel-node/tests/untrusted_input.rs
+++ b/crates/foxwheel-node/tests/untrusted_input.rs
@@ -135,9 +135,9 @@
         for _ in 0..source.int_in_range(0..=20)? {
             stream.extend_from_slice(source.choose(&parts)?);
         }
-        let mut at_once = EventSplitter::default();
-        at_once.push(&stream);
-        let expected = drain_events(&mut at_once);
+        let mut in_one_piece = EventSplitter::default();
+        in_one_piece.push(&stream);
+        let expected = drain_events(&mut in_one_piece);
         let mut in_pieces = EventSplitter::default();
         let mut events = Vec::new();
         let mut rest = stream.as_slice();
@@ -148,10 +148,13 @@
             rest = tail;
         }
         assert_eq!(events, expected);
-        assert_eq!(in_pieces.has_partial_event(), at_once.has_partial_event());
+        assert_eq!(
+            in_pieces.has_partial_event(),
+            in_one_piece.has_partial_event()
+        );
         let event_bytes: usize = events.iter().map(|event| event.bytes.len()).sum();
         assert!(stream.len() >= event_bytes);
-        assert_eq!(stream.len() > event_bytes, at_once.has_partial_event());
+        assert_eq!(stream.len() > event_bytes, in_one_piece.has_partial_event());
         Ok(())
     });
 }
--- a/crates/foxwheel-node/tests/worker_jobs.rs
+++ b/crates/foxwheel-node/tests/worker_jobs.rs
@@ -35,7 +35,7 @@
 fn item_result(number: usize) -> ItemResult {
     ItemResult {
         id: format!("item-{number}"),
-        ending: ItemOutcome::Completed,
+        outcome: ItemOutcome::Completed,
         output: "text".to_owned(),
     }
 }
@@ -86,9 +86,9 @@
     cancel.cancel();
 }
 
-/// Parts that another worker reports are read at once, even if the store was read just before.
+/// Parts that another worker reports are read immediately, even if the store was read just before.
 #[actix_web::test]
-async fn parts_reported_by_other_workers_are_read_at_once() {
+async fn parts_reported_by_other_workers_are_read_immediately() {
     let cancel = CancellationToken::new();
     let jobs = start_worker_jobs(&cancel);
     let deadline = Instant::now() + Duration::from_secs(5);
@@ -123,7 +123,7 @@
     // Without the store the worker cannot tell whether the job exists.
     tokio::time::sleep(Duration::from_millis(300)).await;
     let response = jobs.read_results(&"other".to_owned(), read).await;
-    assert_eq!(response, ResultsResponse::Unsure);
+    assert_eq!(response, ResultsResponse::Undetermined);
 }
 
 /// The jobs that are kept in memory only for readers have a size limit; the least recently used
--- a/crates/foxwheel-policy/src/admission.rs
+++ b/crates/foxwheel-policy/src/admission.rs
@@ -1,6 +1,6 @@
 //! Retry times for callers that were refused because every slot was taken.
 //!
-//! Load pattern: a step of traffic, or all callers retrying at once after hosts are lost, fills
+//! Load pattern: a step of traffic, or all callers retrying together after hosts are lost, fills
 //! every slot within a second. If all refused callers get the same short retry time, they come
 //! back together, find the servers full again and are refused for good, because most of them
 //! retry only once. Retry times are therefore staggered at the rate at which slots are freed,
--- a/crates/foxwheel-policy/src/batch/checkpoint.rs
+++ b/crates/foxwheel-policy/src/batch/checkpoint.rs
@@ -1,7 +1,7 @@
 //! Checkpoints: saved progress of the items that a worker runs, from which another worker
 //! resumes them after it takes over the jobs.
 //!
-//! Load pattern: a worker, or every process at once, is killed or loses power while the items
+//! Load pattern: a worker, or all processes together, is killed or loses power while the items
 //! of its jobs fill the slots. Without checkpoints all these items run again from the start, at
 //! the same time as the requests of returning callers, and finish after their due time.
 
@@ -32,7 +32,8 @@
     /// Output received so far; the text is the complete output if the item is completed.
     pub output: PartialOutput,
     /// How the item ended; `None` if it is unfinished.
-    pub ending: Option<ItemOutcome>,
+    #[serde(rename = "ending")]
+    pub outcome: Option<ItemOutcome>,
 }
 
 /// Saved progress of the items of a job. Items whose results are stored and items without any
@@ -76,7 +77,7 @@
             if saved.output.last_event_id > item.partial_output.last_event_id {
                 item.partial_output = saved.output.clone();
             }
-            if let Some(outcome) = saved.ending {
+            if let Some(outcome) = saved.outcome {
                 item.partial_output = saved.output.clone();
                 progress.finish_item(index, outcome, now);
             }
@@ -92,7 +93,7 @@
                 last_event_id: item.partial_output.last_event_id,
                 text: result.output.clone(),
             },
-            Some(result.ending),
+            Some(result.outcome),
         ),
         ItemState::Waiting { .. } | ItemState::Running => (item.partial_output.clone(), None),
     };
@@ -101,7 +102,7 @@
         id: id.clone(),
         failures: item.failures,
         output,
-        ending: outcome,
+        outcome,
     })
 }
 
--- a/crates/foxwheel-policy/src/batch/item.rs
+++ b/crates/foxwheel-policy/src/batch/item.rs
@@ -36,7 +36,8 @@
     /// Id of the item.
     pub id: ItemId,
     /// How the item ended.
-    pub ending: ItemOutcome,
+    #[serde(rename = "ending")]
+    pub outcome: ItemOutcome,
     /// Data of all events in order, joined by line feeds; empty if the item was given up.
     pub output: String,
 }
@@ -97,7 +98,7 @@
 pub enum ItemState {
     /// Waits for its next run.
     Waiting {
-        /// Earliest start of the next run; `None` allows it at once.
+        /// Earliest start of the next run; `None` allows it immediately.
         not_before: Option<Instant>,
     },
     /// Runs at a backend server.
--- a/crates/foxwheel-policy/src/batch/job.rs
+++ b/crates/foxwheel-policy/src/batch/job.rs
@@ -227,7 +227,7 @@
     }
 
     /// Returns whether to store results now, or to close the job because all results are
-    /// stored. `is_shutting_down` is about this worker, which then stores at once.
+    /// stored. `is_shutting_down` is about this worker, which then stores immediately.
     pub fn should_store(&self, now: Instant, is_shutting_down: bool) -> bool {
         let Some(since) = self.unstored_since else {
             return self.is_fully_stored();
@@ -249,7 +249,7 @@
     /// Returns whether a result that is not stored yet is that of a given-up item.
     pub fn has_unstored_give_up(&self) -> bool {
         self.unstored_results()
-            .any(|result| result.ending == ItemOutcome::GivenUp)
+            .any(|result| result.outcome == ItemOutcome::GivenUp)
     }
 
     /// Returns the results for the next part: as many unstored results as fit into about
@@ -313,7 +313,7 @@
         };
         self.items[index].state = ItemState::Finished(ItemResult {
             id: self.spec.items[index].id.clone(),
-            ending: outcome,
+            outcome,
             output,
         });
         self.unstored_since.get_or_insert(now);
--- a/crates/foxwheel-policy/src/batch/ledger.rs
+++ b/crates/foxwheel-policy/src/batch/ledger.rs
@@ -29,7 +29,8 @@
     /// Name of the job's route.
     pub route: String,
     /// Sum of the tokens of the job's unfinished items.
-    pub waiting_tokens: u64,
+    #[serde(rename = "waiting_tokens")]
+    pub unfinished_tokens: u64,
     /// Time of the acceptance, since the Unix epoch.
     #[serde(rename = "accepted_unix_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
@@ -122,7 +123,8 @@
     /// Result of [`LedgerChange::Admit`].
     Admission(Admission),
     /// Result of any other change: the status of the job after it.
-    Standing(JobStatus),
+    #[serde(rename = "Standing")]
+    Status(JobStatus),
 }
 
 impl Ledger {
@@ -141,11 +143,11 @@
             }
             LedgerChange::Close { id, now_unix } => {
                 self.close(id, *now_unix);
-                LedgerResponse::Standing(self.job_status(id))
+                LedgerResponse::Status(self.job_status(id))
             }
             LedgerChange::Withdraw { id } => {
                 self.open.retain(|job| job.id != *id);
-                LedgerResponse::Standing(self.job_status(id))
+                LedgerResponse::Status(self.job_status(id))
             }
         }
     }
@@ -169,7 +171,7 @@
         let job = OpenJob {
             id: id.to_owned(),
             route: route.to_owned(),
-            waiting_tokens: tokens,
+            unfinished_tokens: tokens,
             accepted_unix: now_unix,
         };
         let index = self.open.partition_point(|open| open.id.as_str() < id);
@@ -198,9 +200,9 @@
         let Ok(index) = self.open_position(id) else {
             return false;
         };
-        let changed = tokens < self.open[index].waiting_tokens;
+        let changed = tokens < self.open[index].unfinished_tokens;
         if changed {
-            self.open[index].waiting_tokens = tokens;
+            self.open[index].unfinished_tokens = tokens;
         }
         changed
     }
@@ -236,7 +238,7 @@
     /// Returns the sum of the unfinished tokens of the open jobs on `route`.
     pub fn unfinished_tokens(&self, route: &str) -> u64 {
         let route_jobs = self.open.iter().filter(|job| job.route == route);
-        route_jobs.map(|job| job.waiting_tokens).sum()
+        route_jobs.map(|job| job.unfinished_tokens).sum()
     }
 
     fn open_position(&self, id: &str) -> Result<usize, usize> {
--- a/crates/foxwheel-policy/src/batch/ownership.rs
+++ b/crates/foxwheel-policy/src/batch/ownership.rs
@@ -34,7 +34,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimStatus {
     /// The worker owns the job.
-    Held,
+    #[serde(rename = "Held")]
+    Owned,
     /// The job was closed recently.
     Closed,
 }
@@ -45,9 +46,11 @@
     /// Id of the job.
     pub job: JobId,
     /// Number of parts of the results that the worker knows to be stored. It never decreases.
-    pub parts: u32,
+    #[serde(rename = "parts")]
+    pub stored_parts: u32,
     /// Whether the worker owns the job.
-    pub standing: ClaimStatus,
+    #[serde(rename = "standing")]
+    pub status: ClaimStatus,
 }
 
 /// A live worker, as of its last heartbeat.
@@ -87,7 +90,7 @@
     /// Returns whether the worker reports that it owns `job`.
     pub fn owns(&self, job: &str) -> bool {
         self.find_claim(job)
-            .is_some_and(|claim| claim.standing == ClaimStatus::Held)
+            .is_some_and(|claim| claim.status == ClaimStatus::Owned)
     }
 }
 
@@ -128,7 +131,7 @@
 /// knows of fewer must read the store before it responds to a reader.
 pub fn known_stored_parts(job: &str, workers: &[Worker]) -> u32 {
     let claims = workers.iter().filter_map(|worker| worker.find_claim(job));
-    claims.map(|claim| claim.parts).max().unwrap_or(0)
+    claims.map(|claim| claim.stored_parts).max().unwrap_or(0)
 }
 
 /// Returns whether a worker that started at `started_at` has received the heartbeats of all live
@@ -175,7 +178,11 @@
         .filter(|worker| worker.node != own && !worker.leaving && worker.owns(job))
         .filter_map(|worker| worker.find_claim(job).map(|claim| (worker, claim)))
         .any(|(worker, claim)| {
-            (claim.parts, rank(job, &worker.node), worker.node.as_str()) > own_rank
+            (
+                claim.stored_parts,
+                rank(job, &worker.node),
+                worker.node.as_str(),
+            ) > own_rank
         })
 }
 
--- a/crates/foxwheel-policy/src/health.rs
+++ b/crates/foxwheel-policy/src/health.rs
@@ -1,8 +1,8 @@
 //! The failure rate of a backend server, estimated from its recent responses.
 //!
 //! Load pattern: a server fails part of its requests while it looks healthy, or loses a
-//! response now and then. Avoiding a server after every single failure takes a large share of
-//! a fleet out of use at once and overloads the rest; never avoiding it loses requests that
+//! response now and then. Avoiding a server after every single failure takes a large share of a
+//! fleet out of use at the same time and overloads the rest; never avoiding it loses requests that
 //! may run only once.
 
 use std::time::{Duration, Instant};
--- a/crates/foxwheel-policy/src/membership.rs
+++ b/crates/foxwheel-policy/src/membership.rs
@@ -49,7 +49,7 @@
     /// Sorted by server id.
     entries: Vec<DirectoryEntry>,
     /// Ids of corrupted entries, which describe no server; sorted, disjoint from `entries`.
-    refused: Vec<ServerId>,
+    corrupted: Vec<ServerId>,
     /// Store revision that the entries correspond to; `None` before the first list. It never
     /// decreases.
     revision: Option<u64>,
@@ -75,7 +75,7 @@
     /// set back.
     pub fn upsert(&mut self, server: BackendServer) {
         self.generation += 1;
-        self.refused.retain(|id| *id != server.id);
+        self.corrupted.retain(|id| *id != server.id);
         let entry = DirectoryEntry {
             server,
             grace_until: None,
@@ -89,16 +89,16 @@
 
     /// Removes the server `id`, whose entry describes no server any more because another writer
     /// corrupted it. The server is used again once its entry is valid.
-    pub fn refuse_entry(&mut self, id: &str) {
+    pub fn record_corrupted_entry(&mut self, id: &str) {
         self.generation += 1;
         if let Ok(at) = self.position(id) {
             self.entries.remove(at);
         }
         if let Err(at) = self
-            .refused
+            .corrupted
             .binary_search_by(|known| known.as_str().cmp(id))
         {
-            self.refused.insert(at, id.to_owned());
+            self.corrupted.insert(at, id.to_owned());
         }
     }
 
@@ -137,10 +137,10 @@
     }
 
     /// Records that the entry of `id` was removed from the platform's list. A draining server is
-    /// dropped at once; any other one stays usable as a last resort until its grace is over.
+    /// dropped immediately; any other one stays usable as a last resort until its grace is over.
     pub fn remove_entry(&mut self, id: &str, now: Instant) {
         self.generation += 1;
-        self.refused.retain(|known| known != id);
+        self.corrupted.retain(|known| known != id);
         let Ok(at) = self.position(id) else { return };
         let grace_until = self.grace_end(now);
         let entry = &mut self.entries[at];
@@ -175,7 +175,7 @@
         if self.revision.is_some_and(|known| known > revision) {
             return false;
         }
-        self.refused.clear();
+        self.corrupted.clear();
         self.replace_all(listed, now);
         self.revision = Some(revision);
         self.changes.restart(revision);
@@ -191,7 +191,7 @@
         match change.clone() {
             ServerChange::Listed(server) => self.upsert(server),
             ServerChange::Removed(id) => self.remove_entry(&id, now),
-            ServerChange::Refused(id) => self.refuse_entry(&id),
+            ServerChange::Corrupted(id) => self.record_corrupted_entry(&id),
         }
         self.changes.push(revision, change);
     }
@@ -208,7 +208,7 @@
         let listed = listed.filter(|entry| entry.grace_until.is_none());
         ServerUpdate::List {
             servers: listed.map(|entry| entry.server.clone()).collect(),
-            refused: self.refused.clone(),
+            corrupted: self.corrupted.clone(),
             revision,
         }
     }
@@ -235,12 +235,12 @@
             }
             ServerUpdate::List {
                 servers,
-                refused,
+                corrupted,
                 revision,
             } => {
                 let applied = self.apply_list(servers, revision, now);
-                for id in refused.iter().filter(|_| applied) {
-                    self.refuse_entry(id);
+                for id in corrupted.iter().filter(|_| applied) {
+                    self.record_corrupted_entry(id);
                 }
                 applied
             }
--- a/crates/foxwheel-policy/src/placement.rs
+++ b/crates/foxwheel-policy/src/placement.rs
@@ -32,7 +32,7 @@
     /// The server's list entry was removed recently and may only have expired.
     pub entry_expired: bool,
     /// The server recently did not respond, or no connection to it could be opened.
-    pub suspect: bool,
+    pub is_suspected: bool,
     /// Expected share of requests that fail at the server, from 0 to 1.
     pub failure_rate: f64,
     /// This process is the slot manager of the server: it assigns the server's batch slots.
@@ -57,7 +57,7 @@
 const CROSS_ZONE_PENALTY: f64 = 0.45;
 
 /// Load added to a server with an expired entry, so that it ranks behind all others that are not
-/// suspect.
+/// suspected.
 const EXPIRED_ENTRY_PENALTY: f64 = 4.0;
 
 /// Load added to a server that fails every request, as a share of its slots; at lower failure
@@ -66,7 +66,7 @@
 /// if there is no other.
 const FAILURE_PENALTY: f64 = 4.0;
 
-/// Load added to a suspect server, so that it ranks last.
+/// Load added to a suspected server, so that it ranks last.
 const SUSPECT_PENALTY: f64 = 16.0;
 
 /// Length of a server's queue, as a share of its slots, up to which it still gets online
@@ -105,9 +105,11 @@
     pub batch_weight: f64,
     /// Share of a server's slots that its slot manager leaves free of batch items, for online
     /// requests that arrive before the load is checked again; at least one slot.
-    pub keeper_reserve_share: f64,
+    #[serde(rename = "keeper_reserve_share")]
+    pub managed_reserve_share: f64,
     /// The same for a server whose batch slots another worker manages.
-    pub guest_reserve_share: f64,
+    #[serde(rename = "guest_reserve_share")]
+    pub unmanaged_reserve_share: f64,
 }
 
 impl Default for FillLimits {
@@ -115,8 +117,8 @@
         Self {
             online_queue_share: ONLINE_QUEUE_SHARE,
             batch_weight: BATCH_WEIGHT,
-            keeper_reserve_share: MANAGED_RESERVE_SHARE,
-            guest_reserve_share: UNMANAGED_RESERVE_SHARE,
+            managed_reserve_share: MANAGED_RESERVE_SHARE,
+            unmanaged_reserve_share: UNMANAGED_RESERVE_SHARE,
         }
     }
 }
@@ -140,7 +142,7 @@
     }
 
     /// Returns the server for a batch item; `draw` breaks ties. Returns `None` if no server that
-    /// is not suspect has a free slot beyond the reserve for online requests; the item then waits.
+    /// is not suspected has a free slot beyond the reserve for online requests; the item then waits.
     pub fn pick_batch<'a>(
         &self,
         candidates: &'a [Candidate],
@@ -148,7 +150,7 @@
         draw: usize,
     ) -> Option<&'a Candidate> {
         let has_room = |candidate: &Candidate| {
-            !candidate.suspect
+            !candidate.is_suspected
                 && candidate.in_flight + self.reserved_slots(candidate) < candidate.slots
         };
         let cost = |candidate: &Candidate| match has_room(candidate) {
@@ -168,8 +170,8 @@
     /// slot has no reserve: batch items run there while it is idle.
     fn reserved_slots(&self, candidate: &Candidate) -> u32 {
         let share = match candidate.is_slot_manager {
-            true => self.keeper_reserve_share,
-            false => self.guest_reserve_share,
+            true => self.managed_reserve_share,
+            false => self.unmanaged_reserve_share,
         };
         let reserve = (f64::from(candidate.slots) * share).ceil() as u32;
         reserve.min(candidate.slots.saturating_sub(1))
@@ -209,7 +211,7 @@
 
 /// Minimum age of a batch run before it may be preempted. Letting a new run continue occupies its
 /// slot for a few milliseconds more, whereas preempting it wastes the processing of its prompt and
-/// its connection. An item that fails at once would also be preempted and run again each time
+/// its connection. An item that fails immediately would also be preempted and run again each time
 /// before its failure is reported.
 pub const MIN_RUN_TIME: Duration = Duration::from_millis(120);
 
@@ -269,7 +271,7 @@
     if candidate.entry_expired {
         penalty += EXPIRED_ENTRY_PENALTY;
     }
-    if candidate.suspect {
+    if candidate.is_suspected {
         penalty += SUSPECT_PENALTY;
     }
     penalty
--- a/crates/foxwheel-policy/src/quarantine.rs
+++ b/crates/foxwheel-policy/src/quarantine.rs
@@ -27,12 +27,12 @@
 pub const CRASHES_TO_QUARANTINE: usize = 3;
 
 /// Time between two crashes from which on they count as separate failures, even if the request was
-/// sent to both servers before the first one crashed. The loss of many servers at once is observed
-/// by all processes within tens of milliseconds.
+/// sent to both servers before the first one crashed. The simultaneous loss of many servers is
+/// observed by all processes within tens of milliseconds.
 const MIN_CRASH_SEPARATION: Duration = Duration::from_millis(250);
 
 /// How long a content is quarantined after its last crash. After that it may run again, and the
-/// next crash quarantines it at once: a wrongly suspected content gets another chance, and one
+/// next crash quarantines it immediately: a wrongly suspected content gets another chance, and one
 /// that does cause the crashes takes down one server each time.
 const QUARANTINE_DURATION: Duration = Duration::from_secs(600);
 
--- a/crates/foxwheel-policy/src/routes.rs
+++ b/crates/foxwheel-policy/src/routes.rs
@@ -18,7 +18,8 @@
     pub limits: CallerLimits,
 }
 
-/// Whether the requests of a route may run more than once.
+/// The kind of a route: whether its requests are online requests or batch jobs, and whether an
+/// online request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
     /// A request may run any number of times.
@@ -59,7 +60,7 @@
     pub completion_target: Duration,
     /// Batch only: time after the first submission from which on an item may be given up.
     pub retention: Duration,
-    /// Batch only: maximum number of tokens waiting on the route; 0 means no limit.
+    /// Batch only: maximum sum of the unfinished tokens of the route's open jobs; 0 means no limit.
     pub quota_tokens: u64,
 }
 
--- a/crates/foxwheel-policy/src/server_changes.rs
+++ b/crates/foxwheel-policy/src/server_changes.rs
@@ -18,7 +18,8 @@
     /// The entry was removed.
     Removed(ServerId),
     /// The entry no longer describes a server, because another writer corrupted it.
-    Refused(ServerId),
+    #[serde(rename = "Refused")]
+    Corrupted(ServerId),
 }
 
 /// The update of a server list, sent to a process that has an older one.
@@ -38,7 +39,8 @@
         /// The listed servers.
         servers: Vec<BackendServer>,
         /// Ids of the corrupted entries; sorted.
-        refused: Vec<ServerId>,
+        #[serde(rename = "refused")]
+        corrupted: Vec<ServerId>,
         /// Store revision of the list.
         revision: u64,
     },
--- a/crates/foxwheel-policy/src/zone_loads.rs
+++ b/crates/foxwheel-policy/src/zone_loads.rs
@@ -62,7 +62,7 @@
 }
 
 /// Share of its slots that a server is assumed to use while its zone sends no reports. When such
-/// servers were treated as empty, they attracted the requests of every full zone at once: half
+/// servers were treated as empty, they attracted the requests of all full zones: half
 /// of the requests of a small fleet were late while the path to one representative was cut.
 const UNKNOWN_LOAD_SHARE: f64 = 0.75;
 
--- a/crates/foxwheel-policy/tests/batch_job.rs
+++ b/crates/foxwheel-policy/tests/batch_job.rs
@@ -49,7 +49,7 @@
         progress.record_run_end(0, end, partial_output(&[(1, "a")]), MAX_FAILURES, now);
         let ending = unstored_results(&progress)
             .first()
-            .map(|result| result.ending);
+            .map(|result| result.outcome);
         assert_eq!(ending, expected, "{end:?}");
         if expected.is_none() {
             let after_delay = now + Duration::from_secs(1);
@@ -121,7 +121,7 @@
     let mut progress = JobProgress::new(common::job_with_items(2));
     let stored = ItemResult {
         id: "item-1".to_owned(),
-        ending: ItemOutcome::Completed,
+        outcome: ItemOutcome::Completed,
         output: "a".to_owned(),
     };
     assert!(progress.apply_part(0, vec![stored.clone()]));
@@ -268,7 +268,7 @@
     assert!(progress.should_store(after_ms(2_500), false));
     assert!(
         progress.should_store(after_ms(0), true),
-        "a worker that shuts down stores at once"
+        "a worker that shuts down stores immediately"
     );
     progress.start_item(1);
     progress.record_run_end(1, RunEnd::Impossible, PartialOutput::default(), 1, start);
--- a/crates/foxwheel-policy/tests/checkpoint.rs
+++ b/crates/foxwheel-policy/tests/checkpoint.rs
@@ -50,7 +50,7 @@
     assert_eq!(restored.items[2].failures, 2);
     let results: Vec<(&str, ItemOutcome, &str)> = restored
         .unstored_results()
-        .map(|result| (result.id.as_str(), result.ending, result.output.as_str()))
+        .map(|result| (result.id.as_str(), result.outcome, result.output.as_str()))
         .collect();
     let full_output = output_up_to(9).text;
     assert_eq!(
--- a/crates/foxwheel-policy/tests/ledger.rs
+++ b/crates/foxwheel-policy/tests/ledger.rs
@@ -175,15 +175,15 @@
                 id: "a".to_owned(),
                 now_unix: NOW,
             },
-            LedgerResponse::Standing(JobStatus::Closed),
+            LedgerResponse::Status(JobStatus::Closed),
         ),
         (
             LedgerChange::Withdraw { id: "a".to_owned() },
-            LedgerResponse::Standing(JobStatus::Closed),
+            LedgerResponse::Status(JobStatus::Closed),
         ),
         (
             LedgerChange::Withdraw { id: "b".to_owned() },
-            LedgerResponse::Standing(JobStatus::Unknown),
+            LedgerResponse::Status(JobStatus::Unknown),
         ),
     ];
     for (change, expected) in changes {
--- a/crates/foxwheel-policy/tests/membership.rs
+++ b/crates/foxwheel-policy/tests/membership.rs
@@ -191,14 +191,14 @@
     let mut directory = ServerDirectory::default();
     directory.upsert(server("a", ServerState::Ready));
     directory.upsert(server("b", ServerState::Ready));
-    directory.refuse_entry("a");
+    directory.record_corrupted_entry("a");
     assert_eq!(usable_ids(&directory), ["b"]);
     // The same within a complete list.
     let listed = vec![server("c", ServerState::Ready)];
     directory.record_source_lost();
     assert!(directory.apply_list(listed, 9, now));
     assert_eq!(usable_ids(&directory), ["b", "c"], "b may register again");
-    directory.refuse_entry("b");
+    directory.record_corrupted_entry("b");
     assert_eq!(usable_ids(&directory), ["c"]);
 }
 
--- a/crates/foxwheel-policy/tests/ownership.rs
+++ b/crates/foxwheel-policy/tests/ownership.rs
@@ -14,8 +14,8 @@
 fn worker(node: &str, owned_parts: Option<u32>) -> Worker {
     let claim = owned_parts.map(|parts| JobClaim {
         job: JOB.to_owned(),
-        parts,
-        standing: ClaimStatus::Held,
+        stored_parts: parts,
+        status: ClaimStatus::Owned,
     });
     Worker {
         node: node.to_owned(),
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn only_the_preferred_worker_takes_over_a_job_at_once() {
+fn only_the_preferred_worker_takes_over_a_job_immediately() {
     let workers = idle_workers();
     let now = Instant::now();
     let taking_over = workers
@@ -97,12 +97,12 @@
 
 #[test]
 fn job_that_any_worker_reports_is_not_taken_over() {
-    for status in [ClaimStatus::Held, ClaimStatus::Closed] {
+    for status in [ClaimStatus::Owned, ClaimStatus::Closed] {
         let mut workers = idle_workers();
         workers[0].claims.push(JobClaim {
             job: JOB.to_owned(),
-            parts: 0,
-            standing: status,
+            stored_parts: 0,
+            status,
         });
         let start = Instant::now();
         let much_later = start + Duration::from_secs(60);
@@ -138,8 +138,8 @@
     );
     workers[index].claims.push(JobClaim {
         job: JOB.to_owned(),
-        parts: 9,
-        standing: ClaimStatus::Held,
+        stored_parts: 9,
+        status: ClaimStatus::Owned,
     });
     assert!(!ownership::should_release(JOB, "other", 0, &workers));
 }
@@ -151,7 +151,7 @@
         worker("b", Some(3)),
         worker("c", None),
     ];
-    workers[1].claims[0].standing = ClaimStatus::Closed;
+    workers[1].claims[0].status = ClaimStatus::Closed;
     assert_eq!(ownership::known_stored_parts(JOB, &workers), 3);
     assert_eq!(ownership::known_stored_parts("unknown", &workers), 0);
 }
--- a/crates/foxwheel-policy/tests/placement.rs
+++ b/crates/foxwheel-policy/tests/placement.rs
@@ -12,7 +12,7 @@
         batch_in_flight: 0,
         own_batch_in_flight: 0,
         entry_expired: false,
-        suspect: false,
+        is_suspected: false,
         failure_rate: 0.0,
         is_slot_manager: false,
     }
@@ -39,13 +39,13 @@
 }
 
 #[test]
-fn suspect_servers_and_expired_entries_are_last_resorts() {
+fn suspected_servers_and_expired_entries_are_last_resorts() {
     let mut servers = [
         candidate("a", "local", 0),
         candidate("b", "local", 0),
         candidate("c", "remote", 7),
     ];
-    servers[0].suspect = true;
+    servers[0].is_suspected = true;
     servers[1].entry_expired = true;
     assert_eq!(picked(&servers), Some("c"));
     assert_eq!(picked(&servers[..2]), Some("b"));
@@ -154,7 +154,7 @@
 }
 
 /// Three workers know the load of one server in another zone from heartbeats that are 0.4 s old,
-/// and each starts as many batch items at once as it sees free slots for. Together they must stay
+/// and each starts as many batch items together as it sees free slots for. Together they must stay
 /// within the server's slots, so that no run has to be preempted.
 #[test]
 fn workers_with_outdated_loads_do_not_overfill_a_remote_server() {
--- a/crates/foxwheel-policy/tests/quarantine.rs
+++ b/crates/foxwheel-policy/tests/quarantine.rs
@@ -178,7 +178,7 @@
 fn many_simultaneous_crashes_quarantine_nothing_evict_no_quarantined_content_and_stay_bounded() {
     let now = Instant::now();
     let mut quarantine = with_quarantined_content(now);
-    // 300 servers are lost at once with 16 requests each, so that each request has one crash.
+    // 300 servers are lost together with 16 requests each, so that each request has one crash.
     for server in 1_000..1_300 {
         for request in 0..16 {
             let content = format!("not-at-fault-{server}-{request}");
--- a/crates/foxwheel-policy/tests/server_changes.rs
+++ b/crates/foxwheel-policy/tests/server_changes.rs
@@ -89,7 +89,7 @@
 fn a_corrupted_entry_is_refused_by_the_recipients_of_an_update() {
     let now = Instant::now();
     let mut watcher = watcher(now);
-    watcher.apply_change(ServerChange::Refused("b".to_owned()), 16, now);
+    watcher.apply_change(ServerChange::Corrupted("b".to_owned()), 16, now);
     watcher.advance_revision(16);
     for known in [Some(14), None] {
         let mut other = ServerDirectory::default();
@@ -114,7 +114,7 @@
             let id = *u.choose(&ids)?;
             let change = match u.int_in_range(0..=3)? {
                 0 => ServerChange::Removed(id.to_owned()),
-                1 => ServerChange::Refused(id.to_owned()),
+                1 => ServerChange::Corrupted(id.to_owned()),
                 2 => ServerChange::Listed(server(id, ServerState::Draining)),
                 _ => ServerChange::Listed(ready(id)),
             };
