--- a/crates/foxwheel-agent/src/batch_admission.rs
+++ b/crates/foxwheel-agent/src/batch_admission.rs
@@ -16,7 +16,7 @@
 }
 
 impl Signals {
-    fn value(&self, signal: Signal) -> u64 {
+    fn signal_value(&self, signal: Signal) -> u64 {
         match signal {
             Signal::EngineWaiting => self.engine_waiting,
             Signal::CacheUsedPercent => self.cache_used_percent,
@@ -25,7 +25,7 @@
     }
 
     fn is_within_limit(&self, check: &GateCheck) -> bool {
-        self.value(check.signal) <= check.at_most
+        self.signal_value(check.signal) <= check.at_most
     }
 }
 
--- a/crates/foxwheel-agent/src/membership.rs
+++ b/crates/foxwheel-agent/src/membership.rs
@@ -95,7 +95,7 @@
     }
 
     /// Renews the lease at every heartbeat interval, and when a renewal is requested, until
-    /// `cancel` is cancelled. A failed write is retried after at most [`MAX_RETRY_DELAY`]. Only the
+    /// `cancel` is cancelled. A failed write is retried after at most `MAX_RETRY_DELAY`. Only the
     /// first of several failures in a row and the first success after them are logged.
     pub async fn run(mut self, cancel: CancellationToken) {
         let mut last_succeeded = true;
--- a/crates/foxwheel-agent/src/proxy.rs
+++ b/crates/foxwheel-agent/src/proxy.rs
@@ -197,8 +197,8 @@
             HeaderName::from_static(RESUME_FROM_HEADER),
             HeaderValue::from(received.token_count()),
         );
-        let pending = self.send_with(&headers, body.into());
-        let mut response = pending.await?;
+        let pending_response = self.send_with(&headers, body.into());
+        let mut response = pending_response.await?;
         if !response.status().is_success() {
             return relay_full_response(response).await;
         }
--- a/crates/foxwheel-agent/src/queue.rs
+++ b/crates/foxwheel-agent/src/queue.rs
@@ -81,19 +81,19 @@
         self.running_online + self.running_batch
     }
 
-    fn has_room(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         self.running_total() < self.limits.max_running
     }
 
     fn has_room_for_batch(&self) -> bool {
-        self.has_room()
+        self.has_free_slot()
             && self.running_batch < self.limits.max_batch_running
             && self.waiting_online.is_empty()
             && self.preempted_running == 0
     }
 
     /// Removes and returns the first waiting batch request that may start. Returns `None` if there
-    /// is no room for a batch request or the batch gate holds back all that wait.
+    /// is no room for a batch request, or if none waits that the batch gate admits.
     fn take_admitted_batch_request(&mut self) -> Option<WaitingRequest> {
         if !self.has_room_for_batch() {
             return None;
@@ -206,7 +206,7 @@
                 return Err(QueueError::Draining);
             }
             let can_start = match class {
-                PriorityClass::Online => state.has_room() && state.waiting_online.is_empty(),
+                PriorityClass::Online => state.has_free_slot() && state.waiting_online.is_empty(),
                 PriorityClass::Batch => {
                     state.has_room_for_batch()
                         && state.waiting_batch.is_empty()
@@ -330,7 +330,7 @@
     /// Preempts the newest running batch request if no slot is free and more online requests
     /// wait than slots are about to be freed by preempted requests.
     fn preempt_for_online(&self, state: &mut QueueState) {
-        if state.has_room() || state.waiting_online.len() as u32 <= state.preempted_running {
+        if state.has_free_slot() || state.waiting_online.len() as u32 <= state.preempted_running {
             return;
         }
         if let Some((_, preempted)) = state.preemptible_batch.pop() {
@@ -370,7 +370,7 @@
     /// delivered because the request's caller had disconnected.
     fn grant_free_slots(&self, state: &mut QueueState) -> Vec<Permit> {
         let mut undelivered = Vec::new();
-        while state.has_room() {
+        while state.has_free_slot() {
             let (waiting, class) = if let Some(online) = state.waiting_online.pop_front() {
                 (online, PriorityClass::Online)
             } else if let Some(batch) = state.take_admitted_batch_request() {
--- a/crates/foxwheel-agent/src/server.rs
+++ b/crates/foxwheel-agent/src/server.rs
@@ -84,10 +84,11 @@
     pub stopped: tokio::task::JoinHandle<()>,
 }
 
-/// Starts the agent: its queue, HTTP server, control channel, batch gate and membership lease.
+/// Starts the agent: its queue, HTTP server, control channel, membership lease and, for a model
+/// engine, the batch gate.
 ///
 /// When `cancel` is cancelled, the agent announces that it is draining and keeps serving for
-/// `drain_grace_ms`, so that gateways learn of it. Then it stops accepting connections, completes
+/// `drain_grace_ms`, so that gateways notice it. Then it stops accepting connections, completes
 /// the requests in flight and removes its membership record.
 ///
 /// Returns an error if an address cannot be bound or the statsd client cannot be set up.
--- a/crates/foxwheel-agent/src/state.rs
+++ b/crates/foxwheel-agent/src/state.rs
@@ -28,7 +28,8 @@
     pub gate: Gate,
     /// Backend that requests are forwarded to.
     pub backend: Backend,
-    /// Requests an immediate renewal of the membership lease when the agent starts draining.
+    /// Notified when the agent starts draining, so that the membership lease is renewed
+    /// immediately.
     pub renewal_requested: Arc<tokio::sync::Notify>,
     /// Counters of this process.
     pub counters: Counters,
