--- a/crates/foxwheel-gateway/src/batch/chunk_work.rs
+++ b/crates/foxwheel-gateway/src/batch/chunk_work.rs
@@ -32,7 +32,7 @@
     /// Name of this gateway, which is written into leases.
     pub holder: String,
     /// Time until a lease expires unless it is renewed.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// Maximum time between two commits of new results.
     pub commit_interval: Duration,
     /// Maximum number of items of one chunk in flight at once.
@@ -105,7 +105,7 @@
             holder: options.holder.clone(),
             nonce: rand::random(),
             commit_seq: 0,
-            expires_ms: lease_expiry_ms(options.lease),
+            expires_ms: lease_expiry_ms(options.lease_duration),
         });
         leased.write_current().await.ok()?;
         Some(leased)
@@ -211,7 +211,7 @@
     /// renews the lease.
     async fn commit_if_due(&mut self, options: &ChunkWorkOptions) -> Result<(), CommitError> {
         let has_uncommitted_results = self.chunk.items != self.committed.items;
-        if !has_uncommitted_results && self.committed_at.elapsed() < options.lease / 3 {
+        if !has_uncommitted_results && self.committed_at.elapsed() < options.lease_duration / 3 {
             return Ok(());
         }
         let lease = self
@@ -220,7 +220,7 @@
             .as_mut()
             .expect("a leased chunk has a lease");
         lease.commit_seq += 1;
-        lease.expires_ms = lease_expiry_ms(options.lease);
+        lease.expires_ms = lease_expiry_ms(options.lease_duration);
         self.write_current().await
     }
 
@@ -304,8 +304,8 @@
     }
 }
 
-fn lease_expiry_ms(lease: Duration) -> u64 {
-    time::unix_ms() + lease.as_millis() as u64
+fn lease_expiry_ms(lease_duration: Duration) -> u64 {
+    time::unix_ms() + lease_duration.as_millis() as u64
 }
 
 /// Outcome of an item whose response, if it is large, has been stored in an object of its own.
--- a/crates/foxwheel-gateway/src/batch/dispatch.rs
+++ b/crates/foxwheel-gateway/src/batch/dispatch.rs
@@ -33,7 +33,8 @@
 const MAX_CHUNK_READS_PER_SCAN: usize = 64;
 /// Delay before a chunk that another gateway holds, or that was released, is read again.
 const REVISIT_DELAY: Duration = Duration::from_secs(1);
-/// Maximum time until finished chunks are added to the progress record.
+/// Interval at which finished chunks are added to the progress record. They are added at once when
+/// this gateway has no other chunk of the job left.
 const PUBLISH_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A chunk that may have pending items. It is read at `not_before` at the earliest.
@@ -140,7 +141,7 @@
     pub fn new(settings: GatewaySettings, hosts: HostTable, counters: Counters) -> Self {
         let options = ChunkWorkOptions {
             holder: settings.name.clone(),
-            lease: Duration::from_millis(settings.chunk_lease_ms),
+            lease_duration: Duration::from_millis(settings.chunk_lease_ms),
             commit_interval: Duration::from_millis(settings.commit_interval_ms),
             items_in_flight: settings.batch_items_in_flight,
         };
--- a/crates/foxwheel-gateway/src/forwarding.rs
+++ b/crates/foxwheel-gateway/src/forwarding.rs
@@ -1,5 +1,4 @@
-//! Sending a request to a host of its deployment, and to another one after a failure if that is
-//! safe.
+//! Sends a request to a host of its deployment, and to another one after a failure if that is safe.
 //!
 //! [`foxwheel_policy::retry`] decides whether a request may be sent to another host after a failed
 //! attempt. The same limit of attempts covers those that complete a response that was cut off
@@ -141,14 +140,14 @@
         let mut last_failure = None;
         while may_try {
             let zone = &state.settings.zone;
-            let picked =
+            let picked_host =
                 state
                     .hosts
                     .pick_host(&self.deployment, self.class, zone, &self.excluded_hosts);
-            let Some(target) = picked else { break };
-            let in_flight = InFlightGuard::start(&target);
-            let host = target.member.host;
-            let result = self.attempt_host(worker, &target.member.agent_addr).await;
+            let Some(backend) = picked_host else { break };
+            let in_flight = InFlightGuard::start(&backend);
+            let host = backend.member.host;
+            let result = self.attempt_host(worker, &backend.member.agent_addr).await;
             let (outcome, failure) = match result {
                 AttemptResult::Responded(response) => {
                     return Ok(HostResponse {
--- a/crates/foxwheel-gateway/src/hosts.rs
+++ b/crates/foxwheel-gateway/src/hosts.rs
@@ -72,7 +72,7 @@
     /// Records the response to a control poll.
     pub fn record_report(&self, load_report: LoadReport) {
         let own_in_flight = self.in_flight.load(Ordering::Relaxed);
-        let mut poll_status = self.poll_status.lock().expect("liveness lock");
+        let mut poll_status = self.poll_status.lock().expect("poll status lock");
         poll_status.online_from_others =
             (load_report.running_online + load_report.waiting_online).saturating_sub(own_in_flight);
         poll_status.load_report = load_report;
@@ -82,14 +82,14 @@
     /// Records a control poll without a response. Returns the number of polls in a row that had
     /// none.
     pub fn record_missed_poll(&self) -> u32 {
-        let mut poll_status = self.poll_status.lock().expect("liveness lock");
+        let mut poll_status = self.poll_status.lock().expect("poll status lock");
         poll_status.missed_polls = poll_status.missed_polls.saturating_add(1);
         poll_status.missed_polls
     }
 
     /// Returns whether the host takes work.
     fn is_live(&self, max_missed_polls: u32) -> bool {
-        let poll_status = self.poll_status.lock().expect("liveness lock");
+        let poll_status = self.poll_status.lock().expect("poll status lock");
         self.member.state == MemberState::Ready
             && !poll_status.load_report.draining
             && poll_status.missed_polls < max_missed_polls
@@ -98,7 +98,7 @@
     /// Returns this host as a candidate for work of `class`. Running batch work is not counted,
     /// because the agent preempts it for online requests.
     fn to_candidate(&self, class: PriorityClass) -> Candidate {
-        let poll_status = self.poll_status.lock().expect("liveness lock");
+        let poll_status = self.poll_status.lock().expect("poll status lock");
         let online_in_flight =
             self.in_flight.load(Ordering::Relaxed) + poll_status.online_from_others;
         let queued_ahead = match class {
--- a/crates/foxwheel-gateway/src/response_relay.rs
+++ b/crates/foxwheel-gateway/src/response_relay.rs
@@ -1,4 +1,4 @@
-//! Relaying the complete response of a completion to the caller.
+//! Relays the complete response of a completion to the caller.
 //!
 //! A host can die, hang or end its response early. A streamed response is forwarded in complete
 //! events; if it is cut off before its last event, the request is sent to another host, which
@@ -54,14 +54,16 @@
     incomplete_event: BytesMut,
     /// Number of events forwarded, each of which carries one token. The last event is not counted.
     delivered_tokens: usize,
-    is_complete: bool,
+    /// Whether no events follow, because the last one was forwarded or the response was cut off for
+    /// good.
+    has_ended: bool,
 }
 
 impl StreamRelay {
     /// Returns the next complete events, or `None` after the last one.
     async fn next_events(&mut self) -> Option<Result<Bytes, ResponseCutOff>> {
         let stall_timeout = Duration::from_millis(self.state.settings.stream_stall_ms);
-        while !self.is_complete {
+        while !self.has_ended {
             match next_body_chunk(&mut self.host_response.response, stall_timeout).await {
                 Some(chunk) => {
                     self.incomplete_event.extend_from_slice(&chunk);
@@ -71,7 +73,7 @@
                 }
                 None => {
                     if let Err(cut_off) = self.resume_on_another_host().await {
-                        self.is_complete = true;
+                        self.has_ended = true;
                         return Some(Err(cut_off));
                     }
                 }
@@ -83,9 +85,9 @@
     fn split_off_events(&mut self) -> Option<Bytes> {
         let end = memmem::rfind(&self.incomplete_event, EVENT_END)? + EVENT_END.len();
         let events = self.incomplete_event.split_to(end).freeze();
-        self.is_complete = events.ends_with(LAST_EVENT);
+        self.has_ended = events.ends_with(LAST_EVENT);
         self.delivered_tokens +=
-            memmem::find_iter(&events, EVENT_END).count() - usize::from(self.is_complete);
+            memmem::find_iter(&events, EVENT_END).count() - usize::from(self.has_ended);
         Some(events)
     }
 
@@ -136,7 +138,7 @@
         _admission_guard: admission_guard,
         incomplete_event: BytesMut::new(),
         delivered_tokens: 0,
-        is_complete: false,
+        has_ended: false,
     };
     let events = futures::stream::unfold(relay, |mut relay| async move {
         let events = relay.next_events().await?;
--- a/crates/foxwheel-gateway/tests/batch_faults.rs
+++ b/crates/foxwheel-gateway/tests/batch_faults.rs
@@ -1,5 +1,5 @@
-//! Batch jobs under faults: hosts missing, the store down or losing replies, clients that
-//! reuse a key.
+//! Batch jobs under faults: no hosts, a store that is down or loses responses, and clients that reuse
+//! a key.
 
 mod common;
 
@@ -9,28 +9,28 @@
 use foxwheel_store::api::Faults;
 
 #[actix_web::test]
-async fn items_wait_for_hosts_and_are_not_failed_for_lack_of_them() {
+async fn items_wait_for_hosts_and_do_not_fail_without_them() {
     let fleet = common::start(0).await;
     let id = fleet
         .create_batch(&common::batch_request("no-hosts", 40))
         .await;
-    // Far longer than it takes to try an item more often than MAX_ITEM_ATTEMPTS.
+    // Far longer than more than MAX_ITEM_ATTEMPTS attempts of an item take.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     assert_eq!(fleet.batch_status(&id).await["counts"]["failed"], 0);
     common::add_model_host(&fleet.store, "draftsman", "late-host").await;
     let status = fleet.wait_until_completed(&id).await;
     assert_eq!(status["counts"]["done"], 40);
-    fleet.assert_own_answers(&id, 40).await;
+    fleet.assert_own_responses(&id, 40).await;
     fleet.cancel.cancel();
 }
 
 #[actix_web::test]
-async fn every_item_completes_once_whatever_the_store_does() {
+async fn every_item_completes_exactly_once_under_store_faults() {
     let outage = Faults {
         outage: true,
         ..Faults::default()
     };
-    let loses = |every: u64| Faults {
+    let loses_replies = |every: u64| Faults {
         lose_reply_every: every,
         ..Faults::default()
     };
@@ -38,16 +38,16 @@
         delay_ms: 150,
         ..Faults::default()
     };
-    // (case, faults, for how long, whether the status shows the end before they clear)
+    // (case, faults of the store, their duration in milliseconds)
     let cases = [
         ("down for longer than a chunk lease", outage.clone(), 3_000),
-        ("down for a moment", outage, 300),
+        ("down for a short time", outage, 300),
         (
-            "loses every reply after the write took effect",
-            loses(1),
+            "loses every response after the write took effect",
+            loses_replies(1),
             1_500,
         ),
-        ("loses every second reply", loses(2), 3_000),
+        ("loses every second response", loses_replies(2), 3_000),
         ("slow", slow, 3_000),
     ];
     for (case, faults, for_ms) in cases {
@@ -59,33 +59,37 @@
         cleared.expect("faults cleared");
         let status = fleet.wait_until_completed(&id).await;
         assert_eq!(status["counts"]["done"], 200, "case '{case}': {status}");
-        fleet.assert_own_answers(&id, 200).await;
+        fleet.assert_own_responses(&id, 200).await;
         fleet.cancel.cancel();
     }
 }
 
-/// A job was cancelled right after it was created, and its caller was told that no item
-/// starts any more. The gateway still had the job as running, for its watch of the jobs had
-/// not come back; it took the lease of a chunk after the cancel and ran two of its items.
+/// Guards against items that start after a cancellation was confirmed. If the gateway's watch of the
+/// jobs is delayed, it still considers the cancelled job to be running, takes the lease of a chunk
+/// and runs items of it.
 #[actix_web::test]
-async fn no_item_starts_after_a_cancel_that_the_gateway_has_not_heard_of() {
+async fn no_item_starts_after_a_cancellation_that_the_watch_has_not_delivered() {
     let fleet = common::start(1).await;
-    let late_news = Faults {
+    let delayed_watch = Faults {
         watch_delay_ms: 500,
         ..Faults::default()
     };
-    fleet.store.set_faults(&late_news).await.expect("faults");
+    fleet
+        .store
+        .set_faults(&delayed_watch)
+        .await
+        .expect("faults");
     let id = fleet
-        .create_batch(&common::batch_request_of("late-news", 300, 40))
+        .create_batch(&common::batch_request_with_tokens("delayed-watch", 300, 40))
         .await;
-    let cancel = format!("{}/v1/batches/{id}/cancel", fleet.gateway);
-    let cancelled = fleet.http.post(cancel).send().await.expect("cancel");
+    let cancel_url = format!("{}/v1/batches/{id}/cancel", fleet.gateway);
+    let cancelled = fleet.http.post(cancel_url).send().await.expect("cancel");
     assert_eq!(cancelled.status().as_u16(), 200);
-    let chunks = foxwheel_core::keys::chunks_prefix(&id);
-    let listed = fleet.store.list(&chunks).await.expect("chunks");
-    let is_held = |chunk: &serde_json::Value| chunk.get("lease").is_some();
-    assert!(!listed.objects.iter().any(|chunk| is_held(&chunk.value)));
-    // The gateway hears of the job first, then of its cancel.
+    let chunks_prefix = foxwheel_core::keys::chunks_prefix(&id);
+    let listed = fleet.store.list(&chunks_prefix).await.expect("chunks");
+    let has_lease = |chunk: &serde_json::Value| chunk.get("lease").is_some();
+    assert!(!listed.objects.iter().any(|chunk| has_lease(&chunk.value)));
+    // The watch delivers the job first and its cancellation later.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     let counts = &fleet.batch_status(&id).await["counts"];
     assert_eq!(
@@ -96,7 +100,7 @@
 }
 
 #[actix_web::test]
-async fn a_cancel_is_recorded_or_refused_and_the_job_stops() {
+async fn a_cancellation_is_recorded_or_refused_and_the_job_stops() {
     let outage = Faults {
         outage: true,
         ..Faults::default()
@@ -105,12 +109,12 @@
         lose_reply_every: 1,
         ..Faults::default()
     };
-    // (case, faults during the cancel, its status)
+    // (case, faults of the store during the cancellation, status of its response)
     let cases = [
-        ("store well", Faults::default(), 200),
+        ("no fault", Faults::default(), 200),
         ("store down: refused, nothing recorded", outage, 503),
         (
-            "reply lost after the cancel took effect",
+            "response lost after the cancellation took effect",
             loses_replies,
             200,
         ),
@@ -122,26 +126,26 @@
             .await;
         let cancel_url = format!("{}/v1/batches/{id}/cancel", fleet.gateway);
         fleet.store.set_faults(&faults).await.expect("faults");
-        let answer = fleet.http.post(&cancel_url).send().await.expect("cancel");
+        let response = fleet.http.post(&cancel_url).send().await.expect("cancel");
         let cleared = fleet.store.set_faults(&Faults::default()).await;
         cleared.expect("faults cleared");
-        assert_eq!(answer.status().as_u16(), expected, "case '{case}'");
+        assert_eq!(response.status().as_u16(), expected, "case '{case}'");
         if expected != 200 {
             assert_eq!(fleet.batch_status(&id).await["job"]["state"], "running");
-            // Two operators cancel at once: both are told it is cancelled.
-            let (one, two) = futures::join!(
+            // Two operators cancel at the same time, and both get the response that it is cancelled.
+            let (first, second) = futures::join!(
                 fleet.http.post(&cancel_url).send(),
                 fleet.http.post(&cancel_url).send()
             );
-            for answer in [one, two] {
+            for response in [first, second] {
                 assert_eq!(
-                    answer.expect("cancel").status().as_u16(),
+                    response.expect("cancel").status().as_u16(),
                     200,
                     "case '{case}'"
                 );
             }
         }
-        // The job's end is recorded once every chunk is settled; nothing runs afterwards.
+        // The job's final counts are recorded once every chunk is finished; no item runs afterwards.
         let mut status = fleet.batch_status(&id).await;
         for _ in 0..400 {
             if !status["job"]["final_counts"].is_null() {
@@ -163,7 +167,7 @@
 }
 
 #[actix_web::test]
-async fn a_client_key_names_one_job_of_one_workspace() {
+async fn a_client_key_identifies_one_job_of_one_workspace() {
     let fleet = common::start(1).await;
     let request = common::batch_request("block-14", 3);
     let url = format!("{}/v1/batches", fleet.gateway);
@@ -180,9 +184,9 @@
             (status, body["job"]["id"].clone())
         }
     };
-    let (_, first) = send("permissa-sul", request.clone()).await;
+    let (_, first_id) = send("permissa-sul", request.clone()).await;
     let other_items = common::batch_request("block-14", 4);
-    // (case, workspace, request, status, whether it is the first job)
+    // (case, workspace, request, expected status, whether the id is that of the first job)
     let cases = [
         ("resend", "permissa-sul", request.clone(), 200, true),
         ("another workspace", "sodam", request, 200, false),
@@ -194,16 +198,16 @@
             false,
         ),
     ];
-    for (case, workspace, request, status, same) in cases {
-        let (got, id) = send(workspace, request).await;
-        assert_eq!(got, status, "case '{case}'");
-        assert_eq!(id == first, same, "case '{case}'");
+    for (case, workspace, request, expected_status, is_first_job) in cases {
+        let (status, id) = send(workspace, request).await;
+        assert_eq!(status, expected_status, "case '{case}'");
+        assert_eq!(id == first_id, is_first_job, "case '{case}'");
     }
     fleet.cancel.cancel();
 }
 
 #[actix_web::test]
-async fn an_answer_too_large_for_its_chunk_stays_readable() {
+async fn a_response_too_large_for_its_chunk_can_be_read() {
     let fleet = common::start(1).await;
     let request = serde_json::json!({
         "model": "draftsman",
--- a/crates/foxwheel-gateway/tests/batch_randomised.rs
+++ b/crates/foxwheel-gateway/tests/batch_randomised.rs
@@ -1,6 +1,7 @@
-//! Long randomised runs of batch jobs: gateways killed, paused and started, the store down,
-//! slow or losing replies, jobs sent again, in any order. The program asserts its own
-//! invariants (debug builds); this test asserts the promise on the store's whole history.
+//! Long randomised runs of batch jobs, during which gateways are killed, paused and started, the
+//! store is down, slow or loses responses, and jobs are sent again, in any order. Debug builds of the
+//! gateway assert its invariants; this test asserts on the complete history of the store that a
+//! final item never changes.
 
 mod common;
 
@@ -14,23 +15,25 @@
 use foxwheel_gateway::settings::GatewaySettings;
 use foxwheel_store::api::Faults;
 
-/// Seeds run in CI, fixed. The upper half of an arbtest seed is the input size.
-const SEEDS: u64 = 6;
-const SIZE: u64 = 64;
-/// Items of the job and tokens of each answer: long enough that every step meets work in
-/// flight.
-const ITEMS: usize = 260;
+/// Number of fixed seeds that CI runs.
+const SEED_COUNT: u64 = 6;
+/// Input size, which arbtest reads from the upper half of a seed.
+const INPUT_SIZE: u64 = 64;
+/// Number of items of the job. With the tokens per response it makes the job long enough that work is
+/// in flight at every step.
+const ITEM_COUNT: usize = 260;
+/// Number of tokens of each response.
 const ITEM_TOKENS: usize = 20;
-/// Chunk leases of the gateways that are paused.
+/// Duration of the chunk leases of the gateways that are paused or killed, in milliseconds.
 const LEASE_MS: u64 = 600;
-/// Long enough for a paused gateway's leases to lapse and its chunks to be finished by
-/// another before it wakes and writes.
-const PAUSE: Duration = Duration::from_millis(3_500);
+/// How long a gateway is paused: long enough that its leases expire and another gateway finishes its
+/// chunks before it resumes and writes.
+const PAUSE_DURATION: Duration = Duration::from_millis(3_500);
 
-/// Set by any panic, as those in spawned tasks end nowhere else.
-static PANICKED: AtomicBool = AtomicBool::new(false);
+/// Set by every panic, because panics in spawned tasks are not reported in another way.
+static HAS_PANICKED: AtomicBool = AtomicBool::new(false);
 
-/// What happens at one step.
+/// Event of one step of the run.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     KillGateway,
@@ -55,28 +58,29 @@
 ];
 
 impl Step {
-    /// The store faults of the step, if it is one of the store's.
+    /// Returns the faults of the store in this step, or `None` if the step is not a fault of the
+    /// store.
     fn store_faults(self) -> Option<Faults> {
-        let well = Faults::default();
+        let no_faults = Faults::default();
         match self {
             Self::StoreOutage => Some(Faults {
                 outage: true,
-                ..well
+                ..no_faults
             }),
             Self::StoreLosesReplies => Some(Faults {
                 lose_reply_every: 2,
-                ..well
+                ..no_faults
             }),
             Self::StoreSlow => Some(Faults {
                 delay_ms: 60,
-                ..well
+                ..no_faults
             }),
             _ => None,
         }
     }
 }
 
-/// A gateway on a thread of its own, which can be paused or killed like a process.
+/// A gateway on a thread of its own that can be paused and killed like a process.
 struct KillableGateway(actix_web::rt::System);
 
 impl KillableGateway {
@@ -85,26 +89,28 @@
             chunk_lease_ms: LEASE_MS,
             ..common::gateway_settings(store_url, &name)
         };
-        let (started, system) = std::sync::mpsc::channel();
+        let (sender, receiver) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             let runner = actix_web::rt::System::new();
             runner.block_on(async {
-                let never = tokio_util::sync::CancellationToken::new();
-                server::start(settings, never).expect("gateway starts");
+                let never_cancelled = tokio_util::sync::CancellationToken::new();
+                server::start(settings, never_cancelled).expect("gateway starts");
                 let system = actix_web::rt::System::current();
-                started.send(system).expect("the test waits");
+                sender.send(system).expect("the test waits");
             });
             runner.run().expect("system runs");
         });
-        Self(system.recv().expect("gateway started"))
+        Self(receiver.recv().expect("gateway started"))
     }
 
-    /// Stops its controllers where they stand, as SIGSTOP does; they go on after `PAUSE`.
+    /// Blocks the thread, as SIGSTOP stops a process. The controllers resume after `PAUSE_DURATION`.
     fn pause(&self) {
-        self.0.arbiter().spawn_fn(|| std::thread::sleep(PAUSE));
+        self.0
+            .arbiter()
+            .spawn_fn(|| std::thread::sleep(PAUSE_DURATION));
     }
 
-    /// Drops every task where it stands, as SIGKILL does.
+    /// Drops every task at its current point, as SIGKILL ends a process.
     fn kill(self) {
         self.0.stop();
     }
@@ -113,7 +119,7 @@
 async fn run_steps(steps: &[Step]) {
     let fleet = common::start(2).await;
     let store_url = fleet.store.base_url().to_owned();
-    let request = common::batch_request_of("randomised", ITEMS, ITEM_TOKENS);
+    let request = common::batch_request_with_tokens("randomised", ITEM_COUNT, ITEM_TOKENS);
     let id = fleet.create_batch(&request).await;
     let mut gateways = vec![KillableGateway::start(&store_url, "gateway-0".to_owned())];
     let mut paused = Vec::new();
@@ -144,40 +150,45 @@
         cleared.expect("faults cleared");
     }
     let status = fleet.wait_until_completed(&id).await;
-    assert_eq!(status["counts"]["done"], ITEMS, "{status}");
-    fleet.assert_own_answers_of(&id, ITEMS, ITEM_TOKENS).await;
-    // Paused gateways have woken by then, and tried to write what they had.
-    tokio::time::sleep(PAUSE).await;
+    assert_eq!(status["counts"]["done"], ITEM_COUNT, "{status}");
+    fleet
+        .assert_own_responses_with_tokens(&id, ITEM_COUNT, ITEM_TOKENS)
+        .await;
+    // After this time paused gateways have resumed and tried to write the results they had.
+    tokio::time::sleep(PAUSE_DURATION).await;
     assert_no_final_item_changed(&fleet, &id).await;
     for gateway in gateways.into_iter().chain(paused) {
         gateway.kill();
     }
     fleet.cancel.cancel();
-    assert!(!PANICKED.load(Ordering::SeqCst), "an invariant was broken");
+    assert!(
+        !HAS_PANICKED.load(Ordering::SeqCst),
+        "an invariant was violated"
+    );
 }
 
-/// Goes through every version of every chunk: an item once final stays as it is.
+/// Asserts over every version of every chunk that a final item does not change.
 async fn assert_no_final_item_changed(fleet: &common::Fleet, id: &str) {
     let prefix = keys::chunks_prefix(id);
     let history = fleet.store.watch(&prefix, 0, Duration::ZERO).await;
-    let mut last: BTreeMap<String, ChunkRecord> = BTreeMap::new();
-    for event in history.expect("the whole history is kept").events {
+    let mut last_versions: BTreeMap<String, ChunkRecord> = BTreeMap::new();
+    for event in history.expect("the complete history is kept").events {
         let value = event.value.expect("chunks are never deleted");
         let chunk: ChunkRecord = serde_json::from_value(value).expect("chunk");
-        if let Some(before) = last.get(&event.key) {
-            for (was, is) in before.items.iter().zip(&chunk.items) {
+        if let Some(previous) = last_versions.get(&event.key) {
+            for (previous_item, item) in previous.items.iter().zip(&chunk.items) {
                 assert!(
-                    !was.state.is_final() || was == is,
+                    !previous_item.state.is_final() || previous_item == item,
                     "{} changed",
-                    was.custom_id
+                    previous_item.custom_id
                 );
             }
         }
-        last.insert(event.key, chunk);
+        last_versions.insert(event.key, chunk);
     }
 }
 
-fn property(u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()> {
+fn run_random_steps(u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()> {
     let count = u.int_in_range(6..=14)?;
     let mut steps = vec![Step::Wait, Step::PauseGateway];
     for _ in 0..count {
@@ -189,13 +200,15 @@
 }
 
 #[test]
-fn every_item_completes_once_in_any_run() {
-    let report = std::panic::take_hook();
+fn every_item_completes_exactly_once_in_randomised_runs() {
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
-        PANICKED.store(true, Ordering::SeqCst);
-        report(info);
+        HAS_PANICKED.store(true, Ordering::SeqCst);
+        default_hook(info);
     }));
-    for seed in 0..SEEDS {
-        arbtest::arbtest(property).seed((SIZE << 32) | seed).run();
+    for seed in 0..SEED_COUNT {
+        arbtest::arbtest(run_random_steps)
+            .seed((INPUT_SIZE << 32) | seed)
+            .run();
     }
 }
--- a/crates/foxwheel-gateway/tests/caller_api_contract.rs
+++ b/crates/foxwheel-gateway/tests/caller_api_contract.rs
@@ -1,4 +1,4 @@
-//! Contract of the gateway's caller API, with its fault cases in tables.
+//! Contract of the gateway's API for callers, including its responses to faults.
 
 mod common;
 
@@ -7,15 +7,15 @@
 use foxwheel_core::protocol::{IDEMPOTENCY_KEY_HEADER, REPLAYED_HEADER, RUN_STATE_HEADER};
 use foxwheel_store::api::{Faults, Object};
 
-/// One request and what the caller must get.
+/// One request and the response that its caller must get.
 struct Case {
     name: &'static str,
     path: &'static str,
     body: &'static str,
     status: u16,
-    /// The run-state header a refusal must carry, if any.
+    /// Run state header that a refusal must contain; `None` if the response has none.
     run_state: Option<&'static str>,
-    /// Whether a `Retry-After` header must be present.
+    /// Whether the response must contain a `Retry-After` header.
     retry_after: bool,
 }
 
@@ -24,7 +24,7 @@
     let fleet = common::start(2).await;
     let cases = [
         Case {
-            name: "chat completion, whole answer",
+            name: "chat completion, not streamed",
             path: "/v1/chat/completions",
             body: r#"{"model": "draftsman", "messages": [{"role": "user", "content": "a 3 by 4 garden office"}], "max_tokens": 5}"#,
             status: 200,
@@ -64,7 +64,7 @@
             retry_after: false,
         },
         Case {
-            name: "deployment without hosts: not run, come back later",
+            name: "deployment without hosts: not run, retry later",
             path: "/v1/chat/completions",
             body: r#"{"model": "llm-residente", "messages": [{"role": "user", "content": "permit?"}]}"#,
             status: 503,
@@ -102,7 +102,7 @@
 }
 
 #[actix_web::test]
-async fn a_streamed_answer_is_the_whole_answer_to_its_own_request() {
+async fn a_streamed_response_is_complete_and_belongs_to_its_request() {
     let fleet = common::start(2).await;
     for n in 0..6 {
         let prompt = format!("cut sheet for panel {n}");
@@ -117,8 +117,8 @@
         assert_eq!(response.status().as_u16(), 200);
         let bytes = response.body().await.expect("body");
         let text = String::from_utf8_lossy(&bytes);
-        let mut answer = String::new();
-        for line in text.lines().filter_map(|l| l.strip_prefix("data: ")) {
+        let mut content = String::new();
+        for line in text.lines().filter_map(|line| line.strip_prefix("data: ")) {
             if line == "[DONE]" {
                 continue;
             }
@@ -126,12 +126,15 @@
             assert_eq!(
                 chunk["id"],
                 format!("req-{n}"),
-                "every chunk carries the caller's request id"
+                "every chunk contains the caller's request id"
             );
-            answer.push_str(foxwheel_engine_emu::openai::extract_text(&chunk).unwrap_or_default());
+            content.push_str(foxwheel_engine_emu::openai::extract_text(&chunk).unwrap_or_default());
         }
         assert!(text.trim_end().ends_with("data: [DONE]"));
-        assert_eq!(answer, foxwheel_engine_emu::text::response_text(&prompt, 7));
+        assert_eq!(
+            content,
+            foxwheel_engine_emu::text::response_text(&prompt, 7)
+        );
     }
     fleet.cancel.cancel();
 }
@@ -141,7 +144,7 @@
     let fleet = common::start(1).await;
     let url = format!("{}/services/yardbook/orders", fleet.gateway);
     let order = serde_json::json!({"item": "larch cladding", "metres": 180});
-    // (case, key, expected status, replayed, expected executions after)
+    // (case, key, expected status, whether the response is replayed, expected executions)
     let cases: &[(&str, Option<&str>, u16, bool, u64)] = &[
         ("no key: refused, not run", None, 400, false, 0),
         ("first call with a key", Some("order-1"), 200, false, 1),
@@ -175,7 +178,7 @@
         );
         if let Some(key) = key {
             assert_eq!(
-                fleet.executions(key).await,
+                fleet.execution_count(key).await,
                 *executions,
                 "case '{name}': executions"
             );
@@ -193,7 +196,7 @@
         422,
         "a key reused for another request is refused"
     );
-    assert_eq!(fleet.executions("order-1").await, 1);
+    assert_eq!(fleet.execution_count("order-1").await, 1);
     fleet.cancel.cancel();
 }
 
@@ -202,7 +205,7 @@
     let fleet = common::start(1).await;
     let url = format!("{}/services/yardbook/orders", fleet.gateway);
     let order = serde_json::json!({"item": "ground screws", "pieces": 12});
-    // (case, faults, expected status, run state, executions after)
+    // (case, faults of the store, expected status, expected run state, expected executions)
     let cases: &[(&str, Faults, u16, &str, u64)] = &[
         (
             "store down",
@@ -215,7 +218,7 @@
             0,
         ),
         (
-            "store loses the reply to the claim",
+            "store loses the response to the claim",
             Faults {
                 lose_reply_every: 1,
                 ..Faults::default()
@@ -241,14 +244,14 @@
             .await
             .expect("faults cleared");
         assert_eq!(response.status().as_u16(), *status, "case '{name}'");
-        let got = response
+        let seen_run_state = response
             .headers()
             .get(RUN_STATE_HEADER)
             .and_then(|v| v.to_str().ok())
             .unwrap_or("");
-        assert_eq!(got, *run_state, "case '{name}': run state");
+        assert_eq!(seen_run_state, *run_state, "case '{name}': run state");
         assert_eq!(
-            fleet.executions(&key).await,
+            fleet.execution_count(&key).await,
             *executions,
             "case '{name}': executions"
         );
@@ -257,16 +260,16 @@
 }
 
 #[actix_web::test]
-async fn a_batch_job_completes_once_and_a_resend_finds_it() {
+async fn a_batch_job_completes_once_and_a_resend_returns_it() {
     let fleet = common::start(2).await;
     let job = common::batch_request("block-14", 70);
     let id = fleet.create_batch(&job).await;
-    let again = fleet.create_batch(&job).await;
-    assert_eq!(again, id, "a resend with the same key is the same job");
+    let resent_id = fleet.create_batch(&job).await;
+    assert_eq!(resent_id, id, "a resend with the same key is the same job");
     let status = fleet.wait_until_completed(&id).await;
     assert_eq!(status["job"]["chunk_count"], 3);
     assert_eq!(status["counts"]["done"], 70);
-    fleet.assert_own_answers(&id, 70).await;
+    fleet.assert_own_responses(&id, 70).await;
     assert_eq!(
         fleet.create_batch(&job).await,
         id,
@@ -276,10 +279,10 @@
 }
 
 #[actix_web::test]
-async fn batch_requests_are_checked_and_refused_clearly() {
+async fn invalid_batch_requests_are_refused_as_not_run() {
     let fleet = common::start(1).await;
     let url = format!("{}/v1/batches", fleet.gateway);
-    // (case, body, status)
+    // (case, body, expected status)
     let cases: &[(&str, &str, u16)] = &[
         ("not JSON", "[", 400),
         (
@@ -331,8 +334,9 @@
     fleet.cancel.cancel();
 }
 
-/// Items that the chunks themselves hold as done; the job's own counts follow later.
-fn done_items(chunks: &[Object]) -> u64 {
+/// Returns the number of items that are done according to the chunk records. The job's own counts
+/// are updated later.
+fn count_done_items(chunks: &[Object]) -> u64 {
     let items = chunks
         .iter()
         .filter_map(|chunk| chunk.value["items"].as_array());
@@ -368,15 +372,19 @@
         .await
         .expect("json");
     assert_eq!(cancelled["job"]["state"], "cancelled");
-    let again = fleet
+    let second_cancel = fleet
         .http
         .post(format!("{url}/{id}/cancel"))
         .send()
         .await
         .expect("cancel again");
-    assert_eq!(again.status().as_u16(), 200, "a second cancel is harmless");
-    // Wait (bounded) until no chunk is leased: from then on no gateway may lease one, as
-    // the job is not running, so the count of done items is final.
+    assert_eq!(
+        second_cancel.status().as_u16(),
+        200,
+        "a second cancellation changes nothing"
+    );
+    // Waits until no chunk has a lease. From then on no gateway takes a lease, because the job is not
+    // running, so the number of done items is final.
     let chunks_prefix = foxwheel_core::keys::chunks_prefix(&id);
     let chunks = || async {
         fleet
@@ -393,20 +401,23 @@
         }
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
-    let settled = done_items(&chunks().await);
+    let final_done_count = count_done_items(&chunks().await);
     println!(
-        "LAG {} {settled}",
+        "done items: {} by the job, {final_done_count} by its chunks",
         fleet.batch_status(&id).await["counts"]["done"]
     );
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert_eq!(
-        done_items(&chunks().await),
-        settled,
-        "no item finishes after the cancel settled"
+        count_done_items(&chunks().await),
+        final_done_count,
+        "no item finishes after the last lease was released"
     );
     let status = fleet.wait_until_ended(&id).await;
-    assert_eq!(status["counts"]["done"], settled);
-    assert!(settled < 300, "the job stopped before finishing");
+    assert_eq!(status["counts"]["done"], final_done_count);
+    assert!(
+        final_done_count < 300,
+        "the job stopped before all its items were done"
+    );
     assert_eq!(
         status["counts"]["pending"], 0,
         "pending items of a cancelled job count as cancelled"
--- a/crates/foxwheel-gateway/tests/common/mod.rs
+++ b/crates/foxwheel-gateway/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small fleet in one process for the gateway's tests: the store stand-in, engines,
-//! a service, their agents and one gateway, all on ephemeral loopback ports.
+//! A small fleet in one process for the gateway's tests: the emulated platform store, engines, a
+//! service, their agents and one gateway, all on ephemeral loopback ports.
 
 #![allow(dead_code)]
 
@@ -19,16 +19,16 @@
 use tokio::io::AsyncReadExt;
 use tokio_util::sync::CancellationToken;
 
-/// The fleet's addresses and handles.
+/// Addresses and handles of the fleet's processes.
 pub struct Fleet {
     pub gateway: String,
     pub store: StoreClient,
     pub service: String,
     pub engines: Vec<String>,
     pub agents: Vec<String>,
-    /// Stops one agent gracefully, in the order of `agents`.
+    /// Tokens that stop one agent gracefully, in the order of `agents`.
     pub agent_cancels: Vec<CancellationToken>,
-    /// Stops the gateway gracefully.
+    /// Token that stops the gateway gracefully.
     pub gateway_cancel: CancellationToken,
     pub cancel: CancellationToken,
     pub http: awc::Client,
@@ -49,29 +49,30 @@
   ]
 }"#;
 
-/// Writes the manifest's objects to the store as `foxwheel-ctl apply` would.
-pub async fn apply(store: &StoreClient, manifest: &Manifest) {
-    for d in &manifest.deployments {
-        declare(store, &keys::deployment(&d.name), d).await;
+/// Writes the objects of the manifest to the store, as `foxwheel-ctl apply` does.
+pub async fn apply_manifest(store: &StoreClient, manifest: &Manifest) {
+    for deployment in &manifest.deployments {
+        write_declaration(store, &keys::deployment(&deployment.name), deployment).await;
     }
     let rules = foxwheel_core::declarations::RuleSet {
         rules: manifest.rules.clone(),
     };
-    declare(store, keys::RULES_KEY, &rules).await;
+    write_declaration(store, keys::RULES_KEY, &rules).await;
 }
 
-/// Writes a declaration, again while the store does not answer: on a busy machine the test
-/// process can stand still for longer than the store's client waits.
-async fn declare<T: serde::Serialize>(store: &StoreClient, key: &str, value: &T) {
-    const PATIENCE: Duration = Duration::from_secs(20);
+/// Writes a declaration. Retries while the store does not respond, because on a busy machine the test
+/// process can stall for longer than the timeout of the store's client.
+async fn write_declaration<T: serde::Serialize>(store: &StoreClient, key: &str, value: &T) {
+    const RETRY_TIMEOUT: Duration = Duration::from_secs(20);
     let started = std::time::Instant::now();
     while let Err(e) = store.put(key, value, None).await {
-        let again = matches!(e, StoreError::Unavailable { .. }) && started.elapsed() < PATIENCE;
-        assert!(again, "{key}: {e}");
+        let should_retry =
+            matches!(e, StoreError::Unavailable { .. }) && started.elapsed() < RETRY_TIMEOUT;
+        assert!(should_retry, "{key}: {e}");
     }
 }
 
-/// Gateway settings for tests: fast dispatch.
+/// Returns gateway settings for tests, with short intervals and timeouts.
 pub fn gateway_settings(store_url: &str, name: &str) -> GatewaySettings {
     GatewaySettings {
         listen_addr: "127.0.0.1:0".to_owned(),
@@ -95,25 +96,29 @@
     }
 }
 
-/// A host whose agent reads each request and closes the connection without an answer.
-pub struct HangUpHost {
-    /// Requests read.
-    pub received: Arc<AtomicU64>,
+/// A host whose agent reads each request and closes the connection without a response.
+pub struct NoResponseHost {
+    /// Number of requests read.
+    pub received_count: Arc<AtomicU64>,
 }
 
-/// Adds a host that hangs up on every request to `deployment`.
-pub async fn add_hang_up_host(store: &StoreClient, deployment: &str, host: &str) -> HangUpHost {
-    let received = Arc::new(AtomicU64::new(0));
+/// Adds a host to `deployment` that closes the connection of every request without a response.
+pub async fn add_no_response_host(
+    store: &StoreClient,
+    deployment: &str,
+    host: &str,
+) -> NoResponseHost {
+    let received_count = Arc::new(AtomicU64::new(0));
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
         .expect("port");
     let agent_addr = listener.local_addr().expect("address").to_string();
-    let counted = received.clone();
+    let counter = received_count.clone();
     actix_web::rt::spawn(async move {
         while let Ok((mut socket, _)) = listener.accept().await {
             let mut request = [0; 4096];
             if matches!(socket.read(&mut request).await, Ok(n) if n > 0) {
-                counted.fetch_add(1, Ordering::SeqCst);
+                counter.fetch_add(1, Ordering::SeqCst);
             }
         }
     });
@@ -134,10 +139,10 @@
         .put(&keys::member(deployment, host), &record, None)
         .await
         .expect("member written");
-    HangUpHost { received }
+    NoResponseHost { received_count }
 }
 
-/// An agent that is always idle.
+/// An agent that always reports no load.
 pub struct IdleAgent;
 
 impl AgentHandle for IdleAgent {
@@ -150,8 +155,9 @@
     }
 }
 
-/// Starts the fleet with `engines` draftsman engines and waits until the gateway routes.
-pub async fn start(engines: usize) -> Fleet {
+/// Starts the fleet with `engine_count` engines of draftsman and waits until the gateway routes to
+/// them.
+pub async fn start(engine_count: usize) -> Fleet {
     let cancel = CancellationToken::new();
     let platform = foxwheel_platform_emu::settings::PlatformSettings::for_test();
     let (store_addr, server) =
@@ -161,12 +167,12 @@
     let store = StoreClient::new(&store_url);
     let manifest: Manifest =
         foxwheel_core::settings::parse("test manifest", MANIFEST).expect("manifest");
-    apply(&store, &manifest).await;
+    apply_manifest(&store, &manifest).await;
     let mut engine_urls = Vec::new();
     let mut agents = Vec::new();
     let agent_cancels: Vec<CancellationToken> =
-        (0..=engines).map(|_| cancel.child_token()).collect();
-    for (i, agent_cancel) in agent_cancels.iter().take(engines).enumerate() {
+        (0..=engine_count).map(|_| cancel.child_token()).collect();
+    for (i, agent_cancel) in agent_cancels.iter().take(engine_count).enumerate() {
         let (addr, server) = foxwheel_engine_emu::server::start(
             EngineSettings::for_test("draftsman"),
             cancel.clone(),
@@ -197,7 +203,7 @@
     let service = format!("http://{service_addr}");
     let agent = foxwheel_agent::server::start(
         AgentSettings::for_test("yardbook", BackendKind::Service, &service, &store_url),
-        agent_cancels[engines].clone(),
+        agent_cancels[engine_count].clone(),
     )
     .await
     .expect("service agent");
@@ -221,11 +227,11 @@
             .timeout(Duration::from_secs(30))
             .finish(),
     };
-    fleet.wait_until_routing(engines).await;
+    fleet.wait_until_routing(engine_count).await;
     fleet
 }
 
-/// Starts an engine with its agent as another host of `deployment`.
+/// Starts an engine and its agent as another host of `deployment`.
 pub async fn add_model_host(store: &StoreClient, deployment: &str, host: &str) {
     let cancel = CancellationToken::new();
     let settings = EngineSettings::for_test(deployment);
@@ -246,16 +252,20 @@
         .expect("agent");
 }
 
-/// Tokens of each item's answer in a [`batch_request`].
+/// Number of tokens of each item's response in a [`batch_request`].
 pub const ITEM_TOKENS: usize = 3;
 
-/// A batch request for `count` items of draftsman, each asking for its own answer.
+/// Returns a batch request with `count` items of draftsman, each with a prompt of its own.
 pub fn batch_request(client_key: &str, count: usize) -> serde_json::Value {
-    batch_request_of(client_key, count, ITEM_TOKENS)
+    batch_request_with_tokens(client_key, count, ITEM_TOKENS)
 }
 
-/// A [`batch_request`] whose answers have `tokens` tokens.
-pub fn batch_request_of(client_key: &str, count: usize, tokens: usize) -> serde_json::Value {
+/// Returns a [`batch_request`] whose responses have `tokens` tokens.
+pub fn batch_request_with_tokens(
+    client_key: &str,
+    count: usize,
+    tokens: usize,
+) -> serde_json::Value {
     let items: Vec<serde_json::Value> = (0..count)
         .map(|i| serde_json::json!({"custom_id": format!("letter-{i}"), "body": {"model": "draftsman", "prompt": format!("renewal letter {i}"), "max_tokens": tokens}}))
         .collect();
@@ -263,7 +273,7 @@
 }
 
 impl Fleet {
-    /// Creates a batch job; answers its id.
+    /// Creates a batch job and returns its id.
     pub async fn create_batch(&self, request: &serde_json::Value) -> String {
         let url = format!("{}/v1/batches", self.gateway);
         let mut response = self
@@ -276,65 +286,72 @@
         created["job"]["id"].as_str().expect("id").to_owned()
     }
 
-    /// A job's status.
+    /// Returns a job's status.
     pub async fn batch_status(&self, id: &str) -> serde_json::Value {
         let url = format!("{}/v1/batches/{id}", self.gateway);
         let mut response = self.http.get(url).send().await.expect("status");
         response.json().await.expect("status decodes")
     }
 
-    /// Waits (bounded) until the job is completed; answers its status.
+    /// Waits until the job is completed and returns its status. Panics if this takes too long.
     pub async fn wait_until_completed(&self, id: &str) -> serde_json::Value {
-        self.wait_until(id, |job| job["state"] == "completed").await
+        self.wait_for_job(id, |job| job["state"] == "completed")
+            .await
     }
 
-    /// Waits (bounded) until the job's counts are final; answers its status.
+    /// Waits until the job's counts are final and returns its status. Panics if this takes too long.
     pub async fn wait_until_ended(&self, id: &str) -> serde_json::Value {
         let has_ended = |job: &serde_json::Value| !job["final_counts"].is_null();
-        self.wait_until(id, has_ended).await
+        self.wait_for_job(id, has_ended).await
     }
 
-    async fn wait_until(
+    async fn wait_for_job(
         &self,
         id: &str,
-        holds: impl Fn(&serde_json::Value) -> bool,
+        condition: impl Fn(&serde_json::Value) -> bool,
     ) -> serde_json::Value {
         for _ in 0..1_200 {
             let status = self.batch_status(id).await;
-            if holds(&status["job"]) {
+            if condition(&status["job"]) {
                 return status;
             }
             tokio::time::sleep(Duration::from_millis(25)).await;
         }
-        panic!("job never got there: {}", self.batch_status(id).await);
+        panic!(
+            "job did not reach the expected state: {}",
+            self.batch_status(id).await
+        );
     }
 
-    /// Asserts that each of `count` items of a [`batch_request`] has its own answer, once.
-    pub async fn assert_own_answers(&self, id: &str, count: usize) {
-        self.assert_own_answers_of(id, count, ITEM_TOKENS).await;
+    /// Asserts that each of the `count` items of a [`batch_request`] has exactly one result, with the
+    /// response to its own prompt.
+    pub async fn assert_own_responses(&self, id: &str, count: usize) {
+        self.assert_own_responses_with_tokens(id, count, ITEM_TOKENS)
+            .await;
     }
 
-    /// [`Self::assert_own_answers`] for a [`batch_request_of`].
-    pub async fn assert_own_answers_of(&self, id: &str, count: usize, tokens: usize) {
+    /// Does the same as [`Self::assert_own_responses`] for a [`batch_request_with_tokens`].
+    pub async fn assert_own_responses_with_tokens(&self, id: &str, count: usize, tokens: usize) {
         let url = format!("{}/v1/batches/{id}/results", self.gateway);
         let mut response = self.http.get(url).send().await.expect("results");
         let body = response.body().await.expect("results body");
         let body = String::from_utf8_lossy(&body);
         let lines: Vec<serde_json::Value> = body
             .lines()
-            .map(|l| serde_json::from_str(l).expect("line"))
+            .map(|line| serde_json::from_str(line).expect("line"))
             .collect();
         assert_eq!(lines.len(), count);
         for (i, line) in lines.iter().enumerate() {
             assert_eq!(line["custom_id"], format!("letter-{i}"));
-            let answer = foxwheel_engine_emu::openai::extract_text(&line["response"]);
-            let own =
+            let content = foxwheel_engine_emu::openai::extract_text(&line["response"]);
+            let expected =
                 foxwheel_engine_emu::text::response_text(&format!("renewal letter {i}"), tokens);
-            assert_eq!(answer, Some(own.as_str()), "{line}");
+            assert_eq!(content, Some(expected.as_str()), "{line}");
         }
     }
 
-    /// Waits (bounded) until the gateway sees `expected` live hosts of `deployment`.
+    /// Waits until the gateway counts `expected` live hosts of `deployment`. Panics if this takes too
+    /// long.
     pub async fn wait_for_live(&self, deployment: &str, expected: u64) {
         for _ in 0..400 {
             let url = format!("{}/status", self.gateway);
@@ -348,11 +365,12 @@
             }
             tokio::time::sleep(Duration::from_millis(25)).await;
         }
-        panic!("the gateway never saw {expected} live hosts of {deployment}");
+        panic!("the gateway did not reach {expected} live hosts of {deployment}");
     }
 
-    /// Waits (bounded) until the gateway has the config and sees every agent.
-    pub async fn wait_until_routing(&self, engines: usize) {
+    /// Waits until the gateway has a configuration and counts every host as live. Panics if this takes
+    /// too long.
+    pub async fn wait_until_routing(&self, engine_count: usize) {
         for _ in 0..200 {
             if let Ok(mut response) = self
                 .http
@@ -368,18 +386,18 @@
                             .and_then(|d| d["live_hosts"].as_u64())
                             .unwrap_or(0)
                     };
-                    if live("draftsman") as usize == engines && live("yardbook") == 1 {
+                    if live("draftsman") as usize == engine_count && live("yardbook") == 1 {
                         return;
                     }
                 }
             }
             tokio::time::sleep(Duration::from_millis(25)).await;
         }
-        panic!("the gateway never saw the fleet");
+        panic!("the gateway did not route to all hosts");
     }
 
-    /// Executions the yardbook stand-in recorded, by idempotency key.
-    pub async fn executions(&self, key: &str) -> u64 {
+    /// Returns how often the emulated yardbook service ran the call with this idempotency key.
+    pub async fn execution_count(&self, key: &str) -> u64 {
         let mut response = self
             .http
             .get(format!("{}/_emu/executions", self.service))
--- a/crates/foxwheel-gateway/tests/config_in_force.rs
+++ b/crates/foxwheel-gateway/tests/config_in_force.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force on every gateway and agent, and never reverts.
+//! A configuration that was written is in force at every gateway and agent, and never reverts.
 
 mod common;
 
@@ -15,13 +15,14 @@
 use foxwheel_store::reflector::Reflector;
 use tokio_util::sync::CancellationToken;
 
-/// Rules that refuse everything with `status`, so that what is in force shows.
-fn refuse_all(status: u16) -> RuleSet {
+/// Returns rules that refuse every request with `status`, by which a test recognizes the rules in
+/// force.
+fn refuse_all_rules(status: u16) -> RuleSet {
     let rules = serde_json::json!({"rules": [{"name": "all", "then": {"action": "reject", "status": status, "message": "changed"}}]});
     serde_json::from_value(rules).expect("rules")
 }
 
-async fn status_of_a_call(http: &awc::Client, gateway: &str) -> u16 {
+async fn send_request_for_status(http: &awc::Client, gateway: &str) -> u16 {
     let body = serde_json::json!({"model": "draftsman", "prompt": "x", "max_tokens": 1});
     let url = format!("{gateway}/v1/completions");
     let sent = http.post(url).send_json(&body).await.expect("call");
@@ -29,26 +30,30 @@
 }
 
 #[actix_web::test]
-async fn a_change_is_in_force_on_every_gateway_and_agent() {
+async fn a_change_is_in_force_at_every_gateway_and_agent() {
     let fleet = common::start(2).await;
     let settings = common::gateway_settings(fleet.store.base_url(), "gateway-second");
-    let second = foxwheel_gateway::server::start(settings, fleet.cancel.clone()).expect("gateway");
-    let gateways = [fleet.gateway.clone(), format!("http://{}", second.addr)];
+    let second_gateway =
+        foxwheel_gateway::server::start(settings, fleet.cancel.clone()).expect("gateway");
+    let gateways = [
+        fleet.gateway.clone(),
+        format!("http://{}", second_gateway.addr),
+    ];
     let outage = |outage| Faults {
         outage,
         ..Faults::default()
     };
-    // (case, status of the new rules, whether the store is down between write and read)
-    for (case, status, down) in [
-        ("store well", 451, false),
+    // (case, status of the new rules, whether the store is down after the write)
+    for (case, status, has_outage) in [
+        ("no fault", 451, false),
         ("store down right after the write", 410, true),
     ] {
         let written = fleet
             .store
-            .put(keys::RULES_KEY, &refuse_all(status), None)
+            .put(keys::RULES_KEY, &refuse_all_rules(status), None)
             .await
             .expect("applied");
-        if down {
+        if has_outage {
             let faults = outage(true);
             fleet.store.set_faults(&faults).await.expect("faults");
             tokio::time::sleep(Duration::from_millis(300)).await;
@@ -59,15 +64,15 @@
                 .expect("cleared");
         }
         for gateway in &gateways {
-            let mut seen = 0;
+            let mut seen_status = 0;
             for _ in 0..400 {
-                seen = status_of_a_call(&fleet.http, gateway).await;
-                if seen == status {
+                seen_status = send_request_for_status(&fleet.http, gateway).await;
+                if seen_status == status {
                     break;
                 }
                 tokio::time::sleep(Duration::from_millis(25)).await;
             }
-            assert_eq!(seen, status, "case '{case}': {gateway}");
+            assert_eq!(seen_status, status, "case '{case}': {gateway}");
         }
         let members = fleet.store.list(keys::MEMBERS_PREFIX).await.expect("list");
         for member in members.objects {
@@ -88,13 +93,14 @@
     fleet.cancel.cancel();
 }
 
-/// A peer gateway's answer to `GET /snapshot`: rules refusing with `status` at `revision`.
+/// Starts a peer gateway that responds to `GET /snapshot` with rules that refuse with `status`, at
+/// `revision`. Returns its URL.
 fn start_peer(revision: u64, status: u16, cancel: &CancellationToken) -> String {
-    let copy = ListResponse {
+    let snapshot = ListResponse {
         objects: vec![Object {
             key: keys::RULES_KEY.to_owned(),
             version: revision,
-            value: serde_json::to_value(refuse_all(status)).expect("rules"),
+            value: serde_json::to_value(refuse_all_rules(status)).expect("rules"),
         }],
         revision,
     };
@@ -103,9 +109,9 @@
         foxwheel_core::http::ServerOptions::default(),
         cancel.clone(),
         move || {
-            let copy = copy.clone();
-            let answer = move || std::future::ready(HttpResponse::Ok().json(&copy));
-            App::new().route("/snapshot", web::get().to(answer))
+            let snapshot = snapshot.clone();
+            let respond = move || std::future::ready(HttpResponse::Ok().json(&snapshot));
+            App::new().route("/snapshot", web::get().to(respond))
         },
     )
     .expect("peer");
@@ -114,11 +120,11 @@
 }
 
 #[actix_web::test]
-async fn the_newest_copy_of_any_peer_counts_and_an_older_store_does_not_revert_it() {
+async fn the_newest_peer_copy_is_used_and_an_older_store_does_not_revert_it() {
     let cancel = CancellationToken::new();
-    let unused = std::net::TcpListener::bind("127.0.0.1:0").expect("port");
-    let store_addr = unused.local_addr().expect("address");
-    drop(unused);
+    let free_listener = std::net::TcpListener::bind("127.0.0.1:0").expect("port");
+    let store_addr = free_listener.local_addr().expect("address");
+    drop(free_listener);
     let peers = vec![
         start_peer(7, 407, &cancel),
         start_peer(9, 451, &cancel),
@@ -138,8 +144,12 @@
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    assert_eq!(handle.current().rules, refuse_all(451), "the newest copy");
-    // A store that lost its latest writes comes up.
+    assert_eq!(
+        handle.current().rules,
+        refuse_all_rules(451),
+        "the newest copy"
+    );
+    // A store that has lost its latest writes starts.
     let restored = PlatformSettings {
         listen_addr: store_addr.to_string(),
         ..PlatformSettings::for_test()
@@ -148,9 +158,11 @@
         foxwheel_platform_emu::server::start(&restored, cancel.clone()).expect("store");
     actix_web::rt::spawn(server);
     let store = StoreClient::new(format!("http://{store_addr}"));
-    let older = store.put(keys::RULES_KEY, &refuse_all(401), None).await;
-    older.expect("an older configuration is there");
-    // Wait until the gateway has listed it.
+    let older_write = store
+        .put(keys::RULES_KEY, &refuse_all_rules(401), None)
+        .await;
+    older_write.expect("an older configuration is written");
+    // Waits until the gateway has read it.
     for _ in 0..400 {
         if store.stats().await.expect("stats").reads > 0 {
             break;
@@ -158,41 +170,50 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     tokio::time::sleep(Duration::from_millis(200)).await;
-    assert_eq!(handle.current().rules, refuse_all(451), "not reverted");
-    // What is written after it catches up is newer, and taken.
+    assert_eq!(
+        handle.current().rules,
+        refuse_all_rules(451),
+        "not reverted"
+    );
+    // Writes after the store has passed the revision in force are newer and are applied.
     for status in 402..=410 {
-        let written = store.put(keys::RULES_KEY, &refuse_all(status), None).await;
+        let written = store
+            .put(keys::RULES_KEY, &refuse_all_rules(status), None)
+            .await;
         written.expect("applied");
     }
     for _ in 0..400 {
-        if handle.current().rules == refuse_all(410) {
+        if handle.current().rules == refuse_all_rules(410) {
             break;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    assert_eq!(handle.current().rules, refuse_all(410));
+    assert_eq!(handle.current().rules, refuse_all_rules(410));
     cancel.cancel();
 }
 
 #[test]
-fn the_configuration_in_force_only_moves_forward() {
+fn the_revision_in_force_never_decreases() {
     let handle = ConfigHandle::default();
-    let at = |revision, status| ActiveConfig {
-        rules: refuse_all(status),
+    let config_at = |revision, status| ActiveConfig {
+        rules: refuse_all_rules(status),
         revision,
         ..ActiveConfig::default()
     };
-    // (revision offered, whether it is taken, the revision in force afterwards)
-    for (revision, taken, in_force) in [
+    // (revision offered, whether it is put in force, revision in force afterwards)
+    for (revision, is_applied, in_force) in [
         (4, true, 4),
         (4, false, 4),
         (3, false, 4),
         (9, true, 9),
         (8, false, 9),
     ] {
-        let offered = at(revision, 400 + revision as u16);
-        assert_eq!(handle.advance(offered), taken, "revision {revision}");
+        let offered = config_at(revision, 400 + revision as u16);
+        assert_eq!(handle.advance(offered), is_applied, "revision {revision}");
         assert_eq!(handle.current().revision, in_force);
-        assert_eq!(handle.current().rules, refuse_all(400 + in_force as u16));
+        assert_eq!(
+            handle.current().rules,
+            refuse_all_rules(400 + in_force as u16)
+        );
     }
 }
--- a/crates/foxwheel-gateway/tests/membership_faults.rs
+++ b/crates/foxwheel-gateway/tests/membership_faults.rs
@@ -1,4 +1,4 @@
-//! Which hosts take work while agents die, drain or move and while the store is down.
+//! Which hosts take work while agents die, drain or are removed, and while the store is down.
 
 mod common;
 
@@ -17,10 +17,10 @@
 use foxwheel_store::api::Faults;
 use tokio_util::sync::CancellationToken;
 
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const POLL_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// An agent's control channel without the rest of the agent.
+/// The control channel of an agent without the rest of it.
 #[derive(Default)]
 struct FakeAgent {
     draining: AtomicBool,
@@ -39,7 +39,7 @@
     }
 }
 
-fn record(host: &str, control_addr: String) -> Member {
+fn member_record(host: &str, control_addr: String) -> Member {
     Member {
         host: host.to_owned(),
         deployment: "draftsman".to_owned(),
@@ -55,7 +55,7 @@
 fn start_polling(cancel: &CancellationToken) -> HostTable {
     let table = HostTable::new(3);
     let timing = PollTiming {
-        interval: POLL,
+        interval: POLL_INTERVAL,
         timeout: POLL_TIMEOUT,
     };
     let counters = Counters::new("test", None).expect("counters");
@@ -74,7 +74,7 @@
         if table.live_count("draftsman") == expected {
             return;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     panic!(
         "case '{case}': {} hosts live, expected {expected}",
@@ -82,21 +82,21 @@
     );
 }
 
-/// What befalls one of two agents.
+/// Fault of one of two agents.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
-    /// Its process is killed: connections drop, nothing listens any more.
+    /// The agent's process is killed: its connections close and nothing listens at its address.
     Killed,
-    /// It drains; no store write tells of it.
+    /// The agent drains, which only its load reports show and no write to the store.
     Draining,
-    /// Its record is gone from the list.
+    /// The agent's record is no longer in the list of members.
     Removed,
 }
 
 #[actix_web::test]
-async fn a_dead_or_leaving_host_takes_no_new_work_and_the_other_does() {
+async fn a_dead_or_leaving_host_takes_no_new_work_while_the_other_does() {
     let cases = [
-        ("killed: polls go unanswered", Fault::Killed),
+        ("killed: polls get no response", Fault::Killed),
         ("drains while the store is down", Fault::Draining),
         ("record removed", Fault::Removed),
     ];
@@ -104,18 +104,21 @@
         let cancel = CancellationToken::new();
         let table = start_polling(&cancel);
         let agents: Vec<Arc<FakeAgent>> = (0..2).map(|_| Arc::default()).collect();
-        let kills: Vec<CancellationToken> = (0..2).map(|_| cancel.child_token()).collect();
+        let kill_tokens: Vec<CancellationToken> = (0..2).map(|_| cancel.child_token()).collect();
         let mut records = Vec::new();
-        for (i, (agent, kill)) in agents.iter().zip(&kills).enumerate() {
+        for (i, (agent, kill)) in agents.iter().zip(&kill_tokens).enumerate() {
             let addr = server::serve("127.0.0.1:0", agent.clone(), kill.clone())
                 .await
                 .expect("control channel");
-            records.push((record(&format!("suwon-hall-{i}"), addr.to_string()), 1));
+            records.push((
+                member_record(&format!("suwon-hall-{i}"), addr.to_string()),
+                1,
+            ));
         }
         table.rebuild(records.clone());
         wait_for_live(&table, 2, case).await;
         match fault {
-            Fault::Killed => kills[0].cancel(),
+            Fault::Killed => kill_tokens[0].cancel(),
             Fault::Draining => agents[0].draining.store(true, Ordering::Relaxed),
             Fault::Removed => table.rebuild(records[1..].to_vec()),
         }
@@ -131,28 +134,28 @@
 }
 
 #[actix_web::test]
-async fn a_gateway_that_was_paused_does_not_take_its_hosts_for_dead() {
+async fn a_gateway_that_was_paused_does_not_consider_its_hosts_dead() {
     let cancel = CancellationToken::new();
     let table = start_polling(&cancel);
     let agent: Arc<FakeAgent> = Arc::default();
     let addr = server::serve("127.0.0.1:0", agent, cancel.clone())
         .await
         .expect("control channel");
-    table.rebuild(vec![(record("suwon-hall-0", addr.to_string()), 1)]);
+    table.rebuild(vec![(member_record("suwon-hall-0", addr.to_string()), 1)]);
     wait_for_live(&table, 1, "before the pause").await;
-    // Let a poll be answered, then stop this thread, pollers and all.
-    tokio::time::sleep(POLL * 3).await;
+    // Lets a poll get its response, then blocks this thread, on which the pollers run too.
+    tokio::time::sleep(POLL_INTERVAL * 3).await;
     for _ in 0..3 {
-        std::thread::sleep(POLL * 30);
+        std::thread::sleep(POLL_INTERVAL * 30);
         assert_eq!(table.live_count("draftsman"), 1, "right after the pause");
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         assert_eq!(table.live_count("draftsman"), 1, "soon after the pause");
     }
     cancel.cancel();
 }
 
 #[actix_web::test]
-async fn a_gateway_started_while_the_store_is_down_takes_its_state_from_a_peer() {
+async fn a_gateway_started_while_the_store_is_down_reads_its_state_from_a_peer() {
     let fleet = common::start(1).await;
     let outage = Faults {
         outage: true,
@@ -161,46 +164,47 @@
     fleet.store.set_faults(&outage).await.expect("faults");
     // (case, peers, expected status)
     let cases = [
-        ("no peer: not run, come back", vec![], 503),
+        ("no peer: not run, retry later", vec![], 503),
         ("a peer", vec![fleet.gateway.clone()], 200),
     ];
     for (case, peers, expected) in cases {
         let settings = foxwheel_gateway::settings::GatewaySettings {
             peers,
-            ..common::gateway_settings(fleet.store.base_url(), "gateway-late")
+            ..common::gateway_settings(fleet.store.base_url(), "gateway-second")
         };
-        let late = foxwheel_gateway::server::start(settings, fleet.cancel.clone()).expect("start");
-        let ready_url = format!("http://{}/ready", late.addr);
-        let mut ready = false;
+        let second_gateway =
+            foxwheel_gateway::server::start(settings, fleet.cancel.clone()).expect("start");
+        let ready_url = format!("http://{}/ready", second_gateway.addr);
+        let mut is_ready = false;
         for _ in 0..100 {
-            let answer = fleet.http.get(&ready_url).send().await.expect("ready");
-            ready = answer.status().is_success();
-            if ready {
+            let response = fleet.http.get(&ready_url).send().await.expect("ready");
+            is_ready = response.status().is_success();
+            if is_ready {
                 break;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        assert_eq!(ready, expected == 200, "case '{case}': ready");
+        assert_eq!(is_ready, expected == 200, "case '{case}': ready");
         let body = serde_json::json!({"model": "draftsman", "prompt": "a quote", "max_tokens": 3});
-        // The member list may come a moment after the configuration.
-        let mut answer = None;
+        // The list of members can arrive shortly after the configuration.
+        let mut last_response = None;
         for _ in 0..100 {
-            let url = format!("http://{}/v1/completions", late.addr);
-            let sent = fleet.http.post(url).send_json(&body).await.expect("call");
-            let is_expected = sent.status().as_u16() == expected;
-            answer = Some(sent);
+            let url = format!("http://{}/v1/completions", second_gateway.addr);
+            let response = fleet.http.post(url).send_json(&body).await.expect("call");
+            let is_expected = response.status().as_u16() == expected;
+            last_response = Some(response);
             if is_expected {
                 break;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        let answer = answer.expect("answered");
-        assert_eq!(answer.status().as_u16(), expected, "case '{case}'");
+        let response = last_response.expect("a response");
+        assert_eq!(response.status().as_u16(), expected, "case '{case}'");
         if expected != 200 {
-            let run_state = answer.headers().get(RUN_STATE_HEADER);
+            let run_state = response.headers().get(RUN_STATE_HEADER);
             assert_eq!(run_state.map(|v| v.as_bytes()), Some(&b"not_run"[..]));
             assert!(
-                answer.headers().contains_key("retry-after"),
+                response.headers().contains_key("retry-after"),
                 "case '{case}'"
             );
         }
@@ -216,15 +220,15 @@
         ..Faults::default()
     };
     fleet.store.set_faults(&outage).await.expect("faults");
-    // Test agents hold leases of 1 s.
+    // The leases of test agents last 1 s.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let body = serde_json::json!({"model": "draftsman", "prompt": "a quote", "max_tokens": 3});
-    let answer = fleet
+    let response = fleet
         .http
         .post(format!("{}/v1/completions", fleet.gateway))
         .send_json(&body)
         .await
         .expect("call");
-    assert_eq!(answer.status().as_u16(), 200);
+    assert_eq!(response.status().as_u16(), 200);
     fleet.cancel.cancel();
 }
--- a/crates/foxwheel-gateway/tests/placement.rs
+++ b/crates/foxwheel-gateway/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which host takes a request, from what the control polls said of each.
+//! Choice of the host for a request, from the load that the control polls reported.
 
 use foxwheel_core::declarations::PriorityClass;
 use foxwheel_core::protocol::{LoadReport, Member, MemberState};
@@ -7,7 +7,7 @@
 const DEPLOYMENT: &str = "draftsman";
 const SLOTS: u32 = 8;
 
-fn record(host: &str, zone: &str) -> Member {
+fn member(host: &str, zone: &str) -> Member {
     Member {
         host: host.to_owned(),
         deployment: DEPLOYMENT.to_owned(),
@@ -20,11 +20,11 @@
     }
 }
 
-/// A table of hosts given by name, zone and the online requests that others run there.
-fn table(hosts: &[(&str, &str, u32)]) -> HostTable {
+/// Returns a table of hosts, given by name, zone and number of online requests from other gateways.
+fn host_table(hosts: &[(&str, &str, u32)]) -> HostTable {
     let table = HostTable::new(3);
-    let records = hosts.iter().map(|(host, zone, _)| (record(host, zone), 1));
-    table.rebuild(records.collect());
+    let members = hosts.iter().map(|(host, zone, _)| (member(host, zone), 1));
+    table.rebuild(members.collect());
     for target in table.hosts() {
         let host = hosts
             .iter()
@@ -39,29 +39,33 @@
     table
 }
 
-fn picked(table: &HostTable, class: PriorityClass) -> Option<String> {
+fn pick_host(table: &HostTable, class: PriorityClass) -> Option<String> {
     let target = table.pick_host(DEPLOYMENT, class, "here", &[]);
     target.map(|target| target.member.host)
 }
 
 #[test]
-fn the_own_zone_is_taken_while_it_has_slots() {
-    let table = table(&[("a", "here", 1), ("b", "there", 0)]);
-    assert_eq!(picked(&table, PriorityClass::Online).as_deref(), Some("a"));
+fn a_host_in_the_own_zone_is_picked_while_it_has_slots() {
+    let table = host_table(&[("a", "here", 1), ("b", "there", 0)]);
+    assert_eq!(
+        pick_host(&table, PriorityClass::Online).as_deref(),
+        Some("a")
+    );
 }
 
 #[test]
-fn a_full_zone_sends_its_work_to_another() {
-    let table = table(&[("a", "here", SLOTS), ("b", "there", 2)]);
+fn a_host_in_another_zone_is_picked_when_the_own_zone_is_full() {
+    let table = host_table(&[("a", "here", SLOTS), ("b", "there", 2)]);
     for class in [PriorityClass::Online, PriorityClass::Batch] {
-        assert_eq!(picked(&table, class).as_deref(), Some("b"));
+        assert_eq!(pick_host(&table, class).as_deref(), Some("b"));
     }
 }
 
-/// A burst that arrives between two control polls: each choice must count those before.
+/// Requests that arrive between two control polls must count the requests sent before them, or the
+/// last poll would send them all to one host.
 #[test]
-fn a_burst_between_two_polls_is_spread() {
-    let table = table(&[("a", "here", 0), ("b", "here", 0), ("c", "there", 0)]);
+fn a_burst_between_two_polls_is_spread_over_the_hosts() {
+    let table = host_table(&[("a", "here", 0), ("b", "here", 0), ("c", "there", 0)]);
     let mut burst = Vec::new();
     for _ in 0..3 * SLOTS {
         let target = table
@@ -70,7 +74,13 @@
         burst.push((target.member.host.clone(), InFlightGuard::start(&target)));
     }
     for host in ["a", "b", "c"] {
-        let taken = burst.iter().filter(|(taken, _)| taken == host).count() as u32;
-        assert!(taken <= SLOTS + 2, "{host} was given {taken} of {SLOTS}");
+        let assigned = burst
+            .iter()
+            .filter(|(assigned, _)| assigned == host)
+            .count() as u32;
+        assert!(
+            assigned <= SLOTS + 2,
+            "{host} was assigned {assigned} requests for {SLOTS} slots"
+        );
     }
 }
--- a/crates/foxwheel-gateway/tests/stream_faults.rs
+++ b/crates/foxwheel-gateway/tests/stream_faults.rs
@@ -1,5 +1,5 @@
-//! A caller gets the whole answer to its own request when engines break theirs off, and
-//! otherwise sees that it is not whole.
+//! A caller gets the complete response to its own request when engines cut theirs off, or can see
+//! that the response is not complete.
 
 mod common;
 
@@ -8,18 +8,24 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// What a caller made of one answer.
+/// A response as its caller sees it.
 #[derive(Debug, PartialEq)]
-enum Seen {
-    Whole(String),
-    /// The connection broke, or the answer was refused.
-    Broken,
-    /// It ended as if it were whole, without its last event.
-    CutShort(String),
+enum SeenResponse {
+    Complete(String),
+    /// The connection failed or was closed early, or the response is an error.
+    Failed,
+    /// The response ended like a complete one although a part is missing.
+    Truncated(String),
 }
 
-/// Asks over a plain connection, as a client library would hide a missing last chunk.
-async fn ask(fleet: &common::Fleet, prompt: &str, tokens: usize, stream: bool) -> Seen {
+/// Sends a request over a plain connection, because a client library would hide that the last chunk
+/// is missing.
+async fn send_request(
+    fleet: &common::Fleet,
+    prompt: &str,
+    tokens: usize,
+    stream: bool,
+) -> SeenResponse {
     let body = serde_json::json!({"model": "draftsman", "prompt": prompt, "max_tokens": tokens, "stream": stream}).to_string();
     let addr = fleet.gateway.trim_start_matches("http://");
     let request = format!(
@@ -28,40 +34,44 @@
     );
     let mut socket = TcpStream::connect(addr).await.expect("connect");
     socket.write_all(request.as_bytes()).await.expect("write");
-    let mut answer = Vec::new();
-    if socket.read_to_end(&mut answer).await.is_err() {
-        return Seen::Broken;
+    let mut received = Vec::new();
+    if socket.read_to_end(&mut received).await.is_err() {
+        return SeenResponse::Failed;
     }
-    let answer = String::from_utf8_lossy(&answer);
-    let Some((head, body)) = answer.split_once("\r\n\r\n") else {
-        return Seen::Broken;
+    let received = String::from_utf8_lossy(&received);
+    let Some((head, body)) = received.split_once("\r\n\r\n") else {
+        return SeenResponse::Failed;
     };
     let head = head.to_ascii_lowercase();
-    let is_whole = !head.contains("transfer-encoding: chunked") || body.ends_with("0\r\n\r\n");
-    if !head.starts_with("http/1.1 200") || !is_whole {
-        return Seen::Broken;
+    let is_complete = !head.contains("transfer-encoding: chunked") || body.ends_with("0\r\n\r\n");
+    if !head.starts_with("http/1.1 200") || !is_complete {
+        return SeenResponse::Failed;
     }
     if !stream {
         return match serde_json::from_str::<serde_json::Value>(body) {
-            Ok(answer) => Seen::Whole(openai::extract_text(&answer).unwrap_or_default().to_owned()),
-            Err(_) => Seen::CutShort(body.to_owned()),
+            Ok(completion) => SeenResponse::Complete(
+                openai::extract_text(&completion)
+                    .unwrap_or_default()
+                    .to_owned(),
+            ),
+            Err(_) => SeenResponse::Truncated(body.to_owned()),
         };
     }
-    let mut answer = String::new();
-    let mut done = false;
-    for data in body.lines().filter_map(|l| l.strip_prefix("data: ")) {
+    let mut content = String::new();
+    let mut has_last_event = false;
+    for data in body.lines().filter_map(|line| line.strip_prefix("data: ")) {
         match serde_json::from_str::<serde_json::Value>(data) {
             Ok(chunk) => {
-                assert_eq!(chunk["id"], prompt, "each chunk bears the caller's id");
-                answer.push_str(openai::extract_text(&chunk).unwrap_or_default());
+                assert_eq!(chunk["id"], prompt, "each chunk contains the caller's id");
+                content.push_str(openai::extract_text(&chunk).unwrap_or_default());
             }
-            Err(_) => done = data == "[DONE]",
+            Err(_) => has_last_event = data == "[DONE]",
         }
     }
-    if done {
-        Seen::Whole(answer)
+    if has_last_event {
+        SeenResponse::Complete(content)
     } else {
-        Seen::CutShort(answer)
+        SeenResponse::Truncated(content)
     }
 }
 
@@ -72,7 +82,7 @@
 }
 
 #[actix_web::test]
-async fn an_answer_broken_off_by_one_engine_is_finished_by_another() {
+async fn a_response_cut_off_by_one_engine_is_completed_by_another() {
     for stream in [true, false] {
         for how in [
             ResponseFault::Abort,
@@ -89,10 +99,10 @@
                 let case = format!("stream: {stream}, {how:?} after {after_tokens}");
                 for n in 0..6 {
                     let prompt = format!("panel {n} of {case}");
-                    let seen = ask(&fleet, &prompt, 9, stream).await;
+                    let seen = send_request(&fleet, &prompt, 9, stream).await;
                     assert_eq!(
                         seen,
-                        Seen::Whole(text::response_text(&prompt, 9)),
+                        SeenResponse::Complete(text::response_text(&prompt, 9)),
                         "case {case}"
                     );
                 }
@@ -103,7 +113,7 @@
 }
 
 #[actix_web::test]
-async fn an_answer_that_nobody_finishes_is_seen_to_be_broken() {
+async fn a_response_that_no_engine_completes_is_not_mistaken_for_a_complete_one() {
     for stream in [true, false] {
         for how in [ResponseFault::Abort, ResponseFault::EndEarly] {
             let fleet = common::start(2).await;
@@ -114,8 +124,8 @@
                 };
                 set_faults(&fleet, engine, faults).await;
             }
-            let seen = ask(&fleet, "panel", 40, stream).await;
-            assert_eq!(seen, Seen::Broken, "stream: {stream}, {how:?}");
+            let seen = send_request(&fleet, "panel", 40, stream).await;
+            assert_eq!(seen, SeenResponse::Failed, "stream: {stream}, {how:?}");
             fleet.cancel.cancel();
         }
     }
