--- a/crates/foxwheel-node/src/batch_front.rs
+++ b/crates/foxwheel-node/src/batch_front.rs
@@ -198,7 +198,7 @@
             log::warn!(request_id = job.id; "no live worker; the job stays in the ledger");
             return;
         };
-        let Some(addr) = self.worker_addr(&preferred.node, now) else {
+        let Some(addr) = self.worker_addr(&preferred.host, now) else {
             return;
         };
         let node = Arc::clone(&self.node);
@@ -342,9 +342,9 @@
         let now = Instant::now();
         let workers = self.node.peers.live_workers(now);
         let owners = workers.iter().filter(|worker| worker.owns(job));
-        let mut hosts: Vec<&str> = owners.map(|worker| worker.node.as_str()).collect();
+        let mut hosts: Vec<&str> = owners.map(|worker| worker.host.as_str()).collect();
         if let Some(preferred) = ownership::preferred_worker(job, &workers) {
-            hosts.push(&preferred.node);
+            hosts.push(&preferred.host);
         }
         hosts.dedup();
         hosts
--- a/crates/foxwheel-node/src/ledger_writer.rs
+++ b/crates/foxwheel-node/src/ledger_writer.rs
@@ -101,12 +101,12 @@
     let own_host = &node.settings.host;
     // A worker is not among its own peers, so it is the ledger writer if it outranks them.
     let is_own = own.is_some()
-        && writer.is_none_or(|writer| ownership::outranks(LEDGER_RANK_KEY, own_host, &writer.node));
+        && writer.is_none_or(|writer| ownership::outranks(LEDGER_RANK_KEY, own_host, &writer.host));
     let written = match (own, writer) {
         (Some(own), _) if is_own => Some(own.submit(change.clone()).await),
         (_, Some(writer)) => {
             let live = node.peers.live_processes(Role::Worker, now);
-            let found = live.iter().find(|(host, _)| *host == writer.node);
+            let found = live.iter().find(|(host, _)| *host == writer.host);
             match found {
                 Some((_, addr)) if !node.peer_calls.has_failed_recently(*addr, now) => {
                     let result = node.peer_calls.change_ledger(*addr, change.clone()).await;
--- a/crates/foxwheel-node/src/peers/views.rs
+++ b/crates/foxwheel-node/src/peers/views.rs
@@ -246,7 +246,7 @@
         });
         let mut workers: Vec<Worker> = live
             .map(|peer| Worker {
-                node: peer.heartbeat.host.clone(),
+                host: peer.heartbeat.host.clone(),
                 zone: peer.heartbeat.zone.clone(),
                 leaving: peer.heartbeat.leaving,
                 has_current_claims: peer.is_live(now),
@@ -255,10 +255,10 @@
             })
             .collect();
         for (zone, summary) in state.other_zones.live_workers(now) {
-            let found = workers.binary_search_by(|worker| worker.node.cmp(&summary.host));
+            let found = workers.binary_search_by(|worker| worker.host.cmp(&summary.host));
             if let Err(at) = found {
                 let worker = Worker {
-                    node: summary.host.clone(),
+                    host: summary.host.clone(),
                     zone: zone.clone(),
                     leaving: summary.leaving,
                     has_current_claims: false,
--- a/crates/foxwheel-node/src/worker/ownership.rs
+++ b/crates/foxwheel-node/src/worker/ownership.rs
@@ -13,9 +13,9 @@
     pub(super) fn all_workers(&self, now: Instant) -> Vec<ownership::Worker> {
         let settings = &self.node.settings;
         let mut workers = self.node.peers.live_workers(now);
-        workers.retain(|worker| worker.node != settings.host);
+        workers.retain(|worker| worker.host != settings.host);
         workers.push(ownership::Worker {
-            node: settings.host.clone(),
+            host: settings.host.clone(),
             zone: settings.availability_zone.clone(),
             leaving: self.node.is_leaving(),
             has_current_claims: true,
@@ -76,7 +76,7 @@
             let since = known.map_or(now, |at| previous[at].1);
             self.unowned.push((job.clone(), since));
             let is_preferred =
-                ownership::preferred_worker(job, &workers).is_some_and(|worker| worker.node == own);
+                ownership::preferred_worker(job, &workers).is_some_and(|worker| worker.host == own);
             let should_take_over = ownership::should_take_over(job, &own, &workers, since, now)
                 && (is_preferred || !self.jobs.was_recently_missing(job, now));
             if knows_workers && should_take_over && !self.node.is_leaving() {
--- a/crates/foxwheel-node/src/worker/scheduling.rs
+++ b/crates/foxwheel-node/src/worker/scheduling.rs
@@ -112,7 +112,7 @@
         let mut candidates = self.node.batch_candidates(service, now);
         for candidate in &mut candidates {
             let manager = ownership::slot_manager(&candidate.id, &candidate.zone, &workers);
-            candidate.is_slot_manager = manager.is_some_and(|manager| manager.node == *own);
+            candidate.is_slot_manager = manager.is_some_and(|manager| manager.host == *own);
         }
         candidates
     }
--- a/crates/foxwheel-node/src/worker_jobs.rs
+++ b/crates/foxwheel-node/src/worker_jobs.rs
@@ -289,7 +289,7 @@
             .iter()
             .find(|worker| worker.has_current_claims && worker.owns(id))?;
         let live = self.node.peers.live_processes(Role::Worker, now);
-        let found = live.into_iter().find(|(host, _)| *host == owner.node);
+        let found = live.into_iter().find(|(host, _)| *host == owner.host);
         found.map(|(_, addr)| addr)
     }
 
--- a/crates/foxwheel-node/tests/peers.rs
+++ b/crates/foxwheel-node/tests/peers.rs
@@ -105,7 +105,7 @@
     let workers = peers.live_workers(later);
     let has_current_claims: Vec<(&str, bool)> = workers
         .iter()
-        .map(|worker| (worker.node.as_str(), worker.has_current_claims))
+        .map(|worker| (worker.host.as_str(), worker.has_current_claims))
         .collect();
     assert_eq!(has_current_claims, [("host-2", false), ("host-3", true)]);
     assert_eq!(
--- a/crates/foxwheel-policy/src/batch/ownership.rs
+++ b/crates/foxwheel-policy/src/batch/ownership.rs
@@ -56,8 +56,8 @@
 /// A live worker, as of its last heartbeat.
 #[derive(Debug, Clone)]
 pub struct Worker {
-    /// Name of the worker.
-    pub node: NodeId,
+    /// Host of the worker.
+    pub host: NodeId,
     /// Availability zone of the worker.
     pub zone: Zone,
     /// Whether the worker is shutting down: it takes no new jobs and releases those it owns.
@@ -100,7 +100,7 @@
     workers
         .iter()
         .filter(|worker| !worker.leaving)
-        .max_by_key(|worker| (rank(key, &worker.node), &worker.node))
+        .max_by_key(|worker| (rank(key, &worker.host), &worker.host))
 }
 
 /// Returns whether the worker `one` has a higher rank for `key` than the worker `other`.
@@ -124,7 +124,7 @@
     let any_local = eligible_workers().any(|worker| worker.zone == zone);
     eligible_workers()
         .filter(|worker| !any_local || worker.zone == zone)
-        .max_by_key(|worker| (rank(server, &worker.node), &worker.node))
+        .max_by_key(|worker| (rank(server, &worker.host), &worker.host))
 }
 
 /// Returns the largest number of stored parts of `job` that any worker reports. A process that
@@ -163,7 +163,7 @@
         true => UNOWNED_JOB_GRACE,
         false => UNREACHABLE_WORKER_GRACE,
     };
-    preferred.node == own || now.duration_since(unowned_since) >= grace
+    preferred.host == own || now.duration_since(unowned_since) >= grace
 }
 
 /// Returns whether the worker `own`, which owns `job` and knows `own_parts` of its results to be
@@ -175,13 +175,13 @@
     let own_rank = (own_parts, rank(job, own), own);
     others
         .iter()
-        .filter(|worker| worker.node != own && !worker.leaving && worker.owns(job))
+        .filter(|worker| worker.host != own && !worker.leaving && worker.owns(job))
         .filter_map(|worker| worker.find_claim(job).map(|claim| (worker, claim)))
         .any(|(worker, claim)| {
             (
                 claim.stored_parts,
-                rank(job, &worker.node),
-                worker.node.as_str(),
+                rank(job, &worker.host),
+                worker.host.as_str(),
             ) > own_rank
         })
 }
--- a/crates/foxwheel-policy/tests/ownership.rs
+++ b/crates/foxwheel-policy/tests/ownership.rs
@@ -11,14 +11,14 @@
 const JOB: &str = "7c41e09b52d6a3f8";
 
 /// Returns a worker that owns `JOB` with `owned_parts` stored parts, or no job if that is `None`.
-fn worker(node: &str, owned_parts: Option<u32>) -> Worker {
+fn worker(host: &str, owned_parts: Option<u32>) -> Worker {
     let claim = owned_parts.map(|parts| JobClaim {
         job: JOB.to_owned(),
         stored_parts: parts,
         status: ClaimStatus::Owned,
     });
     Worker {
-        node: node.to_owned(),
+        host: host.to_owned(),
         zone: "hall".to_owned(),
         leaving: false,
         has_current_claims: true,
@@ -28,7 +28,7 @@
 }
 
 fn idle_workers() -> Vec<Worker> {
-    ["a", "b", "c"].map(|node| worker(node, None)).to_vec()
+    ["a", "b", "c"].map(|host| worker(host, None)).to_vec()
 }
 
 #[test]
@@ -37,7 +37,7 @@
     let now = Instant::now();
     let taking_over = workers
         .iter()
-        .filter(|worker| ownership::should_take_over(JOB, &worker.node, &workers, now, now))
+        .filter(|worker| ownership::should_take_over(JOB, &worker.host, &workers, now, now))
         .count();
     assert_eq!(taking_over, 1);
 }
@@ -70,17 +70,17 @@
     let workers = idle_workers();
     let preferred = ownership::preferred_worker(JOB, &workers)
         .expect("no worker shuts down")
-        .node
+        .host
         .clone();
     let other = workers
         .iter()
-        .find(|w| w.node != preferred)
+        .find(|w| w.host != preferred)
         .expect("three workers");
     let seen_unowned = Instant::now();
     let claim_arrival = seen_unowned + Duration::from_millis(2_400);
     assert!(!ownership::should_take_over(
         JOB,
-        &other.node,
+        &other.host,
         &workers,
         seen_unowned,
         claim_arrival
@@ -88,7 +88,7 @@
     let after_grace = seen_unowned + Duration::from_secs(4);
     assert!(ownership::should_take_over(
         JOB,
-        &other.node,
+        &other.host,
         &workers,
         seen_unowned,
         after_grace
@@ -109,7 +109,7 @@
         for worker in &workers {
             assert!(!ownership::should_take_over(
                 JOB,
-                &worker.node,
+                &worker.host,
                 &workers,
                 start,
                 much_later
@@ -123,17 +123,17 @@
     let mut workers = idle_workers();
     let preferred = ownership::preferred_worker(JOB, &workers)
         .expect("no worker shuts down")
-        .node
+        .host
         .clone();
     let index = workers
         .iter()
-        .position(|w| w.node == preferred)
+        .position(|w| w.host == preferred)
         .expect("the preferred worker is one of them");
     workers[index].leaving = true;
     assert_ne!(
         ownership::preferred_worker(JOB, &workers)
             .expect("two workers remain")
-            .node,
+            .host,
         preferred
     );
     workers[index].claims.push(JobClaim {
@@ -166,8 +166,8 @@
         let received_a: u32 = u.int_in_range(0..=parts_a)?;
         let received_b: u32 = u.int_in_range(0..=parts_b)?;
         let job = format!("job-{}", u.int_in_range(0..=50)?);
-        let claim = |node: &str, parts| {
-            let mut worker = worker(node, Some(parts));
+        let claim = |host: &str, parts| {
+            let mut worker = worker(host, Some(parts));
             worker.claims[0].job.clone_from(&job);
             worker
         };
@@ -192,17 +192,17 @@
         let manager = ownership::slot_manager(&id, "hall", &workers).expect("a slot manager");
         assert_eq!(manager.zone, "hall");
         let far = ownership::slot_manager(&id, "far", &workers).expect("a slot manager");
-        assert_eq!(far.node, "c");
+        assert_eq!(far.host, "c");
         let other_zone = ownership::slot_manager(&id, "elsewhere", &workers);
         assert!(other_zone.is_some(), "a zone without a worker");
     }
     workers[2].leaving = true;
     let manager = ownership::slot_manager("server-0", "far", &workers).expect("a slot manager");
-    assert_ne!(manager.node, "c");
-    let managed_servers = |node: &str| {
+    assert_ne!(manager.host, "c");
+    let managed_servers = |host: &str| {
         let ids = (0..200).map(|server| format!("server-{server}"));
         ids.filter(|id| {
-            ownership::slot_manager(id, "hall", &workers).is_some_and(|w| w.node == node)
+            ownership::slot_manager(id, "hall", &workers).is_some_and(|w| w.host == host)
         })
         .count()
     };
@@ -222,7 +222,7 @@
     }
     workers[0].waiting_items = 12;
     let manager = |zone, workers: &[Worker]| {
-        ownership::slot_manager("server-0", zone, workers).map(|worker| worker.node.clone())
+        ownership::slot_manager("server-0", zone, workers).map(|worker| worker.host.clone())
     };
     for zone in ["hall", "far", "areal"] {
         assert_eq!(manager(zone, &workers).as_deref(), Some("a"), "{zone}");
@@ -249,20 +249,20 @@
     let mut workers = idle_workers();
     let preferred = ownership::preferred_worker(JOB, &workers)
         .expect("no worker shuts down")
-        .node
+        .host
         .clone();
     for worker in &mut workers {
-        worker.has_current_claims = worker.node != preferred;
+        worker.has_current_claims = worker.host != preferred;
     }
     let other = workers
         .iter()
-        .find(|w| w.node != preferred)
+        .find(|w| w.host != preferred)
         .expect("three workers");
     let unowned_since = Instant::now();
     let during_interruption = unowned_since + Duration::from_secs(5);
     assert!(!ownership::should_take_over(
         JOB,
-        &other.node,
+        &other.host,
         &workers,
         unowned_since,
         during_interruption
@@ -270,7 +270,7 @@
     let after_grace = unowned_since + Duration::from_secs(10);
     assert!(ownership::should_take_over(
         JOB,
-        &other.node,
+        &other.host,
         &workers,
         unowned_since,
         after_grace
