--- a/crates/foxwheel-node/src/node.rs
+++ b/crates/foxwheel-node/src/node.rs
@@ -95,7 +95,7 @@
     claims: Mutex<Vec<JobClaim>>,
     /// Number of items of this process's jobs that are ready to run but found no free slot.
     waiting_items: AtomicU32,
-    /// Cancelled when the process is told to stop. It accepts no new work from then on.
+    /// Cancelled when the process is asked to stop. It accepts no new work from then on.
     pub leaving: CancellationToken,
     /// Cancelled when the operator asks for this host to be retired.
     pub retiring: CancellationToken,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Returns whether the process accepts no new work, because it was told to stop or because its
+    /// Returns whether the process accepts no new work, because it was asked to stop or because its
     /// host is being retired.
     pub fn is_leaving(&self) -> bool {
         self.leaving.is_cancelled() || self.retiring.is_cancelled()
--- a/crates/foxwheel-node/src/worker/scheduling.rs
+++ b/crates/foxwheel-node/src/worker/scheduling.rs
@@ -167,7 +167,7 @@
             candidates.clear();
             return None;
         };
-        let candidate = candidates.iter_mut().find(|one| one.id == server.id)?;
+        let candidate = candidates.iter_mut().find(|known| known.id == server.id)?;
         candidate.in_flight += 1;
         candidate.batch_in_flight += 1;
         candidate.own_batch_in_flight += 1;
--- a/crates/foxwheel-node/tests/store_access.rs
+++ b/crates/foxwheel-node/tests/store_access.rs
@@ -83,7 +83,7 @@
         name: "late".to_owned(),
         spec: "1".to_owned(),
     };
-    store.write(&write).await.expect_err("no answer");
+    store.write(&write).await.expect_err("no response");
     path.clear_fault();
     // By then, the data that the path held back has arrived.
     tokio::time::sleep(Duration::from_millis(700)).await;
