--- a/crates/foxwheel-core/src/cli.rs
+++ b/crates/foxwheel-core/src/cli.rs
@@ -1,5 +1,5 @@
-//! The command line of the long-running processes: `--settings FILE`, `--check-settings FILE`,
-//! `--settings-page`, `--version` and `--help`.
+//! Parses the command line that all long-running processes share: `--settings FILE`,
+//! `--check-settings FILE`, `--settings-page`, `--version` and `--help`.
 
 use std::path::PathBuf;
 
@@ -9,7 +9,7 @@
 use crate::settings::{self, Check, SettingsError};
 use crate::settings_page;
 
-/// What the command line of a server process asks for.
+/// What the command line of a long-running process asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
     /// Runs the process with the settings in a file.
@@ -22,7 +22,7 @@
         /// Path of the JSON settings file.
         settings: PathBuf,
     },
-    /// Prints the documentation of all settings and exits.
+    /// Prints the documentation of all settings of the process and exits.
     SettingsPage,
     /// Prints the version and exits.
     Version,
@@ -30,9 +30,10 @@
     Help,
 }
 
-/// Parses the arguments of a server process. `-s`, `-h` and `-V` are short forms of `--settings`,
-/// `--help` and `--version`. Returns an error for an unknown argument or a missing value.
-pub fn parse_server_args(
+/// Parses the arguments of a long-running process. `-s`, `-h` and `-V` are short forms of
+/// `--settings`, `--help` and `--version`. Returns an error for an unknown argument, for a missing
+/// value, and if none of the options is given.
+pub fn parse_process_args(
     args: impl IntoIterator<Item = std::ffi::OsString>,
 ) -> Result<Command, lexopt::Error> {
     use lexopt::prelude::*;
@@ -59,7 +60,9 @@
 
 /// Loads the settings of the process `name` from the file given by `--settings`. For the other
 /// options it prints the requested text and exits. If the arguments or the settings are not valid,
-/// it prints every problem and exits with status 2.
+/// it prints why, for arguments together with the usage text, and exits with status 2.
+///
+/// `about` says what the process does; the usage text begins with it.
 pub fn load_settings_or_exit<T: DeserializeOwned + Check + JsonSchema>(
     name: &str,
     about: &str,
@@ -68,7 +71,7 @@
         "{about}\n\nusage: {name} --settings FILE.json\n       \
          {name} --check-settings FILE.json | --settings-page | --version | --help"
     );
-    let load = |path: &PathBuf| {
+    let load_or_exit = |path: &PathBuf| {
         settings::load(path)
             .unwrap_or_else(|e: SettingsError| exit_with_error(name, &e.to_string()))
     };
@@ -76,10 +79,10 @@
         println!("{text}");
         std::process::exit(0);
     };
-    match parse_server_args(std::env::args_os().skip(1)) {
-        Ok(Command::Run { settings }) => load(&settings),
+    match parse_process_args(std::env::args_os().skip(1)) {
+        Ok(Command::Run { settings }) => load_or_exit(&settings),
         Ok(Command::CheckSettings { settings }) => {
-            let _: T = load(&settings);
+            let _: T = load_or_exit(&settings);
             print_and_exit("the settings are valid")
         }
         Ok(Command::SettingsPage) => print_and_exit(&settings_page::render_section::<T>(name)),
--- a/crates/foxwheel-ctl/src/losses/collection.rs
+++ b/crates/foxwheel-ctl/src/losses/collection.rs
@@ -1,4 +1,5 @@
-//! Finds losses in log lines and the reason of each.
+//! Finds losses in log lines and the reason of each. A loss is a request or batch item whose
+//! response or result was late, or that was refused, failed or must run again.
 
 use foxwheel_core::ids::{NodeId, ServerId};
 
@@ -23,9 +24,9 @@
     Late,
     /// A request was refused without having run.
     Refused,
-    /// A request or item failed, or may have run without a response.
+    /// A request or item failed, or it may have run but no complete response came.
     Failed,
-    /// A run of a batch item ended early; what is missing of the item runs again.
+    /// A run of a batch item ended early; the part of the item that is not done yet runs again.
     RunAgain,
 }
 
@@ -55,18 +56,19 @@
     pub server: Option<ServerId>,
     /// Host whose process logged it.
     pub host: NodeId,
-    /// Time of the log line after clock alignment, in milliseconds since the Unix epoch.
+    /// Time of the log line after the clocks of the hosts were aligned, in milliseconds since the
+    /// Unix epoch.
     pub unix_ms: i64,
     /// Number of requests or items, at least 1.
     pub count: u64,
 }
 
-/// The losses found in log lines, and the number of requests and results that were in time.
+/// The losses found in log lines, and the number of requests and results that were on time.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CollectedLosses {
-    /// Losses in order of time.
+    /// Losses in the order of their log lines.
     pub losses: Vec<Loss>,
-    /// Number of requests and results in time.
+    /// Number of requests and results that were on time.
     pub on_time: u64,
     /// Time of the first log line, in milliseconds since the Unix epoch; 0 without lines.
     pub first_unix_ms: i64,
@@ -129,22 +131,22 @@
 
     fn position(&self, id: &str) -> Result<usize, usize> {
         self.reasons
-            .binary_search_by(|(known, _)| known.as_str().cmp(id))
+            .binary_search_by(|(recorded_id, _)| recorded_id.as_str().cmp(id))
     }
 }
 
 fn classify_line(line: &LogLine, last_failures: &LastFailures) -> Option<LineOutcome> {
-    let lost = |kind, reason| Some(LineOutcome::Lost(loss_at(line, kind, reason, 1)));
+    let one_loss = |kind, reason| Some(LineOutcome::Lost(build_loss(line, kind, reason, 1)));
     match line.message.as_str() {
         "stream complete" | "request served" => match line.bool_field("on_time")? {
             true => Some(LineOutcome::OnTime(1)),
-            false => lost(LossKind::Late, late_reason(line, last_failures)),
+            false => one_loss(LossKind::Late, late_reason(line, last_failures)),
         },
         "results stored" => {
             let count = line.number_field("results")?;
             match line.bool_field("on_time")? {
                 true => Some(LineOutcome::OnTime(count)),
-                false => Some(LineOutcome::Lost(loss_at(
+                false => Some(LineOutcome::Lost(build_loss(
                     line,
                     LossKind::Late,
                     RESULTS_LATE.to_owned(),
@@ -153,17 +155,17 @@
             }
         }
         "request failed" => match line.bool_field("may_have_run") {
-            Some(false) => lost(LossKind::Refused, stated_reason(line)),
-            _ => lost(LossKind::Failed, stated_reason(line)),
+            Some(false) => one_loss(LossKind::Refused, stated_reason(line)),
+            _ => one_loss(LossKind::Failed, stated_reason(line)),
         },
-        "stream broken" | "item given up" => lost(LossKind::Failed, stated_reason(line)),
+        "stream broken" | "item given up" => one_loss(LossKind::Failed, stated_reason(line)),
         "item run ended" => match line.text_field("end")? {
             // A run that is complete or never began loses nothing.
             "Whole" | "NotRun" => None,
-            _ => lost(LossKind::RunAgain, stated_reason(line)),
+            _ => one_loss(LossKind::RunAgain, stated_reason(line)),
         },
         message if message.starts_with("request refused") => {
-            lost(LossKind::Refused, stated_reason(line))
+            one_loss(LossKind::Refused, stated_reason(line))
         }
         _ => None,
     }
@@ -176,17 +178,17 @@
             without_peer_address(reason)
         );
     }
-    let was_full = line
+    let had_no_free_slot = line
         .number_field("in_flight")
         .zip(line.number_field("slots"))
         .is_some_and(|(in_flight, slots)| in_flight >= slots);
-    match was_full {
+    match had_no_free_slot {
         true => NO_FREE_SLOT.to_owned(),
         false => SLOW_SERVER_OR_NETWORK.to_owned(),
     }
 }
 
-/// Returns the reason that the line states, or else its message.
+/// Returns the reason that the log line states, or else its message.
 fn stated_reason(line: &LogLine) -> String {
     without_peer_address(line.text_field("reason").unwrap_or(&line.message))
 }
@@ -203,7 +205,7 @@
     }
 }
 
-fn loss_at(line: &LogLine, kind: LossKind, reason: String, count: u64) -> Loss {
+fn build_loss(line: &LogLine, kind: LossKind, reason: String, count: u64) -> Loss {
     Loss {
         kind,
         reason,
--- a/crates/foxwheel-engine-emu/src/text.rs
+++ b/crates/foxwheel-engine-emu/src/text.rs
@@ -1,5 +1,6 @@
-//! The text that the emulator generates. It is a fixed function of the prompt, so that a caller
-//! can check that the complete response it received belongs to its own request.
+//! Generates the text of the emulator's responses. The same prompt and number of tokens always
+//! give the same text, so that a caller can check that the complete response it received belongs
+//! to its own request.
 
 use std::hash::{Hash, Hasher};
 
@@ -34,10 +35,11 @@
     hasher.finish()
 }
 
-/// Returns the token at `index` of the response to the prompt with hash `hash`, with a trailing
-/// space.
-pub fn response_token(hash: u64, index: usize) -> String {
-    let mixed_hash = hash
+/// Returns the token at `index` of the response to the prompt whose hash is `prompt_hash`: a word
+/// and a space.
+pub fn response_token(prompt_hash: u64, index: usize) -> String {
+    // The factor is 2^64 divided by the golden ratio, a usual one for mixing the bits of a hash.
+    let mixed_hash = prompt_hash
         .wrapping_add(index as u64)
         .wrapping_mul(0x9E37_79B9_7F4A_7C15)
         .rotate_left(17);
--- a/crates/foxwheel-http1/src/connection.rs
+++ b/crates/foxwheel-http1/src/connection.rs
@@ -1,4 +1,5 @@
-//! A single client connection, the bounds on its peer's silence and its errors.
+//! An HTTP/1.1 client connection to one peer, its timeouts and its errors. The connection carries
+//! one exchange at a time: a request and its response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,17 +19,18 @@
 /// Body of a request. Bodies are small enough to be kept in memory completely.
 pub type RequestBody = Full<Bytes>;
 
-/// How a connection is closed whose exchange is dropped before the response came.
+/// How a connection is closed if its exchange is dropped before the head of the response arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AbandonAction {
-    /// Close the connection in order. The kernel still delivers what was written of the request.
+    /// Close the connection normally. The kernel still delivers the bytes of the request that were
+    /// written.
     Close,
     /// Reset the connection. A request that has not arrived at the peer yet will never arrive.
     Reset,
 }
 
-/// How long a connection is idle before the kernel sends the first keepalive probe, and the time
-/// between probes. The kernel counts in whole seconds.
+/// How long a connection must be idle before the kernel sends the first keepalive probe, and the
+/// time between probes. The kernel counts in whole seconds.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Number of unanswered keepalive probes after which the kernel closes the connection.
@@ -37,7 +39,7 @@
 /// Allowance for timers that fire late, in this process and in the kernel.
 const TIMER_SLACK: Duration = Duration::from_millis(300);
 
-/// Bounds on how long a peer may be silent, and what happens to a dropped exchange.
+/// Timeouts of a connection, and how it is closed if its exchange is dropped.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectOptions {
     /// Longest time that opening the connection may take.
@@ -45,16 +47,18 @@
     /// Longest time that sent bytes may stay unacknowledged. After it the kernel closes the
     /// connection, and bytes that have not arrived at the peer will never arrive.
     pub unacknowledged_timeout: Duration,
-    /// How the connection is closed if its exchange is dropped before the response came.
+    /// How the connection is closed if its exchange is dropped before the head of the response
+    /// arrives.
     pub on_abandon: AbandonAction,
 }
 
 impl ConnectOptions {
     /// Returns for how long after its last exchange a connection may be used for another one.
     ///
-    /// A connection that the kernel closes because of unanswered keepalive probes may still
-    /// deliver what was written to it since. The bound on unacknowledged bytes must therefore
-    /// always expire before the probes fail.
+    /// The kernel closes an idle connection when keepalive probes stay unanswered. It may still
+    /// deliver a request that was written to the connection while the probes were running. A new
+    /// request must therefore start so early that its `unacknowledged_timeout` always expires
+    /// before the probes fail.
     pub fn max_reusable_idle(&self) -> Duration {
         let probe_failure_delay = KEEPALIVE_INTERVAL * (KEEPALIVE_PROBES + 1);
         probe_failure_delay.saturating_sub(self.unacknowledged_timeout + TIMER_SLACK)
@@ -98,17 +102,17 @@
 }
 
 /// An open connection that carries one exchange at a time. Dropping it closes the socket at once,
-/// so that the peer of a dropped exchange can stop working on it.
+/// so that the peer can stop working on a request whose exchange was dropped.
 #[derive(Debug)]
 pub struct Connection {
     peer: SocketAddr,
     on_abandon: AbandonAction,
     awaits_response: AwaitsResponse,
     sender: http1::SendRequest<RequestBody>,
-    driver: JoinHandle<()>,
+    io_task: JoinHandle<()>,
 }
 
-/// How a host reacts to a new connection.
+/// Result of opening a connection to find out whether a process listens at its address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListenerStatus {
     /// The connection opened: a process listens at the address.
@@ -133,24 +137,24 @@
     /// Opens a connection to `peer` and spawns its I/O task on the current tokio runtime. Returns
     /// [`ExchangeError::Connect`] if that fails or takes longer than the connect timeout.
     pub async fn open(peer: SocketAddr, options: ConnectOptions) -> Result<Self, ExchangeError> {
-        let error = |source| ExchangeError::Connect {
+        let connect_error = |source| ExchangeError::Connect {
             origin: Origin::new("open connection", peer.to_string()),
             source,
         };
         let connecting = TcpStream::connect(peer);
         let stream = tokio::time::timeout(options.connect_timeout, connecting)
             .await
-            .map_err(|elapsed| error(elapsed.into()))?
-            .map_err(error)?;
-        set_socket_options(&stream, options.unacknowledged_timeout).map_err(error)?;
+            .map_err(|elapsed| connect_error(elapsed.into()))?
+            .map_err(connect_error)?;
+        set_socket_options(&stream, options.unacknowledged_timeout).map_err(connect_error)?;
         let awaits_response = AwaitsResponse::default();
         let transport = Transport::new(stream, awaits_response.clone());
         let (sender, connection) = http1::Builder::new()
             .handshake(TokioIo::new(transport))
             .await
-            .map_err(|e| error(std::io::Error::other(e)))?;
+            .map_err(|e| connect_error(std::io::Error::other(e)))?;
         // The exchange in progress returns the transport's error, so it is ignored here.
-        let driver = tokio::spawn(async move {
+        let io_task = tokio::spawn(async move {
             let _ = connection.await;
         });
         Ok(Self {
@@ -158,7 +162,7 @@
             on_abandon: options.on_abandon,
             awaits_response,
             sender,
-            driver,
+            io_task,
         })
     }
 
@@ -178,7 +182,7 @@
     }
 
     /// Sends `request` and returns the head of the response, from which the body can be read. If
-    /// the call is dropped before that, the connection closes as
+    /// the call is dropped before the head arrives, the connection is closed as
     /// [`ConnectOptions::on_abandon`] says.
     pub async fn send(
         &mut self,
@@ -187,11 +191,11 @@
         let origin = Origin::new("exchange", self.peer.to_string());
         self.awaits_response
             .set(self.on_abandon == AbandonAction::Reset);
-        let sent = self.sender.try_send_request(request).await;
-        let response = sent.map_err(|mut failed| {
-            let returned = failed.take_message().is_some();
+        let result = self.sender.try_send_request(request).await;
+        let response = result.map_err(|mut failed| {
+            let request_was_returned = failed.take_message().is_some();
             let source = failed.into_error();
-            if returned {
+            if request_was_returned {
                 ExchangeError::NotSent { origin, source }
             } else {
                 ExchangeError::NoCompleteResponse { origin, source }
@@ -204,7 +208,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.driver.abort();
+        self.io_task.abort();
     }
 }
 
--- a/crates/foxwheel-node/src/zone_representative.rs
+++ b/crates/foxwheel-node/src/zone_representative.rs
@@ -1,7 +1,7 @@
 //! The duties of a process that others of its zone selected as a representative: it reports the
 //! load of its zone's servers to other zones and forwards their summaries within its zone. The
-//! secondary representative does the same where the primary one cannot, because a path to it is
-//! cut.
+//! secondary representative does the same for processes and zones that the primary one cannot
+//! reach because a network path to it is cut.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -18,22 +18,24 @@
 
 /// Sends a summary of this zone to the representatives of every other zone.
 pub async fn send_summary(datagrams: &DatagramSender, node: &Node, sequence: u64, now: Instant) {
-    let others = node.peers.other_zone_recipients(now);
-    if others.is_empty() {
+    let recipients_by_zone = node.peers.other_zone_recipients(now);
+    if recipients_by_zone.is_empty() {
         return;
     }
     let mut summary = build_summary(node, sequence, now);
-    for (zone, addresses) in others {
+    for (zone, addresses) in recipients_by_zone {
         summary.servers = server_loads_for(node, &zone, now);
         let message = PeerMessage::Summary(summary.clone());
         datagrams.send(&message, &addresses).await;
     }
 }
 
-/// Requests a summary from the processes of each zone of which no recent summary is known. The
-/// paths from that zone to this zone's representatives may be cut, or those representatives may
-/// be dead. A front that knew no workers of other zones had no process to send its accepted jobs
-/// to, and the jobs began seconds late.
+/// Requests a summary from the processes of each other zone of which no recent summary is known:
+/// the paths from that zone to this zone's representatives may be cut, or those representatives
+/// may be dead.
+///
+/// The request prevents this fault: a front that knew no workers of other zones had no process to
+/// send its accepted jobs to, and the jobs began seconds late.
 pub async fn request_missing_summaries(datagrams: &DatagramSender, node: &Node, now: Instant) {
     let message = PeerMessage::SummaryRequest(node.endpoint());
     for addresses in node.peers.silent_zone_recipients(now) {
@@ -55,8 +57,8 @@
     datagrams.send(&message, &[requester.addr]).await;
 }
 
-/// Forwards new summaries of other zones to the processes that selected this one as a
-/// representative.
+/// Forwards summaries of other zones to the processes that selected this one as a representative,
+/// if new ones arrived since the last call.
 pub async fn forward_summaries(datagrams: &DatagramSender, node: &Node, now: Instant) {
     for rank in [Rank::Primary, Rank::Secondary] {
         let subscribers = node.subscribers(rank, now);
@@ -72,8 +74,8 @@
 }
 
 /// Stores the load that a process of another zone puts on this zone's servers. If the report is
-/// new and came directly, also forwards it to the processes that selected this one as their
-/// primary representative.
+/// new and came directly from that process, also forwards it to the processes that selected this
+/// one as their primary representative.
 pub async fn apply_cross_zone_loads(
     datagrams: &DatagramSender,
     node: &Node,
@@ -92,13 +94,17 @@
 /// are left empty.
 fn build_summary(node: &Node, sequence: u64, now: Instant) -> ZoneSummary {
     let settings = &node.settings;
-    let local = node.peers.own_zone_peers(now);
-    let own_front = usize::from(settings.role == Role::Front);
-    let fronts = local.iter().filter(|peer| !peer.process.is_worker).count() + own_front;
+    let zone_peers = node.peers.own_zone_peers(now);
+    let own_front_count = usize::from(settings.role == Role::Front);
+    let front_count = zone_peers
+        .iter()
+        .filter(|peer| !peer.process.is_worker)
+        .count()
+        + own_front_count;
     let own_addr = settings.peer_address();
     let addr_of = |host: &NodeId| match *host == settings.host {
         true => Some(own_addr),
-        false => local
+        false => zone_peers
             .iter()
             .find(|peer| peer.process.host == *host)
             .map(|peer| peer.addr),
@@ -132,7 +138,7 @@
         incarnation: node.incarnation,
         sequence,
         representatives,
-        fronts: fronts as u32,
+        fronts: front_count as u32,
         servers: Vec::new(),
         dead_instances,
         workers,
@@ -140,23 +146,23 @@
 }
 
 /// Returns the load on this zone's servers for a summary to `recipient_zone`. Excludes the load
-/// from that zone itself, which it knows better.
+/// that the recipient zone itself puts on them, because it knows that load better.
 fn server_loads_for(
     node: &Node,
     recipient_zone: &Zone,
     now: Instant,
 ) -> Vec<(zone_loads::ServerFingerprint, zone_loads::RequestCounts)> {
-    let from_recipient = node.peers.cross_zone_loads(recipient_zone, now);
+    let recipient_loads = node.peers.cross_zone_loads(recipient_zone, now);
     let directory = node.directory.lock().expect("directory lock");
-    let local = directory.entries().iter().filter(|entry| {
+    let ready_entries = directory.entries().iter().filter(|entry| {
         let server = &entry.server;
         server.zone == node.settings.availability_zone && server.state == ServerState::Ready
     });
-    let servers = local.map(|entry| {
+    let servers = ready_entries.map(|entry| {
         let instance = entry.server.instance();
         let own_load = node.loads.own_load(&instance, now);
         let (online, batch) = node.peers.in_flight(&instance, now);
-        let (recipient_online, recipient_batch) = from_recipient.in_flight(&instance);
+        let (recipient_online, recipient_batch) = recipient_loads.in_flight(&instance);
         let load = zone_loads::RequestCounts {
             online: own_load.online + online.saturating_sub(recipient_online),
             batch: own_load.batch + batch.saturating_sub(recipient_batch),
