--- a/crates/foxwheel-node/src/attempt.rs
+++ b/crates/foxwheel-node/src/attempt.rs
@@ -23,8 +23,8 @@
 use crate::server_probe::{self, CutOffRequest};
 
 /// A server that sends nothing on any request of this process for this long is suspected and
-/// gets no new requests. Engines take a step every few milliseconds, so that a working server
-/// is never silent for so long.
+/// gets no new requests. The engine of a working server takes a step, which generates the next
+/// tokens, every few milliseconds, so that the server is never silent for so long.
 const SUSPECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long a request waits for the liveness probe of a server that cut its response off. A
@@ -33,7 +33,7 @@
 
 /// The server of an attempt, the request's identity and the time limits of the attempt.
 #[derive(Debug)]
-pub struct Target {
+pub struct AttemptParams {
     /// The server's slot. It is reserved when the server is chosen, so that concurrent choices
     /// already count this request in the server's load.
     pub slot: InFlight,
@@ -104,15 +104,15 @@
 
 /// Sends `request` and waits for the head of its response.
 ///
-/// Returns an error if the request could not be sent, if no head arrived in time, or if the
-/// response belongs to another request. A response that reports a rejection or an error is
-/// returned as `Ok`.
+/// Returns an error if the request could not be sent, if no head arrived in time, if the response
+/// belongs to another request, or if it is encoded. A response that reports a rejection or an
+/// error is returned as `Ok`.
 pub async fn send(
     node: &Arc<Node>,
-    target: Target,
+    params: AttemptParams,
     request: Request<RequestBody>,
 ) -> Result<OpenResponse, Failure> {
-    let server = target.slot.server();
+    let server = params.slot.server();
     let Some(addr) = node.usable_addr(server, Instant::now()) else {
         return Err(Failure::no_new_work());
     };
@@ -131,16 +131,17 @@
         let response = pooled.connection.send(request).await?;
         Ok::<_, ExchangeError>(Some((pooled.connection, response)))
     };
-    let wait_until = target
+    let wait_until = params
         .head_deadline
-        .map_or(target.deadline, |at| at.min(target.deadline));
-    let suspect_timeout = SUSPECT_TIMEOUT + target.expected_wait;
-    let exchanged = suspect_while_silent(node, server, suspect_timeout, wait_until, exchange).await;
-    if !matches!(exchanged, Some(Ok(_))) {
+        .map_or(params.deadline, |at| at.min(params.deadline));
+    let suspect_timeout = SUSPECT_TIMEOUT + params.expected_wait;
+    let exchange_result =
+        suspect_while_silent(node, server, suspect_timeout, wait_until, exchange).await;
+    if !matches!(exchange_result, Some(Ok(_))) {
         let waited_ms = sent_at.elapsed().as_millis() as u64;
-        log::info!(request_id = target.request_id, server = server.id, is_new, waited_ms; "attempt ended without a response head");
+        log::info!(request_id = params.request_id, server = server.id, is_new, waited_ms; "attempt ended without a response head");
     }
-    let (connection, response) = match exchanged {
+    let (connection, response) = match exchange_result {
         Some(Ok(Some(exchanged))) => exchanged,
         Some(Ok(None)) => return Err(Failure::no_new_work()),
         Some(Err(e)) => {
@@ -148,8 +149,8 @@
             if matches!(e, ExchangeError::NoCompleteResponse { .. }) {
                 let cut_off = CutOffRequest {
                     server: server.clone(),
-                    request_id: target.request_id,
-                    content: target.content,
+                    request_id: params.request_id,
+                    content: params.content,
                     sent_at,
                     cut_off_at: Instant::now(),
                 };
@@ -172,7 +173,7 @@
         }
     };
     let (head, body) = response.into_parts();
-    let decoded_head = online::decode_response(&head, &target.request_id);
+    let decoded_head = online::decode_response(&head, &params.request_id);
     if decoded_head.for_another_request || decoded_head.is_encoded {
         node.loads.record_outcome(server, true, Instant::now());
         return Err(Failure::new(
@@ -187,20 +188,20 @@
     }
     if decoded_head.status.is_success() || decoded_head.status == StatusCode::INTERNAL_SERVER_ERROR
     {
-        let failed = !decoded_head.status.is_success();
-        node.loads.record_outcome(server, failed, now);
+        let has_failed = !decoded_head.status.is_success();
+        node.loads.record_outcome(server, has_failed, now);
     }
     Ok(OpenResponse {
         head,
         decoded_head,
         server: server.clone(),
         node: Arc::clone(node),
-        request_id: target.request_id,
-        content: target.content,
+        request_id: params.request_id,
+        content: params.content,
         sent_at,
         body,
         connection,
-        slot: target.slot,
+        slot: params.slot,
     })
 }
 
@@ -281,7 +282,7 @@
 }
 
 impl Failure {
-    /// The server accepts no new requests, so that this one was not sent.
+    /// Creates the failure of a request that was not sent because the server accepts no new ones.
     fn no_new_work() -> Self {
         Self::new(AttemptOutcome::NotSent, "server takes no new work")
     }
--- a/crates/foxwheel-node/src/cross_zone_clients.rs
+++ b/crates/foxwheel-node/src/cross_zone_clients.rs
@@ -1,4 +1,5 @@
-//! Processes of other zones that have requests in flight at this zone's servers.
+//! Keeps the load reports of cross-zone clients: processes of other zones that have requests in
+//! flight at this zone's servers.
 
 use std::time::Instant;
 
@@ -27,8 +28,8 @@
 }
 
 impl CrossZoneClients {
-    /// Stores a client's report and updates `sums`. Returns false and changes nothing if an
-    /// equally new or newer report of the client is known.
+    /// Stores a client's report and updates `sums`, the summed loads that processes reported.
+    /// Returns false and changes nothing if an equally new or newer report of the client is known.
     pub fn apply_report(
         &mut self,
         report: &CrossZoneLoads,
@@ -38,10 +39,10 @@
         let found = self
             .clients
             .binary_search_by(|client| client.host.cmp(&report.host));
-        let order = (report.incarnation, report.sequence);
+        let report_order = (report.incarnation, report.sequence);
         if let Ok(at) = found {
             let known = &self.clients[at];
-            if order <= (known.incarnation, known.sequence) {
+            if report_order <= (known.incarnation, known.sequence) {
                 return false;
             }
         }
@@ -58,7 +59,7 @@
             at
         });
         let client = &mut self.clients[at];
-        (client.incarnation, client.sequence) = order;
+        (client.incarnation, client.sequence) = report_order;
         client.last_report_at = now;
         client.reported.replace_loads(report.loads.clone(), sums);
         true
@@ -73,8 +74,8 @@
         sums
     }
 
-    /// Removes the clients without a recent report and their loads from `sums`. Returns when
-    /// the next client expires if it sends no further report.
+    /// Removes the clients without a recent report, and subtracts their loads from `sums`.
+    /// Returns when the next client expires if it sends no further report.
     pub fn remove_expired(&mut self, sums: &mut LoadSums, now: Instant) -> Option<Instant> {
         self.clients.retain_mut(|client| {
             let is_live = now.duration_since(client.last_report_at) < DEAD_TIMEOUT;
--- a/crates/foxwheel-node/src/item_run.rs
+++ b/crates/foxwheel-node/src/item_run.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, StatusCode};
 use tokio_util::sync::CancellationToken;
 
-use crate::attempt::{self, BodyFrame, OpenResponse, Target};
+use crate::attempt::{self, AttemptParams, BodyFrame, OpenResponse};
 use crate::event_stream::EventSplitter;
 use crate::load_table::InFlight;
 use crate::node::Node;
@@ -106,7 +106,7 @@
         // The item waits until it may be tried again, or until its route allows giving it up.
         return (RunEnd::Quarantined, "servers crashed under it".to_owned());
     }
-    let target = Target {
+    let params = AttemptParams {
         slot,
         request_id: item.id.clone(),
         content: Arc::new(content),
@@ -114,7 +114,7 @@
         deadline: Instant::now() + FIRST_EVENT_TIMEOUT,
         head_deadline: None,
     };
-    match attempt::send(node, target, request).await {
+    match attempt::send(node, params, request).await {
         Ok(response) => read_response(response, output).await,
         Err(failure) => match failure.outcome {
             AttemptOutcome::NotSent | AttemptOutcome::Gone | AttemptOutcome::Rejected => {
--- a/crates/foxwheel-node/src/lib.rs
+++ b/crates/foxwheel-node/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A *front* serves callers; a *worker* runs batch jobs. Both watch the operator's configuration
 //! and the list of backend servers in the platform's store, report their load to each other in
-//! heartbeats, and leave every decision to `foxwheel-policy`.
+//! heartbeats, and call `foxwheel-policy` for every decision.
 
 pub mod attempt;
 pub mod batch_front;
--- a/crates/foxwheel-node/src/online_request.rs
+++ b/crates/foxwheel-node/src/online_request.rs
@@ -14,7 +14,7 @@
 use foxwheel_policy::routes::{Route, RouteKind};
 use hyper::http::request;
 
-use crate::attempt::{self, Failure, FullResponse, OpenResponse, Target};
+use crate::attempt::{self, AttemptParams, Failure, FullResponse, OpenResponse};
 use crate::load_table::{InFlight, WorkClass};
 use crate::node::Node;
 use crate::request_content::RequestContent;
@@ -252,7 +252,7 @@
         let request = online::forwarded_request(&self.head, self.body.clone(), attempt);
         let may_retry =
             self.route.is_repeatable() && self.route.max_attempts > self.attempts.count() + 1;
-        let target = Target {
+        let params = AttemptParams {
             slot,
             request_id: self.caller.id.clone(),
             content: Arc::clone(&self.content),
@@ -262,7 +262,7 @@
             deadline: self.response_deadline,
             head_deadline: may_retry.then(|| now + RESPONSE_HEAD_TIMEOUT),
         };
-        let mut response = attempt::send(node, target, request).await?;
+        let mut response = attempt::send(node, params, request).await?;
         if response.decoded_head.status.is_success() && !response.decoded_head.not_run {
             if response.decoded_head.is_signed {
                 return Ok(response);
--- a/crates/foxwheel-node/tests/attempt.rs
+++ b/crates/foxwheel-node/tests/attempt.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use foxwheel_node::attempt::{self, Target};
+use foxwheel_node::attempt::{self, AttemptParams};
 use foxwheel_node::load_table::WorkClass;
 use foxwheel_node::node::Node;
 use foxwheel_node::request_content::RequestContent;
@@ -46,7 +46,7 @@
     let settings = common::single_process_settings(Role::Front, unused_address);
     let node = Node::new(settings, cancel.clone());
     let listed = register_server(&node, server.addr, ServerState::Ready);
-    let target = Target {
+    let params = AttemptParams {
         slot: node
             .loads
             .begin_request(&listed.instance(), WorkClass::Online),
@@ -57,7 +57,7 @@
         head_deadline: None,
     };
     let request = front_client::build_request(Method::POST, "/plain/a", "request", &[], "");
-    let (sent, _) = tokio::join!(attempt::send(&node, target, request), async {
+    let (sent, _) = tokio::join!(attempt::send(&node, params, request), async {
         register_server(&node, server.addr, ServerState::Draining)
     });
     let outcome = sent.map(|_| ()).map_err(|failure| failure.outcome);
--- a/crates/foxwheel-policy/src/batch/job.rs
+++ b/crates/foxwheel-policy/src/batch/job.rs
@@ -29,7 +29,8 @@
 /// stores several. If the worker crashes within this time, their items run again.
 const STORE_DELAY: Duration = Duration::from_millis(2_500);
 
-/// How long before a job is due its finished results are stored without waiting for others.
+/// Time before a job is due from which on its finished results are stored without waiting for
+/// further ones.
 /// A slow store takes 250 ms for a write, and a reader polls about twice a second.
 const STORE_BEFORE_DUE_MARGIN: Duration = Duration::from_millis(600);
 
@@ -42,7 +43,7 @@
 const MISSING_ROUTE_GRACE: Duration = Duration::from_secs(5);
 
 /// Returns whether the unfinished items of a job should be given up: the job is older than its
-/// route's retention time (zero is no limit), or it has no route any more. `age` counts from
+/// route's retention time (zero means no limit), or no route matches it any more. `age` counts from
 /// the submission; `config_known_for` is how long this process has had a configuration.
 pub fn should_give_up(route: Option<&Route>, age: Duration, config_known_for: Duration) -> bool {
     match route {
@@ -133,7 +134,7 @@
         }
         self.stored_parts += 1;
         for result in results {
-            if let Some(index) = self.item_position(&result.id) {
+            if let Some(index) = self.item_index(&result.id) {
                 self.items[index].state = ItemState::Stored;
                 self.items[index].partial_output = PartialOutput::default();
             }
@@ -145,7 +146,7 @@
         true
     }
 
-    /// Returns the positions of the items that may run now, in the client's order.
+    /// Returns the indexes of the items that may run now, in the client's order.
     pub fn waiting_items(&self, now: Instant) -> impl Iterator<Item = usize> + '_ {
         let items = self.items.iter().enumerate().filter(move |(_, item)| {
             let may_run = match item.state {
@@ -157,7 +158,7 @@
         items.map(|(index, _)| index)
     }
 
-    /// Returns the position of the first item that may run now.
+    /// Returns the index of the first item that may run now.
     pub fn next_item(&self, now: Instant) -> Option<usize> {
         self.waiting_items(now).next()
     }
@@ -175,8 +176,8 @@
     }
 
     /// Records the end of a run of the item at `index`: the item is finished or waits for its next
-    /// run. It is given up after `max_failures` failed runs, at least one. Does nothing if the
-    /// item is not running, because it was finished meanwhile.
+    /// run. It is given up after `max_failures` failed runs, or after one if that is zero. Does
+    /// nothing if the item is not running, because it was finished meanwhile.
     pub fn record_run_end(
         &mut self,
         index: usize,
@@ -226,8 +227,9 @@
         })
     }
 
-    /// Returns whether to store results now, or to close the job because all results are
-    /// stored. `is_shutting_down` is about this worker, which then stores immediately.
+    /// Returns true if the worker should store results now, and also if all results are stored
+    /// already, so that it should close the job. `is_shutting_down` says whether this worker shuts
+    /// down; it then stores without delay.
     pub fn should_store(&self, now: Instant, is_shutting_down: bool) -> bool {
         let Some(since) = self.unstored_since else {
             return self.is_fully_stored();
@@ -240,7 +242,8 @@
     }
 
     /// Returns whether finished results must be stored now so that readers find them when the
-    /// job is due, in `due_in`. Returns false if the job is due already (`due_in` is zero).
+    /// job is due. `due_in` is the time until then; if it is zero, the job is due already and this
+    /// returns false.
     pub fn should_store_before_due(&self, due_in: Duration) -> bool {
         let is_nearly_due = !due_in.is_zero() && due_in <= STORE_BEFORE_DUE_MARGIN;
         is_nearly_due && self.unstored_since.is_some()
@@ -325,7 +328,7 @@
         };
     }
 
-    fn item_position(&self, id: &str) -> Option<usize> {
+    fn item_index(&self, id: &str) -> Option<usize> {
         self.spec.items.iter().position(|item| item.id == id)
     }
 }
--- a/crates/foxwheel-policy/src/batch/mod.rs
+++ b/crates/foxwheel-policy/src/batch/mod.rs
@@ -1,4 +1,5 @@
-//! Batch jobs: acceptance, ownership by workers, runs of their items and stored results.
+//! The rules of batch jobs: how they are accepted, which worker owns each, in which order their
+//! items run, and how the results are stored.
 
 pub mod checkpoint;
 pub mod item;
