--- a/crates/foxwheel-agent/src/proxy.rs
+++ b/crates/foxwheel-agent/src/proxy.rs
@@ -76,11 +76,11 @@
 enum BackendError {
     #[error("send: {0}")]
     Send(#[from] awc::error::SendRequestError),
-    #[error("read response: {0}")]
+    #[error("read answer: {0}")]
     Read(#[from] awc::error::PayloadError),
-    #[error("read response: not an event stream of JSON: {0}")]
+    #[error("read answer: not an event stream of JSON: {0}")]
     Event(#[from] serde_json::Error),
-    #[error("read response: the stream ended before its last event")]
+    #[error("read answer: the stream ended before its last event")]
     StreamCutOff,
 }
 
--- a/crates/foxwheel-gateway/src/batch/api.rs
+++ b/crates/foxwheel-gateway/src/batch/api.rs
@@ -38,7 +38,7 @@
     http::not_run_response(
         StatusCode::SERVICE_UNAVAILABLE,
         "store_unavailable",
-        format!("the store of the batch jobs is unavailable: {e}"),
+        format!("the job store cannot be reached: {e}"),
         Some(retry_after_s),
     )
 }
@@ -257,7 +257,7 @@
         Refused::not_run(
             StatusCode::SERVICE_UNAVAILABLE,
             "store_unavailable",
-            format!("the cancellation cannot be recorded: {e}"),
+            format!("the cancel cannot be recorded: {e}"),
             Some(retry_after_s),
         )
     };
@@ -281,7 +281,7 @@
                 return Err(Refused::not_run(
                     StatusCode::CONFLICT,
                     "job_completed",
-                    "the job completed before the cancellation",
+                    "the job completed before the cancel",
                     None,
                 ))
             }
@@ -302,6 +302,6 @@
     Err(Refused::unknown(
         StatusCode::SERVICE_UNAVAILABLE,
         "store_unavailable",
-        format!("the cancellation may not be recorded; send it again: {last_error}"),
+        format!("the cancel may not be recorded, send it again: {last_error}"),
     ))
 }
--- a/crates/foxwheel-gateway/src/batch/chunk_work.rs
+++ b/crates/foxwheel-gateway/src/batch/chunk_work.rs
@@ -362,7 +362,7 @@
             item.attempts += 1;
             if item.attempts >= MAX_ITEM_ATTEMPTS {
                 item.state = ItemState::Failed;
-                item.error = Some(format!("failed after {} attempts: {error}", item.attempts));
+                item.error = Some(format!("gave up after {} attempts: {error}", item.attempts));
             }
         }
         StoredOutcome::Inline(ItemOutcome::NotRun) => {}
--- a/crates/foxwheel-gateway/src/batch/intake.rs
+++ b/crates/foxwheel-gateway/src/batch/intake.rs
@@ -51,9 +51,7 @@
     }
     if items.len() > MAX_ITEMS {
         let count = items.len();
-        return Err(format!(
-            "the job has {count} items; the maximum is {MAX_ITEMS}"
-        ));
+        return Err(format!("the job has {count} items; at most {MAX_ITEMS}"));
     }
     let mut ids: Vec<&str> = items.iter().map(|i| i.custom_id.as_str()).collect();
     ids.sort_unstable();
--- a/crates/foxwheel-gateway/src/batch/items.rs
+++ b/crates/foxwheel-gateway/src/batch/items.rs
@@ -96,10 +96,7 @@
             ATTEMPT_TIMEOUT,
         );
         let attempt_failed = |e: &dyn std::fmt::Display| {
-            ItemOutcome::AttemptFailed(format!(
-                "{} did not complete its response: {e}",
-                host.member.host
-            ))
+            ItemOutcome::AttemptFailed(format!("{} broke off: {e}", host.member.host))
         };
         let mut response = match sent.await {
             Ok(response) if http::read_run_state(&response) == Some(RunState::NotRun) => {
@@ -113,7 +110,7 @@
         match response.body().limit(MAX_RESPONSE_BYTES).await {
             Ok(body) => outcome_from_response(status, &body),
             Err(awc::error::PayloadError::Overflow) => ItemOutcome::Failed(format!(
-                "the response is larger than {MAX_RESPONSE_BYTES} bytes"
+                "the answer is larger than {MAX_RESPONSE_BYTES} bytes"
             )),
             Err(e) => attempt_failed(&e),
         }
@@ -147,7 +144,7 @@
     if status.is_success() {
         return match serde_json::from_slice(body) {
             Ok(value) => ItemOutcome::Done(value),
-            Err(e) => ItemOutcome::AttemptFailed(format!("the response is not JSON: {e}")),
+            Err(e) => ItemOutcome::AttemptFailed(format!("the answer is not JSON: {e}")),
         };
     }
     if status == StatusCode::TOO_MANY_REQUESTS || status == StatusCode::REQUEST_TIMEOUT {
--- a/crates/foxwheel-gateway/src/forwarding.rs
+++ b/crates/foxwheel-gateway/src/forwarding.rs
@@ -178,7 +178,7 @@
             return Err(self.no_backend_failure(state.settings.retry_after_s));
         }
         counters.incr("failed.unknown");
-        Err(last_failure.unwrap_or_else(|| forward_failure("", &"no host completed its response")))
+        Err(last_failure.unwrap_or_else(|| forward_failure("", &"its hosts broke off")))
     }
 
     async fn attempt_host(&self, worker: &WorkerState, agent_addr: &str) -> AttemptResult {
@@ -186,8 +186,7 @@
             Ok(response) => match http::read_run_state(&response) {
                 Some(RunState::NotRun) => AttemptResult::Failed(AttemptOutcome::Rejected, None),
                 Some(RunState::Unknown) if self.idempotent => {
-                    let failure =
-                        forward_failure(agent_addr, &"its backend did not complete the response");
+                    let failure = forward_failure(agent_addr, &"its backend broke off");
                     AttemptResult::Failed(AttemptOutcome::Unknown, Some(failure))
                 }
                 Some(RunState::Unknown) | None => AttemptResult::Responded(response),
--- a/crates/foxwheel-gateway/src/idempotency.rs
+++ b/crates/foxwheel-gateway/src/idempotency.rs
@@ -157,6 +157,6 @@
     StoreError::Unavailable {
         step,
         peer: store.base_url().to_owned(),
-        detail: "no response after retries".to_owned(),
+        detail: "no answer after retries".to_owned(),
     }
 }
--- a/crates/foxwheel-gateway/src/response_relay.rs
+++ b/crates/foxwheel-gateway/src/response_relay.rs
@@ -170,7 +170,7 @@
                 return http::unknown_run_state_response(
                     StatusCode::BAD_GATEWAY,
                     "backend_failed",
-                    "the response was cut off and no other host gave a complete one",
+                    "the answer broke off and no other host gave it whole",
                 );
             }
         };
--- a/crates/foxwheel-gateway/src/server.rs
+++ b/crates/foxwheel-gateway/src/server.rs
@@ -69,7 +69,7 @@
     let reflector = state.reflectors.iter().find(|r| r.prefix() == query.prefix);
     match reflector {
         Some(reflector) => HttpResponse::Ok().json(reflector.to_list_response()),
-        None => HttpResponse::NotFound().body("this gateway keeps no copy of this prefix"),
+        None => HttpResponse::NotFound().body("no copy of this prefix"),
     }
 }
 
--- a/crates/foxwheel-gateway/src/services.rs
+++ b/crates/foxwheel-gateway/src/services.rs
@@ -110,7 +110,7 @@
             )
         }
         Err(e) => {
-            let message = format!("reading the service's response failed: {e}");
+            let message = format!("reading the answer: {e}");
             let failure = http::unknown_run_state_response(
                 StatusCode::BAD_GATEWAY,
                 "backend_failed",
@@ -132,7 +132,7 @@
     http::not_run_response(
         StatusCode::BAD_REQUEST,
         "idempotency_key_required",
-        format!("{path} on {service} must not run more than once: send an Idempotency-Key header"),
+        format!("{path} on {service} may not be repeated: send an Idempotency-Key header"),
         None,
     )
 }
@@ -141,7 +141,7 @@
     http::not_run_response(
         StatusCode::UNPROCESSABLE_ENTITY,
         "idempotency_key_reused",
-        "this Idempotency-Key was already used for another request",
+        "this Idempotency-Key was used for another request",
         None,
     )
 }
@@ -150,7 +150,7 @@
     http::unknown_run_state_response(
         StatusCode::CONFLICT,
         "call_in_progress",
-        "a call with this Idempotency-Key was started before and its outcome is not recorded; it will not run again",
+        "a call with this Idempotency-Key started earlier and its outcome is not recorded; it will not run again",
     )
 }
 
@@ -158,7 +158,7 @@
     http::not_run_response(
         StatusCode::SERVICE_UNAVAILABLE,
         "store_unavailable",
-        format!("the call cannot be recorded before it runs: {error}"),
+        format!("cannot record the call before running it: {error}"),
         Some(retry_after_s),
     )
 }
--- a/crates/foxwheel-http1/src/connection.rs
+++ b/crates/foxwheel-http1/src/connection.rs
@@ -77,7 +77,7 @@
         source: std::io::Error,
     },
     /// The connection closed before any byte of the request was written.
-    #[error("connection closed before sending {origin}: {}", WithCauses(source))]
+    #[error("closed before sending {origin}: {}", WithCauses(source))]
     NotSent {
         /// Step that failed and address of the peer.
         origin: Origin,
@@ -85,7 +85,7 @@
         source: hyper::Error,
     },
     /// The request was written and no complete response came: the peer may have acted on it.
-    #[error("no complete response {origin}: {}", WithCauses(source))]
+    #[error("no whole answer {origin}: {}", WithCauses(source))]
     NoCompleteResponse {
         /// Step that failed and address of the peer.
         origin: Origin,
--- a/crates/foxwheel-load/src/batch.rs
+++ b/crates/foxwheel-load/src/batch.rs
@@ -197,7 +197,7 @@
         // wait ends.
         let Ok(status) = get_status(&client, gateway, &id).await else {
             if elapsed > wait {
-                return Err("no job status was received before the wait ended".to_owned());
+                return Err("no status until the wait ended".to_owned());
             }
             tokio::time::sleep(POLL_INTERVAL).await;
             continue;
--- a/crates/foxwheel-load/src/online.rs
+++ b/crates/foxwheel-load/src/online.rs
@@ -153,7 +153,7 @@
     }
     if !is_complete {
         // As for any client of the protocol, a stream without the final event is incomplete.
-        return Err("the stream ended before its final event".to_owned());
+        return Err("the stream broke off".to_owned());
     }
     Ok(streamed)
 }
--- a/crates/foxwheel-load/src/report.rs
+++ b/crates/foxwheel-load/src/report.rs
@@ -155,7 +155,7 @@
     let wrong = stats.wrong_answers;
     (wrong > 0).then(|| {
         format!(
-            "{}: {wrong} responses were not the complete response to their own request",
+            "{}: {wrong} answers were not the whole answer to their own request",
             stats.model
         )
     })
@@ -170,22 +170,22 @@
     let checks = [
         (
             !has_same_job_after_resend(stats),
-            "resending the job created another job".to_owned(),
+            "a resend made another job".to_owned(),
         ),
         (
             stats.duplicate_or_unknown > 0,
             format!(
-                "{} results are duplicated or unknown",
+                "{} results duplicated or unknown",
                 stats.duplicate_or_unknown
             ),
         ),
         (
             stats.pending > 0,
-            format!("{} accepted items did not finish", stats.pending),
+            format!("{} accepted items never finished", stats.pending),
         ),
         (
             !stats.cancel_sent && stats.cancelled > 0,
-            "items were cancelled in a job that was not cancelled".to_owned(),
+            "items cancelled in a job nobody cancelled".to_owned(),
         ),
     ];
     checks
@@ -200,7 +200,7 @@
     let twice = stats.executed_twice;
     (twice > 0).then(|| {
         format!(
-            "{}: {twice} non-idempotent calls were executed more than once",
+            "{}: {twice} non-idempotent calls ran more than once",
             stats.name
         )
     })
@@ -306,7 +306,7 @@
         text.push_str(&format_usage(usage));
     }
     if result.failed_checks.is_empty() {
-        text.push_str("checks: every accepted item finished once; no non-idempotent call was executed twice; every response complete and its own\n");
+        text.push_str("checks: every accepted item finished once; no non-idempotent call ran twice; every answer whole and its own\n");
     } else {
         text.push_str("FAILED CHECKS:\n");
         for check in &result.failed_checks {
--- a/crates/foxwheel-node/src/job_store.rs
+++ b/crates/foxwheel-node/src/job_store.rs
@@ -73,7 +73,7 @@
     #[error(transparent)]
     Store(#[from] StoreError),
     /// A stored value does not have the format that this version writes.
-    #[error("cannot decode stored {what}: {source}")]
+    #[error("stored {what} is not readable: {source}")]
     Format {
         /// What the value holds.
         what: String,
@@ -87,7 +87,7 @@
         item: String,
     },
     /// Other processes kept changing the ledger until the time limit of the update.
-    #[error("other processes kept changing the ledger until the time limit")]
+    #[error("the ledger was changed by others until the time was up")]
     Contended,
 }
 
--- a/crates/foxwheel-node/src/ledger_writer.rs
+++ b/crates/foxwheel-node/src/ledger_writer.rs
@@ -46,7 +46,7 @@
         self.wake.notify_one();
         receiver
             .await
-            .unwrap_or_else(|_| RelayedResult::Unknown("the ledger writer stopped".to_owned()))
+            .unwrap_or_else(|_| RelayedResult::Unknown("the keeper stopped".to_owned()))
     }
 
     /// Writes waiting changes. Never returns.
--- a/crates/foxwheel-node/src/peer_calls.rs
+++ b/crates/foxwheel-node/src/peer_calls.rs
@@ -186,7 +186,7 @@
 
 /// Error of a call to a peer that got no response.
 #[derive(Debug, thiserror::Error)]
-#[error("no response {origin}: {reason}")]
+#[error("no answer {origin}: {reason}")]
 pub struct PeerError {
     /// The step that failed and the peer's address.
     origin: Origin,
--- a/crates/foxwheel-node/src/peer_server.rs
+++ b/crates/foxwheel-node/src/peer_server.rs
@@ -82,7 +82,7 @@
     ) -> RelayedResult<LedgerResponse> {
         match &self.jobs {
             Some(jobs) => jobs.ledger_writer.submit(change).await,
-            None => RelayedResult::NotDone("this process is not a worker".to_owned()),
+            None => RelayedResult::NotDone("not a worker".to_owned()),
         }
     }
 
--- a/crates/foxwheel-node/src/store_relay.rs
+++ b/crates/foxwheel-node/src/store_relay.rs
@@ -111,7 +111,7 @@
 fn no_route_error() -> StoreError {
     StoreError::NotDone {
         origin: Origin::new("call the store", ""),
-        reason: "no route to the store".to_owned(),
+        reason: "no way to it".to_owned(),
     }
 }
 
--- a/crates/foxwheel-store/src/client.rs
+++ b/crates/foxwheel-store/src/client.rs
@@ -61,7 +61,7 @@
     #[error("watch version too old")]
     HistoryExpired,
     /// A response could not be decoded, or a value not encoded.
-    #[error("invalid data at step '{step}' with peer {peer}: {detail}")]
+    #[error("bad answer at step '{step}' with peer {peer}: {detail}")]
     Decode {
         /// Call that failed.
         step: &'static str,
@@ -293,7 +293,7 @@
     fn platform_store(&self, step: &'static str) -> Result<&Store, StoreError> {
         self.platform_store
             .as_deref()
-            .ok_or_else(|| self.unavailable(step, "the base URL does not end with ip:port"))
+            .ok_or_else(|| self.unavailable(step, "the base URL holds no ip:port"))
     }
 
     fn split_prefix(
@@ -301,12 +301,8 @@
         step: &'static str,
         prefix: &str,
     ) -> Result<(String, String), StoreError> {
-        keys::kind_and_name_prefix(prefix).ok_or_else(|| {
-            self.unavailable(
-                step,
-                format!("the key prefix '{prefix}' covers several kinds of objects"),
-            )
-        })
+        keys::kind_and_name_prefix(prefix)
+            .ok_or_else(|| self.unavailable(step, format!("'{prefix}' spans several kinds")))
     }
 
     fn convert_error(&self, step: &'static str, error: store::StoreError) -> StoreError {
